--- a/src/policy/first_event_model.cpp
+++ b/src/policy/first_event_model.cpp
@@ -1,4 +1,4 @@
-// Stochastic gradient steps on the line's two numbers.
+// Fits the two parameters of the line by stochastic gradient descent.
 #include "policy/first_event_model.hpp"
 
 #include <algorithm>
@@ -8,18 +8,20 @@
 namespace {
 
 constexpr double ms_per_second = 1000;
-/// Steps for a time under the line and over it: the line settles where about a quarter of the times lie
-/// below.
+/// Step sizes for a measured time below and above the line. With a ratio of three to one, the line settles
+/// where about a quarter of the measured times lie below it.
 constexpr double step_under = 0.15;
 constexpr double step_over = 0.05;
-/// The first samples count for more, so that a new server is known after a few requests.
+/// The first samples have a larger step size, so that a few requests are enough for a usable estimate of a
+/// new server.
 constexpr unsigned early_samples = 10;
 constexpr double early_factor = 3;
-/// Prompts are scaled so that both numbers learn at a similar pace: a usual one has some thousand tokens.
+/// Prompt length in tokens by which prompts are scaled, so that both parameters converge at a similar rate.
+/// Typical prompts have a few thousand tokens.
 constexpr double usual_prompt = 2000;
 constexpr double least_fixed_ms = 1;
 constexpr double most_ms_per_token = 1;
-/// One request that hung must not spoil the line.
+/// Longer measured times are cut to this one, so that a single request that hung doesn't distort the line.
 constexpr double most_first_ms = 5000;
 
 duration from_ms(double ms) {
--- a/src/policy/flow_meter.cpp
+++ b/src/policy/flow_meter.cpp
@@ -1,4 +1,4 @@
-// An exponentially decaying count.
+// Implements the rate estimate as a count of events that decays exponentially over time.
 #include "policy/flow_meter.hpp"
 
 #include <cmath>
@@ -7,7 +7,8 @@
 
 namespace {
 
-/// Bursts begin and end within about a second.
+/// Time constant of the decay. Bursts of requests start and end within about a second, so a longer memory
+/// would react too late.
 constexpr double memory_seconds = 1;
 
 } // namespace
--- a/src/policy/flow_meter.hpp
+++ b/src/policy/flow_meter.hpp
@@ -1,21 +1,24 @@
-// A rate over the last second or so, from single events.
+// Estimates the rate of events, such as grants from a queue, over about the last second.
 #pragma once
 
 #include "policy/time.hpp"
 
 namespace borageford::policy {
 
+/// Exponentially decaying event rate: recent events count more than older ones.
 class flow_meter {
 public:
+    /// Records one event.
     void count(time_point now) noexcept;
-    /// Events a second, those longer ago counting less.
+    /// The current estimate in events per second; 0 if no event was ever recorded.
     [[nodiscard]] double per_second(time_point now) const noexcept;
 
 private:
+    /// `m_level` decayed to `now`.
     [[nodiscard]] double decayed(time_point now) const noexcept;
 
-    double m_level = 0;
-    time_point m_updated = time_point::min();
+    double m_level = 0;                       ///< decayed count of events at the time `m_updated`
+    time_point m_updated = time_point::min(); ///< time of the last event; time_point::min(): no event yet
 };
 
 } // namespace borageford::policy
--- a/src/policy/output_pace.cpp
+++ b/src/policy/output_pace.cpp
@@ -1,4 +1,4 @@
-// One weighted average.
+// Implements the estimate as a moving average whose weight depends on the length of each answer.
 #include "policy/output_pace.hpp"
 
 #include <algorithm>
@@ -7,11 +7,14 @@
 
 namespace {
 
-/// Shorter answers are mostly the first event, and what follows is too short to be timed.
+/// Answers with fewer tokens are ignored: nearly all of their time passes before the first event, and the
+/// time after the first event is too short to measure.
 constexpr double least_tokens = 16;
-/// An answer of this many tokens moves the average by `most_weight`.
+/// An answer of this many tokens or more has the full weight `most_weight`; shorter answers have
+/// proportionally less.
 constexpr double telling_tokens = 400;
-/// About the last ten long answers count: a server's pace changes with what else it runs.
+/// Weight of one long answer, so that about the last ten determine the average. A server's time per token
+/// changes with what else it is working on.
 constexpr double most_weight = 0.1;
 
 } // namespace
--- a/src/policy/output_pace.hpp
+++ b/src/policy/output_pace.hpp
@@ -1,23 +1,26 @@
-// How fast one backend server produces an answer once it has begun, learned from what it did.
+// Estimates how fast one backend server generates tokens after the first event of an answer, learned from its
+// finished answers.
 #pragma once
 
 #include "policy/time.hpp"
 
 namespace borageford::policy {
 
-/// Time for one token of output: a moving average over finished answers, in which long ones count for more,
-/// since a few tokens say little.
+/// Moving average of the time per output token over finished answers. Longer answers have more weight,
+/// because a few tokens are too few for a good measurement.
 class output_pace {
 public:
-    /// An answer of so many tokens took this long from its first event to its end.
+    /// Records a finished answer with the number of tokens `tokens`; `took` is the time from its first event
+    /// to its end. Answers that are too short to measure are ignored.
     void learn(double tokens, duration took) noexcept;
 
-    /// Takes another process's word, as long as nothing is known here.
+    /// Takes over a time per token (in seconds) that another process measured. Has no effect once a value is
+    /// known here.
     void adopt(double seconds_per_token) noexcept;
 
-    /// 0 while nothing is known.
+    /// Average time per output token in seconds; 0 if unknown.
     [[nodiscard]] double seconds_per_token() const noexcept { return m_seconds_per_token; }
-    /// Zero while nothing is known.
+    /// The expected time for generating `tokens` tokens; zero if the time per token is unknown.
     [[nodiscard]] duration expect(double tokens) const noexcept;
 
 private:
--- a/src/policy/overload_watch.cpp
+++ b/src/policy/overload_watch.cpp
@@ -1,4 +1,4 @@
-// The age of an overload is its expected rest.
+// Estimates the remaining duration of an overload as the time that it has lasted so far.
 #include "policy/overload_watch.hpp"
 
 #include <algorithm>
@@ -10,14 +10,15 @@
 
 using std::chrono::milliseconds;
 
-/// Without a refusal for this long an overload is over.
+/// An overload is over when no request was refused for this long.
 constexpr milliseconds calm_after{1000};
-/// Sooner, the same queue would still be there.
+/// Lower bound of the retry delay. A request that is retried sooner would find the same queue.
 constexpr milliseconds least_wait{400};
-constexpr milliseconds most_wait{5000};
-/// Callers are spread over this part of the expected time, to both sides.
+constexpr milliseconds most_wait{5000}; ///< upper bound of the retry delay
+/// The random factor on the retry delay lies within 1 +/- this value.
 constexpr double spread = 0.3;
-/// Coming back later than this part of its time, a caller has too little left to be served.
+/// The retry delay is at most this part of the time left until the caller's deadline. A caller that retries
+/// later has too little time left for an answer.
 constexpr double most_of_time_left = 0.33;
 
 } // namespace
--- a/src/policy/overload_watch.hpp
+++ b/src/policy/overload_watch.hpp
@@ -1,4 +1,5 @@
-// How long the requests of one tier have been refused, and what to tell those that are refused now.
+// Tracks for how long the requests of one tier have been refused, and computes the retry delay for refused
+// callers.
 #pragma once
 
 #include "policy/time.hpp"
@@ -7,20 +8,22 @@
 
 namespace borageford::policy {
 
-/// A caller that comes back during the same overload is refused again: it has waited for nothing, and pressed
-/// the servers for nothing. How long an overload lasts nobody knows; one that has lasted for long is expected
-/// to last about as long again. Callers are spread around that time, so that they don't come back together.
+/// A caller that retries during the same overload is refused again: it has waited for nothing and added load
+/// for nothing. The duration of an overload can't be known, but one that has lasted for some time is likely
+/// to last about as long again, so this is the retry delay. The delays are randomised so that the refused
+/// callers don't all retry at the same time.
 class overload_watch {
 public:
+    /// Records that a request was refused.
     void note_refusal(time_point now) noexcept;
 
-    /// When to come back. `time_left` is what the caller still has; `draw` lies in [0, 1) and spreads the
-    /// callers.
+    /// The delay after which a refused caller should retry. `time_left` is the time until the caller's
+    /// deadline; `draw` is a random number in [0, 1) that spreads the callers.
     [[nodiscard]] duration retry_after(duration time_left, double draw, time_point now) const noexcept;
 
 private:
-    time_point m_begin;
-    time_point m_last = time_point::min();
+    time_point m_begin;                    ///< first refusal of the current overload
+    time_point m_last = time_point::min(); ///< latest refusal; time_point::min(): none yet
 };
 
 } // namespace borageford::policy
--- a/src/policy/reading_backlog.cpp
+++ b/src/policy/reading_backlog.cpp
@@ -1,4 +1,5 @@
-// An expected end that each observation may bring forward.
+// Keeps an expected time at which all prompts are processed; each observed first event can only bring it
+// forward.
 #include "policy/reading_backlog.hpp"
 
 #include <algorithm>
--- a/src/policy/reading_backlog.hpp
+++ b/src/policy/reading_backlog.hpp
@@ -1,31 +1,36 @@
-// How long one backend server will be busy with reading prompts that it was given before.
+// Estimates how long one backend server will be busy with processing (reading) the prompts that were sent to
+// it.
 #pragma once
 
 #include "policy/time.hpp"
 
 namespace borageford::policy {
 
-/// A server reads prompts one after the other, so a prompt waits for those before it. What each will take is
-/// an estimate. Added up alone, its errors grow with every request, until servers that begin new answers at
-/// once seem to be seconds behind: requests that could still be in time aren't sent there, and slots stand
-/// empty until something late takes them. A first event tells that its prompt has been read, and all that
-/// were given before it, which ends the error.
+/// A server processes prompts one after the other, so a new prompt waits for all earlier ones. The processing
+/// time of each prompt is only an estimate. If the estimates were just added up, their errors would grow with
+/// every request, until a server that starts new answers at once would appear to be seconds behind. Requests
+/// that could still meet their target would not be sent there, and its slots would stay empty until late
+/// requests take them. A first event proves that its prompt and all earlier prompts have been processed, and
+/// note_read() uses this to discard the accumulated error.
 class reading_backlog {
 public:
-    /// Tells one prompt from those given before and after it.
+    /// Identifies a prompt by its position in the sequence of prompts: the sum of the estimated processing
+    /// times of all prompts up to and including this one.
     using mark = duration;
 
-    /// A prompt was given that will take so long to be read.
+    /// Records that a prompt with the estimated processing time `reading` was sent to the server at `now`.
+    /// Returns the prompt's mark for note_read().
     mark add(duration reading, time_point now) noexcept;
-    /// The prompt with this mark had been read at that time.
+    /// Records that the server had finished processing the prompt with this mark at the time `at`.
     void note_read(mark prompt, time_point at) noexcept;
 
-    /// How long a prompt that is given now would wait.
+    /// The expected wait before the server would start processing a prompt that is sent to it at `now`; zero
+    /// if the server is idle.
     [[nodiscard]] duration wait(time_point now) const noexcept;
 
 private:
-    time_point m_ends;  ///< when all prompts will have been read, as far as is known
-    duration m_given{}; ///< the sum of all prompts' times
+    time_point m_ends;  ///< expected time at which all prompts are processed
+    duration m_given{}; ///< sum of the estimated processing times of all prompts
 };
 
 } // namespace borageford::policy
--- a/src/policy/return_memory.cpp
+++ b/src/policy/return_memory.cpp
@@ -1,4 +1,5 @@
-// A map, and the order in which its entries are forgotten.
+// Implements the history as a map from fingerprints to refusals and a queue of all refusals in order of time,
+// by which old entries are removed.
 #include "policy/return_memory.hpp"
 
 #include <chrono>
@@ -7,7 +8,8 @@
 
 namespace {
 
-/// Callers are told to come back within five seconds at most, and have some time to do so.
+/// How long a refusal is remembered. Callers are told to retry within five seconds at most, and this leaves
+/// them as much time again to do so.
 constexpr std::chrono::seconds lifetime{10};
 constexpr std::size_t most_entries = 20000;
 
--- a/src/policy/return_memory.hpp
+++ b/src/policy/return_memory.hpp
@@ -1,4 +1,4 @@
-// Remembers which requests were refused lately, to know their callers when they come back.
+// Remembers which requests were refused recently, so that a retried request can be recognised.
 #pragma once
 
 #include "policy/time.hpp"
@@ -10,14 +10,20 @@
 
 namespace borageford::policy {
 
-/// A caller that was told to come back sends a new request, at any gateway; only its caller, target and body
-/// are the same. Refusing it again and again would waste its time and everybody's.
+/// A caller whose request was refused sends it again as a new request, possibly through another gateway. The
+/// retry can only be recognised by what stays the same: its caller, target and body, which are hashed into
+/// the fingerprint. Refusing the same request again and again would waste the time of its caller and of the
+/// gateways.
 class return_memory {
 public:
+    /// Records that a request with this fingerprint was refused. The fingerprint 0 (no fingerprint) is
+    /// ignored.
     void note_refused(std::uint64_t fingerprint, time_point now);
-    /// How often a request of this fingerprint was refused lately; 0 for the fingerprint 0.
+    /// How often requests with this fingerprint were refused recently; 0 for the fingerprint 0. Also removes
+    /// expired entries.
     [[nodiscard]] unsigned refusals(std::uint64_t fingerprint, time_point now);
-    /// It was served: what comes later is another request.
+    /// Removes the refusals of this fingerprint. To be called when the request was served: a later request
+    /// with the same fingerprint is a new request, not a retry.
     void forget(std::uint64_t fingerprint) { m_refusals.erase(fingerprint); }
 
 private:
@@ -33,7 +39,7 @@
     void forget_old(time_point now);
 
     std::unordered_map<std::uint64_t, memory> m_refusals;
-    std::deque<noted> m_order; ///< oldest first
+    std::deque<noted> m_order; ///< every recorded refusal, oldest first
 };
 
 } // namespace borageford::policy
--- a/src/policy/rollout_course.cpp
+++ b/src/policy/rollout_course.cpp
@@ -1,4 +1,5 @@
-// Phases only go forward, but for a change of who decides.
+// Implements the phase transitions of a roll-out. A roll-out never returns to an earlier phase, except that
+// it starts again from `waiting` when another process becomes coordinator.
 #include "policy/rollout_course.hpp"
 
 namespace borageford::policy {
@@ -65,7 +66,7 @@
     if (is_time && m_judgement.is_good()) {
         m_phase = rollout_phase::finishing;
     } else if (now >= end()) {
-        m_phase = rollout_phase::rolled_back; // too few answers to trust it
+        m_phase = rollout_phase::rolled_back; // too few answers, or too many bad ones, to accept the version
     }
 }
 
--- a/src/policy/rollout_course.hpp
+++ b/src/policy/rollout_course.hpp
@@ -1,4 +1,5 @@
-// The course of one roll-out: from a few requests for the new version to all, or back to none.
+// The state of one roll-out of a new software version of a service: it starts with a small share of the
+// requests and ends either with all of them (completed) or with none (rolled back).
 #pragma once
 
 #include "policy/rollout_judgement.hpp"
@@ -11,50 +12,71 @@
 
 namespace borageford::policy {
 
+/// Phases of a roll-out, in order.
 enum class rollout_phase : std::uint8_t {
-    waiting,   ///< nobody knows yet what was decided before, or this process decides nothing
-    probing,   ///< the new version gets a small share and is judged
-    finishing, ///< it gets everything new; what the former version works on ends
-    completed, ///< the former version gets nothing any more
-    rolled_back
+    /// This process isn't the coordinator, or hasn't yet read from the store whether the roll-out is already
+    /// over.
+    waiting,
+    /// The canary phase: the new version gets a small share of the requests, and its answers are evaluated.
+    probing,
+    /// The draining phase: the new version gets all new requests, and the previous one finishes its running
+    /// requests.
+    finishing,
+    completed,  ///< the new version gets all requests
+    rolled_back ///< the previous version gets all requests
 };
 
+/// The name of the phase as it is written to the event log.
 [[nodiscard]] std::string_view to_string(rollout_phase phase) noexcept;
 
-/// Two promises shape it. A bad version gets a bounded share of a service's requests, so the new one never
-/// gets more than a small share until it is judged good. And at the end the former servers stop without a
-/// word, so all that they work on has ended before.
+/// A roll-out guarantees two things. A bad version must only get a bounded share of the service's requests,
+/// so the new version gets a small share until it has been accepted. And the operator may stop the servers of
+/// the previous version as soon as the roll-out is completed, so it is only completed when these servers have
+/// finished all of their requests.
 class rollout_course {
 public:
+    /// `to`: the new version; `length`: the time limit that the operator gave for the roll-out, which starts
+    /// at `now`.
     rollout_course(std::string to, duration length, time_point now)
         : m_to(std::move(to)), m_begin(now), m_length(length) {}
 
+    /// The new version.
     [[nodiscard]] const std::string& to() const noexcept { return m_to; }
     [[nodiscard]] rollout_phase phase() const noexcept { return m_phase; }
+    /// The evaluation of the new version's answers.
     [[nodiscard]] const rollout_judgement& judgement() const noexcept { return m_judgement; }
+    /// Whether the roll-out is completed or rolled back.
     [[nodiscard]] bool is_over() const noexcept { return m_phase >= rollout_phase::completed; }
+    /// The end of the time limit.
     [[nodiscard]] time_point end() const noexcept { return m_begin + m_length; }
 
-    /// This process decides, and no final word stands in the store.
+    /// Starts the canary phase if the roll-out is waiting. To be called when this process is the coordinator
+    /// and the store has no final state of this roll-out.
     void begin() noexcept;
-    /// Another process decides.
+    /// Goes back to `waiting` unless the roll-out is over. To be called when this process isn't the
+    /// coordinator.
     void pause() noexcept;
-    /// The store has a final word.
+    /// Sets the final phase that was read from the store.
     void adopt(rollout_phase final_word) noexcept { m_phase = final_word; }
 
-    /// A request was given to a server of one or the other version.
+    /// Records that a request was sent to a server of the new version (`is_next`) or of the previous one.
     void record_grant(bool is_next) noexcept;
+    /// Records the result of a request at a server of the new version (`is_next`) or of the previous one.
     void record_answer(bool is_next, const version_answer& answer);
-    /// Whether the new version may be given one more request now.
+    /// Whether the new version may get one more request without exceeding its share in the canary phase.
     [[nodiscard]] bool has_room_for_next() const noexcept;
 
-    /// Goes on to the next phase where it is time. `is_former_idle`: the former version works on nothing.
+    /// Enters the next phase if its conditions are met. `is_former_idle`: the servers of the previous version
+    /// have no running requests.
     void advance(bool is_former_idle, time_point now);
 
 private:
-    /// Half of what is allowed, since who decides may change on the way and count anew.
+    /// The new version's share of the requests in the canary phase: half of the share that is allowed. When
+    /// another process becomes coordinator during the canary phase, it starts counting from zero, and the new
+    /// version can get this share once more.
     static constexpr double probing_share = 0.05;
-    /// Of the time that the operator gives: the rest is for what the former version still works on.
+    /// The new version can be accepted after this part of the time limit. The remaining time is for the
+    /// previous version's running requests to finish.
     static constexpr double judged_after = 0.4;
 
     std::string m_to;
@@ -62,8 +84,8 @@
     duration m_length;
     rollout_phase m_phase = rollout_phase::waiting;
     rollout_judgement m_judgement;
-    std::size_t m_granted = 0; ///< to both versions
-    std::size_t m_granted_next = 0;
+    std::size_t m_granted = 0;      ///< requests sent to either version
+    std::size_t m_granted_next = 0; ///< requests sent to the new version
 };
 
 } // namespace borageford::policy
--- a/src/policy/rollout_judgement.cpp
+++ b/src/policy/rollout_judgement.cpp
@@ -1,4 +1,4 @@
-// A cumulative sum of log-likelihood ratios.
+// Implements a cumulative sum (CUSUM) test: each answer of the new version adds its log-likelihood ratio.
 #include "policy/rollout_judgement.hpp"
 
 #include <algorithm>
@@ -8,15 +8,20 @@
 
 namespace {
 
-/// An answer counts as slow from so many times the former version's mean on.
+/// An answer is slow if it takes more than this many times the previous version's mean time.
 constexpr double slow_factor = 3;
-/// Until then nothing is known of how long answers take.
+/// No answer counts as slow before this many times of the previous version have been measured; the mean of
+/// fewer times is too uncertain.
 constexpr std::size_t least_timed = 20;
-/// Answers that the former version is assumed to have given well before any was seen.
+/// Number of good answers that are added to the previous version's counted answers (a prior), so that a few
+/// bad answers at the start don't give it a large share of bad answers.
 constexpr double assumed_good = 20;
+/// Bounds of the previous version's estimated share of bad answers. Neither a share of 0 nor one of 1 has a
+/// finite log-likelihood ratio.
 constexpr double least_share = 0.01;
 constexpr double most_share = 0.9;
-/// A version is worse if its share of bad answers is that of the former one, and as much more as this.
+/// The alternative hypothesis of the test: a worse version's share of bad answers is that of the previous
+/// version times `worse_factor`, plus `worse_by`.
 constexpr double worse_by = 0.1;
 constexpr double worse_factor = 1.5;
 
--- a/src/policy/rollout_judgement.hpp
+++ b/src/policy/rollout_judgement.hpp
@@ -1,4 +1,4 @@
-// Whether a new version of a service's software is worse than the one before it.
+// Tests statistically whether a new version of a service's software is worse than the previous one.
 #pragma once
 
 #include "policy/time.hpp"
@@ -7,44 +7,56 @@
 
 namespace borageford::policy {
 
-/// What became of one request at a server.
+/// The result of one request at a server.
 struct version_answer {
     bool has_failed = false;
-    duration time{}; ///< to its first event, or to its end where there are none
+    duration time{}; ///< until its first event, or until its end if it had no events
 };
 
-/// Compares the new version's answers with those of the former one in the same minutes, so that a burst or a
-/// service that fails a part of its requests by itself doesn't condemn it. Each answer moves a sum by how
-/// much likelier it is of a version that is worse than of one that isn't; the sum is never below zero, so
-/// that a version that turns bad after a good beginning is seen as soon as one that is bad from the start.
+/// Compares the new version's answers with those that the previous version gives during the same time. A
+/// burst of load, or a service that always fails some of its requests, affects both versions alike and
+/// therefore doesn't count against the new one.
+///
+/// The test is a cumulative sum (CUSUM): each answer of the new version adds the logarithm of how much more
+/// likely it is from a worse version than from one that is as good as the previous one. The sum is never
+/// negative, so good answers at the beginning can't delay the rejection of a version that turns bad later.
 class rollout_judgement {
 public:
+    /// Records an answer of the previous version.
     void record_former(const version_answer& answer);
+    /// Records an answer of the new version.
     void record_next(const version_answer& answer);
 
-    /// Answers of the new version that were judged.
+    /// Number of recorded answers of the new version.
     [[nodiscard]] std::size_t seen() const noexcept { return m_next; }
+    /// Number of the new version's answers that failed or were slow.
     [[nodiscard]] std::size_t bad() const noexcept { return m_next_bad; }
+    /// Whether the new version is rejected.
     [[nodiscard]] bool is_bad() const noexcept { return m_suspicion >= certain; }
-    /// Nothing speaks against it, and enough answers were seen.
+    /// Whether the new version is accepted: enough answers were recorded, and the cumulative sum is low.
     [[nodiscard]] bool is_good() const noexcept { return m_next >= enough && m_suspicion < slight; }
 
 private:
-    /// Of the sum: at a thousand to one a good version is hardly ever condemned within some thousand answers.
+    /// A cumulative sum of this value or more rejects the new version. The value, a likelihood ratio of more
+    /// than a thousand to one, is so high that a good version is hardly ever rejected within several thousand
+    /// answers.
     static constexpr double certain = 8;
+    /// The new version can only be accepted while the cumulative sum is below this value.
     static constexpr double slight = 2;
+    /// Number of the new version's answers that are needed to accept it.
     static constexpr std::size_t enough = 60;
 
     [[nodiscard]] bool is_slow(const version_answer& answer) const;
+    /// The estimated share of bad answers of the previous version.
     [[nodiscard]] double former_share() const;
 
-    std::size_t m_former = 0;
-    std::size_t m_former_bad = 0;
-    std::size_t m_former_timed = 0;
-    double m_former_seconds = 0; ///< of all timed ones
-    std::size_t m_next = 0;
-    std::size_t m_next_bad = 0;
-    double m_suspicion = 0;
+    std::size_t m_former = 0;       ///< answers of the previous version
+    std::size_t m_former_bad = 0;   ///< failed or slow answers of the previous version
+    std::size_t m_former_timed = 0; ///< successful answers of the previous version, whose times were measured
+    double m_former_seconds = 0;    ///< sum of the measured times of the previous version
+    std::size_t m_next = 0;         ///< answers of the new version
+    std::size_t m_next_bad = 0;     ///< failed or slow answers of the new version
+    double m_suspicion = 0;         ///< cumulative sum of log-likelihood ratios, at least 0
 };
 
 } // namespace borageford::policy
--- a/src/policy/server_health.cpp
+++ b/src/policy/server_health.cpp
@@ -1,4 +1,4 @@
-// Rests that grow, and one request to end them.
+// Implements cooldowns whose length doubles with each further failure, and which a single probe request ends.
 #include "policy/server_health.hpp"
 
 #include <algorithm>
@@ -10,16 +10,19 @@
 
 using std::chrono::milliseconds;
 
-/// Failures in a row after which a server rests; one alone may be the request's own fault.
+/// Consecutive failures after which a server's cooldown starts. A single failure may be caused by the request
+/// itself.
 constexpr unsigned tolerated_failures = 3;
-/// A refused or silent connection, or another server's answer, says more than a failed request: the server
-/// isn't there. One that crashes and starts anew at its address refuses at once whatever is sent to its
-/// former life, and so always has free slots: until its new registration is known it would take request after
-/// request, each of which counts as a repeat.
+/// The same limit for failures which show that the server isn't there: its connection was refused or timed
+/// out, or another server answered at its address. A server that crashed and started again at its address
+/// rejects everything that is sent to the start before the crash, so that start always appears to have free
+/// slots. Until the new start's registration is known, it would draw one request after the other, and each of
+/// them would count as a retry.
 constexpr unsigned tolerated_when_gone = 1;
-constexpr milliseconds first_rest{150};
-constexpr unsigned most_doublings = 4;
-/// Weight of the newest request in the share of failures: about the last twenty count.
+constexpr milliseconds first_rest{150}; ///< length of the first cooldown
+constexpr unsigned most_doublings = 4;  ///< so that the longest cooldown is 2.4 s
+/// Weight of the newest request in the moving average of failures, so that about the last twenty requests
+/// determine it.
 constexpr double newest_weight = 0.05;
 
 } // namespace
@@ -41,8 +44,8 @@
     case slot_outcome::replaced:
     case slot_outcome::unreachable:
         return record_failure(true, now);
-    case slot_outcome::refused:   // full: says nothing of failures
-    case slot_outcome::abandoned: // the caller's doing
+    case slot_outcome::refused:   // the server was full, which isn't a failure
+    case slot_outcome::abandoned: // ended by the caller or its deadline, not by the server
         break;
     }
     return change::none;
--- a/src/policy/server_health.hpp
+++ b/src/policy/server_health.hpp
@@ -1,4 +1,4 @@
-// How far a backend server can be trusted with work, judged by what requests met there.
+// Decides whether a backend server may get requests, by the outcomes of its recent requests.
 #pragma once
 
 #include "policy/slot_request.hpp"
@@ -7,41 +7,48 @@
 
 namespace borageford::policy {
 
-/// A server that fails answers fast, so a scheduler that looks at free slots alone gives it ever more
-/// requests, until a few crashed servers take nearly all of a service. After failures a server is left alone
-/// for a while, that doubles with each further one, and comes back with one request at a time.
+/// A server that fails requests often fails them quickly, so it has free slots most of the time. A scheduler
+/// that only looks at free slots sends it more and more requests, until a few crashed servers fail nearly all
+/// requests of a service. Therefore a server that failed gets no requests during a cooldown, whose length
+/// doubles with each further failure. After the cooldown, it gets one probe request at a time until one
+/// succeeds.
 ///
-/// Health checks aren't asked: they cost a slot, and a server can pass them and fail requests, or the
-/// reverse.
+/// Health checks aren't used: each one occupies a slot, and a server can pass them and still fail requests,
+/// or the other way round.
 class server_health {
 public:
-    /// How much may be sent to the server now.
+    /// What may be sent to the server now.
     enum class trust {
-        full,
-        probe, ///< one request at a time
-        none
+        full,  ///< as many requests as it has slots for
+        probe, ///< one request at a time, until one succeeds
+        none   ///< nothing, because its cooldown isn't over
     };
 
+    /// What may be sent to the server at `now`.
     [[nodiscard]] trust look(time_point now) const;
 
-    /// What a request's end has changed.
+    /// The effect of a request's outcome: a cooldown has started (`rests`), or the server is healthy again
+    /// after one (`recovered`).
     enum class change { none, rests, recovered };
 
-    /// A request ended.
+    /// Records the outcome of a request.
     change record(slot_outcome outcome, time_point now);
 
-    /// What another process has met there. Its own success after that says more, and then nothing changes.
+    /// Takes over a cooldown that another process observed: the time of the server's last failure, the end of
+    /// the cooldown, and the number of cooldowns since its last success. Has no effect if `rests` is 0, or if
+    /// a request succeeded here after that failure.
     void adopt(time_point failed, time_point rests_until, unsigned rests) noexcept;
 
-    /// When a request failed there last; the clock's minimum when none did.
+    /// Time of the last failed request; time_point::min() if none has failed.
     [[nodiscard]] time_point last_failure() const noexcept { return m_last_failure; }
-    /// Rests that it has taken since it served a request.
+    /// Number of cooldowns since the last successful request.
     [[nodiscard]] unsigned rests() const noexcept { return m_rests; }
-    /// When its rest ends.
+    /// End of the current or last cooldown; time_point::min() if there was none.
     [[nodiscard]] time_point rests_until() const noexcept { return m_rests_until; }
+    /// Number of failures since the last successful request.
     [[nodiscard]] unsigned failures_in_row() const noexcept { return m_failures_in_row; }
 
-    /// Share of failures among the latest requests, 0 to 1.
+    /// Moving average of the share of failed requests, 0 to 1.
     [[nodiscard]] double failure_share() const noexcept { return m_failure_share; }
 
 private:
@@ -50,11 +57,11 @@
 
     double m_failure_share = 0;
     unsigned m_failures_in_row = 0;
-    unsigned m_rests = 0; ///< taken since the last success
+    unsigned m_rests = 0; ///< cooldowns since the last success
     time_point m_rests_until = time_point::min();
     time_point m_last_success = time_point::min();
     time_point m_last_failure = time_point::min();
-    bool m_is_probing = false;
+    bool m_is_probing = false; ///< no request has succeeded since the last cooldown began
 };
 
 } // namespace borageford::policy
--- a/src/policy/server_report.hpp
+++ b/src/policy/server_report.hpp
@@ -1,21 +1,22 @@
-// What one process has seen of one backend server, in the form that it tells to another process.
+// What one process has learned about one backend server, as it is sent to another process.
 #pragma once
 
 #include "policy/slot_request.hpp"
 
 namespace borageford::policy {
 
-/// Told by server key, so a server that starts anew inherits nothing. Numbers that aren't known are 0.
+/// A report is assigned to a server by the server's key. A server that starts again has a new key, so reports
+/// on its previous start don't apply to it. Values that aren't known are 0, unless stated otherwise.
 struct server_report {
     server_key server = 0;
-    duration failed_ago = duration::max(); ///< since a request failed there last; max(): not lately
-    duration rest_left{};                  ///< until it is tried again
-    unsigned rests = 0;                    ///< taken since it served a request last
-    double first_event_ms = 0;             ///< of an empty prompt
-    double first_event_ms_per_token = 0;   ///< for each token of a prompt
-    unsigned first_events = 0;             ///< that these two were learned from
-    double seconds_per_token = 0;          ///< of output
-    double seconds_between_ends = 0;       ///< of its requests, while all of its slots are taken
+    duration failed_ago = duration::max(); ///< time since the last failed request; max(): none failed
+    duration rest_left{};                  ///< time until the server's cooldown ends
+    unsigned rests = 0;                    ///< cooldowns since the last successful request
+    double first_event_ms = 0;             ///< time to the first event of an empty prompt
+    double first_event_ms_per_token = 0;   ///< additional time for each token of the prompt
+    unsigned first_events = 0;       ///< number of requests from which the two values above were learned
+    double seconds_per_token = 0;    ///< time per output token
+    double seconds_between_ends = 0; ///< time between the ends of two requests while all slots are in use
 };
 
 } // namespace borageford::policy
--- a/src/policy/server_starts.cpp
+++ b/src/policy/server_starts.cpp
@@ -1,11 +1,12 @@
-// The present start of each id, and a bounded list of former ones.
+// Implements the tracker with a map of current starts and a bounded list of superseded ones.
 #include "policy/server_starts.hpp"
 
 namespace borageford::policy {
 
 namespace {
 
-/// 1,300 servers that all start three times within the time that an entry may be on its way; 0.4 MB.
+/// Maximum number of superseded starts that are remembered, about 0.4 MB. Enough for 1,300 servers that all
+/// start three times before a delayed registration of an earlier start arrives.
 constexpr std::size_t most_superseded = 4096;
 
 } // namespace
@@ -38,7 +39,7 @@
 
 void server_starts::supersede(std::string_view id, std::uint64_t start) {
     if (start == 0) {
-        return; // many starts go without a name; the next of them isn't a former one
+        return; // 0 stands for any start that isn't stated, so it can't be recognised as a previous one
     }
     m_order.emplace_back(id, start);
     m_superseded.insert(m_order.back());
--- a/src/policy/server_starts.hpp
+++ b/src/policy/server_starts.hpp
@@ -1,4 +1,4 @@
-// Which start of each backend server is the present one.
+// Tracks which start (process incarnation) of each backend server is the current one.
 #pragma once
 
 #include <cstddef>
@@ -12,25 +12,30 @@
 
 namespace borageford::policy {
 
-/// A server that crashes may start again under its old id, and what its former start wrote may be stored
-/// after the first word of the new one. Taken for news it would bring a dead start back: its connections
-/// hang, and requests wait there until their callers leave. The time that a start names can't tell which is
-/// later, since clocks step; so the order of the entries decides, and a start that was followed by another
-/// never returns.
+/// A server that crashed may start again under the same id, and a delayed registration row of the start
+/// before the crash may be stored after the first row of the new start. If this old row were applied,
+/// requests would be sent to a process that no longer exists: their connections would hang until their
+/// callers leave. The start times in the rows can't tell which start is later, since clocks are stepped.
+/// Therefore the order of the rows decides: a start that was followed by another one is superseded and never
+/// becomes current again.
 class server_starts {
 public:
+    /// How a registration row relates to the known starts of its server.
     enum class verdict : std::uint8_t {
-        first,      ///< nothing was known of the id
-        same,       ///< the start that is known
-        restarted,  ///< another start than the one that was known
-        superseded, ///< one that was followed by another: changes nothing
-        untold,     ///< names no start, though the id has named one: not the server's own word
+        first,      ///< no start of the id was known
+        same,       ///< names the current start
+        restarted,  ///< names a new start, which is the current one from now on
+        superseded, ///< names a start that was followed by another one; the current start stays
+        /// Names no start although earlier rows of the id did, so the server itself can't have written this
+        /// row.
+        untold,
     };
 
-    /// Takes the start that an entry of the id names; 0: none.
+    /// Records the start that a registration row of the server `id` names; 0 if the row names none.
     verdict take(std::string_view id, std::uint64_t start);
 
-    /// The id is registered no more. What it was before stays superseded.
+    /// Removes the current start of an id that is no longer registered. Its superseded starts stay
+    /// superseded.
     void forget(std::string_view id);
 
 private:
@@ -38,9 +43,9 @@
 
     void supersede(std::string_view id, std::uint64_t start);
 
-    std::map<std::string, std::uint64_t, std::less<>> m_present;
+    std::map<std::string, std::uint64_t, std::less<>> m_present; ///< the current start of each id
     std::set<named_start> m_superseded;
-    std::deque<named_start> m_order; ///< of m_superseded, the oldest first
+    std::deque<named_start> m_order; ///< the entries of m_superseded, oldest first
 };
 
 } // namespace borageford::policy
