--- a/src/policy/slot_choice.cpp
+++ b/src/policy/slot_choice.cpp
@@ -1,4 +1,5 @@
-// The soonest first event, among servers that end the answer in its caller's time.
+// Chooses the server with the earliest expected first event among those that can finish the answer before the
+// caller's deadline.
 #include "policy/slot_choice.hpp"
 
 #include <algorithm>
@@ -10,16 +11,17 @@
 
 namespace {
 
-/// A server that overruns by so much more than the best one isn't taken while there is time to wait for a
-/// better.
+/// While a request can wait for a better server, it isn't sent to one where its answer is expected to exceed
+/// the deadline by this much more than on the best server.
 constexpr std::chrono::milliseconds tolerated_overrun{1500};
-/// A server in the request's own failure domain is taken before one elsewhere that would begin sooner by no
-/// more than this part of the request's target: less than a caller notices, and less than the difference
-/// between engines of unlike speed. Bytes between failure domains are paid for, and prompts are long.
+/// A server in the request's own failure domain is preferred to a server elsewhere that is expected to send
+/// the first event earlier by at most this part of the request's target. That is less than a caller notices,
+/// and less than the difference between slow and fast engines. Traffic between failure domains is charged by
+/// the byte, and prompts are long.
 constexpr double target_share_for_near = 0.05;
 
-/// Whether a server that hasn't failed the request takes work, busy or not. Where there is none, one that has
-/// failed it is better than no answer.
+/// Whether any server that hasn't failed this request takes work, even if it is busy. If none does, it is
+/// better to send the request to a server that failed it than to none.
 bool has_fresh_server(const slot_request& request, const slot_choice_terms& terms) {
     return std::ranges::any_of(terms.all, [&](const auto* server) {
         return !has_failed(request, server->key) &&
@@ -27,7 +29,9 @@
     });
 }
 
-/// A little more than on the best of some servers of the service, free or not.
+/// The largest expected overrun (time past the deadline) with which a server is accepted: that of the best
+/// considered server of the service, busy or not, plus `tolerated_overrun`. No limit for a request in the
+/// queue of late requests.
 duration bearable_overrun(const slot_request& request, const slot_choice_terms& terms) {
     if (!terms.is_in_time || terms.all.empty()) {
         return duration::max();
@@ -50,13 +54,14 @@
         all, [&](const auto* server) { return server->first_event.expect(request.cost.prompt) <= left; });
 }
 
-/// The server that is expected to bring the first event soonest, among those with room; for a request that
-/// can still be in time, only one that is fast enough. Long prompts thus wait for a fast server instead of
-/// holding up a slow one, where every stream beside them would pause.
+/// Among the servers with room, the one with the smallest overrun wins; among equals, the one with the
+/// earliest expected first event. A request that can still meet its target is only sent to a server that is
+/// fast enough for it. So long prompts wait for a fast server instead of blocking a slow one, where they
+/// would stall all streams that run there.
 ///
-/// An answer that would outlast its caller's time goes where it overruns least. Engines differ threefold in
-/// pace too: a slow one would hold the longest answers for all of their callers' time, and then they are
-/// thrown away, while a fast one would have ended many of them.
+/// The overrun is compared first because engines also differ by up to a factor of three in time per output
+/// token. A slow engine would work on the longest answers until their deadlines and then discard them,
+/// whereas a fast engine would finish many of them.
 slot_server* choose_server(const slot_request& request, const slot_choice_terms& terms) {
     const bool avoids = request.avoided.front() != 0 && has_fresh_server(request, terms);
     const auto left = request.arrived + request.target - terms.now;
--- a/src/policy/slot_choice.hpp
+++ b/src/policy/slot_choice.hpp
@@ -1,4 +1,4 @@
-// Which of the servers with room a request gets.
+// Chooses a backend server for a request among those that have room for it.
 #pragma once
 
 #include "policy/slot_server.hpp"
@@ -10,21 +10,23 @@
 
 using slot_servers = std::span<slot_server* const>;
 
-/// Servers that a choice is made among. The best of many is hardly better than the best of these; and a
-/// process that looks at thousands for each waiting request never catches up after all gateways were killed.
+/// Maximum number of servers that are compared for one request. The best of many servers is hardly better
+/// than the best of this many. A process that compares thousands of servers for each waiting request can't
+/// work off the queue that forms after all gateways were killed.
 inline constexpr std::size_t most_considered = 64;
 
-/// Whether some server could bring the request's first event in time, free or not.
+/// Whether some server, busy or not, could send the request's first event within its target.
 [[nodiscard]] bool can_be_in_time(const slot_request& request, slot_servers all, time_point now);
 
+/// The servers and the queue that choose_server() takes into account.
 struct slot_choice_terms {
-    slot_servers open;      ///< with room
-    slot_servers all;       ///< of the service, busy ones too
-    bool is_in_time = true; ///< it waits among those that can still be in time
+    slot_servers open;      ///< servers with room
+    slot_servers all;       ///< all servers of the service, including busy ones
+    bool is_in_time = true; ///< the request waits in the queue of requests that can still meet their target
     time_point now;
 };
 
-/// Null when it is better to wait.
+/// Chooses the server for a request; nullptr if the request should wait for a better one.
 [[nodiscard]] slot_server* choose_server(const slot_request& request, const slot_choice_terms& terms);
 
 } // namespace borageford::policy
--- a/src/policy/slot_floor.cpp
+++ b/src/policy/slot_floor.cpp
@@ -1,4 +1,4 @@
-// Running requests, averaged over the last seconds.
+// Measures each tier's slot time as its number of running requests, averaged over the last seconds.
 #include "policy/slot_floor.hpp"
 
 #include <algorithm>
@@ -8,12 +8,12 @@
 
 namespace {
 
-/// A request of the dearest kinds takes one to three seconds; over a shorter time each would look like a
-/// share of everything, over a longer one a tier that had its floor before a burst would go without for all
-/// of it.
+/// Time constant of the average. The most expensive requests take one to three seconds. With a shorter time,
+/// each of them would look like all of the slot time; with a longer one, a tier that had its minimum share
+/// before a burst would get nothing during the whole burst.
 constexpr double memory_seconds = 2;
-/// What a tier may take at once, in times of its floor: enough to catch up within the memory, and not so much
-/// that the others are pushed out together.
+/// Maximum number of slots that a tier may be granted at once, as a multiple of its minimum share: enough to
+/// catch up within the averaging time, but not enough to displace all other tiers together.
 constexpr double most_at_once = 2;
 
 } // namespace
--- a/src/policy/slot_floor.hpp
+++ b/src/policy/slot_floor.hpp
@@ -1,4 +1,4 @@
-// Which tiers of a service are owed slots before all others, so that none starves.
+// Guarantees each tier of a service a minimum share of the slot time, so that no tier starves.
 #pragma once
 
 #include "policy/time.hpp"
@@ -8,46 +8,53 @@
 
 namespace borageford::policy {
 
+/// The sizes of the guaranteed minimum shares.
 struct slot_floor_limits {
-    /// Share of a service's slot time that a waiting tier gets before all others.
+    /// Minimum share of a service's slot time of each tier that has waiting requests. A tier below its
+    /// minimum is granted slots before all other tiers.
     double share = 0.08;
-    /// Of all tiers below the highest together: the rest stays in the order of tiers, however many there are.
+    /// Upper bound of the sum of the minimum shares of all tiers below the highest. The remaining slot time
+    /// is granted strictly in the order of tiers, however many tiers there are.
     double share_of_all = 0.25;
 };
 
-/// In strict order of tiers a lower one gets what the higher ones leave, and under lasting load that is
-/// nothing, although its requests may be cheap: tags wait for drafts that take ten times as long, and their
-/// callers are refused for hardly any gain to others. A floor in counts would let dear requests take as many
-/// slots; so it is one of slot time.
+/// If slots were granted strictly in the order of tiers, a lower tier would only get what the higher tiers
+/// leave, which is nothing under sustained load. Its requests may be cheap: for example, short tagging
+/// requests would wait for drafts that take ten times as long, and refusing their callers would hardly help
+/// the higher tiers. The minimum is a share of slot time and not of the number of requests, since with a
+/// share of the number, expensive requests of a low tier would occupy far more than that share of the slots.
 ///
-/// Invariant: a tier's running requests are those begun and not ended.
+/// Invariant: a tier's running requests are those that were begun and not yet ended.
 class slot_floor {
 public:
     explicit slot_floor(slot_floor_limits limits) : m_limits(limits) {}
 
-    /// A request of this tier got a slot, or left it.
+    /// A request of this tier was granted a slot.
     void begin(int tier, time_point now);
+    /// A request of this tier released its slot.
     void end(int tier, time_point now);
 
-    /// Slots that a tier which waits may be given now before all others; `floors`: tiers below the highest
-    /// that wait.
+    /// Number of slots that a tier with waiting requests may be granted now before all other tiers. `floors`
+    /// is the number of tiers below the highest that have waiting requests.
     [[nodiscard]] std::size_t owed(int tier, std::size_t floors, time_point now);
 
-    /// Share of the slot time that was given lately, 0 to 1.
+    /// The tier's share of the slot time of the last seconds, 0 to 1.
     [[nodiscard]] double share(int tier, time_point now);
 
 private:
     struct tier_use {
-        std::size_t running = 0;
-        double recent = 0; ///< slots in use, averaged over the time before
+        std::size_t running = 0; ///< requests in slots now
+        double recent = 0;       ///< moving average of `running`
     };
 
+    /// Updates the moving averages to `now`.
     void advance(time_point now);
+    /// Running requests of all tiers.
     [[nodiscard]] std::size_t running() const;
 
     slot_floor_limits m_limits;
     std::map<int, tier_use> m_tiers;
-    time_point m_updated = time_point::min();
+    time_point m_updated = time_point::min(); ///< time of the last advance(); time_point::min(): never
 };
 
 } // namespace borageford::policy
--- a/src/policy/slot_request.cpp
+++ b/src/policy/slot_request.cpp
@@ -1,4 +1,4 @@
-// Names of reasons and outcomes, as logs and metrics show them.
+// The names of refusal reasons and slot outcomes, as they appear in logs and metrics.
 #include "policy/slot_request.hpp"
 
 #include "base/hash.hpp"
--- a/src/policy/slot_request.hpp
+++ b/src/policy/slot_request.hpp
@@ -1,4 +1,4 @@
-// What a decision about a slot knows of a request, a server, and how a slot was left.
+// The data types for scheduling slots: requests, grants, refusals and releases.
 #pragma once
 
 #include "policy/time.hpp"
@@ -11,95 +11,101 @@
 
 namespace borageford::policy {
 
-/// Hashes of names: decisions compare them, and they travel in a fixed size. 0 stands for none.
+/// Hashes of names. Hashes are compared quickly and have a fixed size in messages. 0 means none.
 using server_key = std::uint64_t;
 using service_key = std::uint64_t;
 using workspace_key = std::uint64_t;
-using domain_key = std::uint32_t; ///< of a failure domain
+using domain_key = std::uint32_t; ///< hash of a failure domain's name
 
-/// The key of a failure domain by its name; 0 for none.
+/// The key of the failure domain with this name; 0 for an empty name.
 [[nodiscard]] domain_key domain_key_of(std::string_view name) noexcept;
 
-/// Names a request that waits for a slot; unique where it is decided about.
+/// The id of a slot request, unique within the coordinator that decides on it.
 using slot_ticket = std::uint64_t;
 
-/// Tiers of workspaces, and of routes, that are told apart.
+/// Number of distinct tiers of workspaces, and of routes. Higher tier numbers count as the lowest tier.
 inline constexpr int most_tiers = 8;
 
-/// A workspace's own tier goes first; among workspaces of one tier the route's decides. 0 is the highest.
+/// Combines the tiers of a workspace and a route into one: the workspace's tier takes precedence, and the
+/// route's tier orders requests of workspaces in the same tier. 0 is the highest tier.
 [[nodiscard]] constexpr int combine_tiers(int of_workspace, int of_route) noexcept {
     return std::clamp(of_workspace, 0, most_tiers - 1) * most_tiers + std::clamp(of_route, 0, most_tiers - 1);
 }
 
-/// The route's part of a combined tier: the rank of a request among those of its own workspace.
+/// The route's tier in a combined tier, which ranks a request among those of its own workspace.
 [[nodiscard]] constexpr int rank_in_workspace(int tier) noexcept {
     return tier % most_tiers;
 }
 
-/// What a request is expected to cost a model engine; both 0 for a call to a plain service.
+/// Expected cost of a request for a model engine, in tokens. Both values are 0 for a call to a service that
+/// isn't a model engine.
 struct token_cost {
     double prompt = 0;
     double output = 0;
 };
 
+/// A request that needs a slot of a backend server.
 struct slot_request {
-    static constexpr std::size_t most_avoided = 2;
+    static constexpr std::size_t most_avoided = 2; ///< capacity of `avoided`
 
     slot_ticket ticket = 0;
     service_key service = 0;
     workspace_key workspace = 0;
-    domain_key domain = 0; ///< of the process that has the request
+    domain_key domain = 0; ///< failure domain of the process that holds the request; 0: unknown
     int tier = 0;          ///< 0 is the highest
-    time_point arrived;
-    time_point deadline; ///< its caller's time is over
-    duration target{};   ///< to the first event, or to the whole answer
+    time_point arrived;    ///< when the request arrived at its gateway
+    time_point deadline;   ///< when the caller stops waiting for the answer
+    duration target{}; ///< target for the time from the arrival to the first event, or to the complete answer
     token_cost cost;
-    std::uint64_t fingerprint = 0; ///< of caller, target and body; 0: none
-    double units = 0;              ///< of its workspace's allowance
-    bool is_charged = false;       ///< its units were taken before
-    unsigned sends = 0;            ///< servers that it was sent to before
-    unsigned returns = 0;          ///< times that its caller was refused before and came back
-    /// Servers that have failed this request.
+    std::uint64_t fingerprint = 0; ///< hash of caller, target and body; 0: none
+    double units = 0;              ///< cost in units of its workspace's quota
+    bool is_charged = false;       ///< its units were already subtracted from the quota
+    unsigned sends = 0;            ///< number of servers that it was already sent to
+    unsigned returns = 0;          ///< number of times that it was refused before and retried by its caller
+    /// Servers that failed this request; 0 in unused places.
     std::array<server_key, most_avoided> avoided{};
 };
 
+/// Grants a slot of a server to a request.
 struct slot_grant {
     slot_ticket ticket = 0;
     server_key server = 0;
 };
 
-/// Why a request gets no slot.
+/// Why a request is refused a slot.
 enum class refusal_reason : std::uint8_t {
-    overloaded,        ///< it can't be served in time
-    over_allowance,    ///< its workspace has used up its allowance
-    over_retry_budget, ///< too many requests are being sent again
-    held_back          ///< servers crashed while they ran it
+    overloaded,        ///< it can't be served within the maximum wait
+    over_allowance,    ///< its workspace has used up its quota
+    over_retry_budget, ///< too many requests of its service are being retried
+    held_back          ///< it is quarantined because servers crashed while they ran it
 };
 
 [[nodiscard]] std::string_view to_string(refusal_reason reason) noexcept;
 
+/// The refusal of a slot request.
 struct slot_refusal {
     slot_ticket ticket = 0;
     refusal_reason reason = refusal_reason::overloaded;
-    duration retry_after{};
-    /// What decided, for the log of the process that decided: seconds of waiting (overloaded), units
-    /// (over_allowance), repeats in a window (over_retry_budget). Doesn't travel.
+    duration retry_after{}; ///< delay after which the caller should retry
+    /// The two values that were compared for the decision, for the coordinator's own log: seconds of waiting
+    /// (overloaded), units of the quota (over_allowance) or retries in a window (over_retry_budget). They
+    /// aren't sent to other processes.
     double needed = 0;
     double available = 0;
 };
 
-/// How a request left its slot.
+/// How a request at a backend server ended.
 enum class slot_outcome : std::uint8_t {
     served,
-    failed,      ///< an answer came that is no success
-    broken,      ///< its connection ended, or what came was no answer
-    refused,     ///< the server didn't run it
-    unreachable, ///< no connection
-    abandoned,   ///< its caller left, or its time was over
-    replaced,    ///< another server answers at its address: it is gone, or has started anew
+    failed,      ///< the server sent an answer that reports an error
+    broken,      ///< the connection broke, or the data received was no valid answer
+    refused,     ///< the server declined the request without running it
+    unreachable, ///< no connection could be opened
+    abandoned,   ///< the caller left, or the deadline passed
+    replaced,    ///< another server answers at its address, so the server is gone or has restarted
 };
 
-/// Whether a request that left its slot so is certain not to have run there.
+/// Whether this outcome proves that the server didn't run the request.
 [[nodiscard]] constexpr bool has_not_run(slot_outcome outcome) noexcept {
     return outcome == slot_outcome::refused || outcome == slot_outcome::replaced ||
            outcome == slot_outcome::unreachable;
@@ -107,13 +113,14 @@
 
 [[nodiscard]] std::string_view to_string(slot_outcome outcome) noexcept;
 
+/// Reports that a request ended and released its slot.
 struct slot_release {
     slot_ticket ticket = 0;
     server_key server = 0;
     slot_outcome outcome = slot_outcome::served;
-    duration busy{};        ///< from its start to its end
-    duration first_event{}; ///< from its start to its first event; 0: none came
-    double output = 0;      ///< tokens that it made there, as far as its events tell
+    duration busy{};        ///< time from the request's start to its end
+    duration first_event{}; ///< time from the request's start to its first event; 0: no event was received
+    double output = 0;      ///< output tokens, as far as they can be counted from the events
 };
 
 } // namespace borageford::policy
--- a/src/policy/slot_scheduler.cpp
+++ b/src/policy/slot_scheduler.cpp
@@ -1,4 +1,4 @@
-// Tiers in order; within one, what can still be in time goes first.
+// Implements the queues, the limits on a server's outstanding requests, and the granting of slots.
 #include "policy/slot_scheduler.hpp"
 
 #include "policy/random_sequence.hpp"
@@ -13,26 +13,30 @@
 
 namespace {
 
-/// Part of its target that a request waits for a server that is fast enough for it.
+/// Part of its target that a request waits for a server that is fast enough for it. After that it is moved to
+/// the queue of late requests, where any server will do.
 constexpr double wait_for_fast_server = 0.4;
 
-/// Part of its target that a request waits before its tier is taken to go without. When all goes well, none
-/// waits that long, and the order of tiers is strict.
+/// Part of its target that a request waits before its tier is granted its guaranteed minimum share. Without
+/// overload no request waits this long, and the order of tiers is strict.
 constexpr double wait_before_floor = 0.1;
 
-/// Shorter queues say little about the wait in them.
+/// Minimum length of a queue for estimating the wait in it; the wait in a shorter queue counts as 0.
 constexpr std::size_t least_telling_queue = 8;
-/// A tier that got nothing lately may get something soon.
+/// Lower bound of the assumed rate of grants per second, because a queue without recent grants may get some
+/// soon.
 constexpr double least_grant_rate = 2;
-constexpr std::size_t draw_steps = 1000;
+constexpr std::size_t draw_steps = 1000; ///< resolution of the random numbers for the retry delay
 
-/// A small server holds so many times the requests beyond its slots that a large one holds for each slot.
+/// A small server is sent more requests beyond its slots than a large one: per slot, this many times as many,
+/// but at most `most_queued_by_small` in total.
 constexpr double small_queue_factor = 5.0 / 3;
 constexpr double most_queued_by_small = 2;
-/// Part of a small server's slots that the lowest tier leaves free.
+/// Part of a small server's slots that the lowest tier leaves free, instead of
+/// slot_scheduler_limits::reserved_slots.
 constexpr double small_reserve = 0.25;
 
-/// Seconds until a line with so many requests, that go at this rate, is through.
+/// Expected seconds until `waiting` queued requests have got slots at a rate of `per_second` grants.
 double expect_wait(std::size_t waiting, double per_second) {
     if (waiting < least_telling_queue) {
         return 0;
@@ -67,7 +71,8 @@
     }
 }
 
-/// To be called whenever a server's slots, outstanding requests or use have changed.
+/// Adds the server to the list of servers with room, or removes it from that list. Must be called whenever
+/// the server's slots, its outstanding requests, the share or is_usable have changed.
 void slot_scheduler::update_room(slot_server& server) {
     const bool has_room = server.is_usable && slots_left(server, false) >= 1;
     if (has_room == server.room_place.has_value()) {
@@ -122,7 +127,7 @@
 void slot_scheduler::refuse(tier_state& tier, const slot_request& request, wait_comparison why,
                             time_point now) {
     tier.overload.note_refusal(now);
-    // The ticket's lowest bits are as good as random, and the same at every replay.
+    // Seeded with the ticket, the draw differs between requests but is the same whenever a run is repeated.
     const double draw = static_cast<double>(random_sequence(request.ticket).below(draw_steps)) / draw_steps;
     const auto wait = tier.overload.retry_after(request.deadline - now, draw, now);
     m_refusals.push_back(
@@ -145,8 +150,8 @@
     }
 }
 
-/// Told at once that it can't be served in time, a caller can use its time; told later, it would hear the
-/// same.
+/// Refuses the request at once if its expected wait is too long. It would otherwise be refused later, and its
+/// caller would have lost the time until then.
 void slot_scheduler::enqueue_in_time(tier_state& tier, const slot_request& request, time_point now) {
     const double bearable = to_seconds(request.target) * m_limits.hopeless_wait;
     const double expected = expect_wait(tier.in_time.queue.size(), tier.in_time.grants.per_second(now));
@@ -163,8 +168,9 @@
     m_waiting[request.ticket] = {request.service, request.tier, line, place};
 }
 
-/// Late requests are served with what those in time leave. Under lasting load that is nothing, and each would
-/// be held until its patience is over; so only as many wait as are expected to be served.
+/// Late requests only get the slots that the other requests of the tier leave. Under sustained load there are
+/// none, and each late request would wait for its maximum time just to be refused. So only as many are queued
+/// as are expected to get a slot within that time.
 void slot_scheduler::enqueue_late(tier_state& tier, const slot_request& request, time_point now) {
     const double left = to_seconds(request.arrived + patience_of(request) - now);
     const double expected = expect_wait(tier.late.queue.size(), tier.late.grants.per_second(now));
@@ -197,7 +203,8 @@
 bool slot_scheduler::withdraw(slot_ticket ticket) {
     const auto found = m_waiting.find(ticket);
     if (found == m_waiting.end()) {
-        // Refused, and nobody was told yet: nobody is to be told any more.
+        // The request may have a refusal that wasn't taken yet. The caller has left, so the refusal is
+        // dropped.
         return std::erase_if(m_refusals, [ticket](const auto& told) { return told.ticket == ticket; }) > 0;
     }
     auto& tier = m_queues[found->second.service][found->second.tier];
@@ -240,7 +247,8 @@
     const auto found = m_servers.find(ended.server);
     if (found != m_servers.end() && found->second.is_usable) {
         found->second.observe(ended, prompt);
-        static_cast<void>(found->second.health.record(ended.outcome, now)); // whoever decides reports it
+        // The process that granted the slot reports the health change.
+        static_cast<void>(found->second.health.record(ended.outcome, now));
     }
 }
 
@@ -283,11 +291,12 @@
     return std::exchange(m_health_changes, {});
 }
 
-/// Requests that a server may be handed at a time.
+/// The maximum number of requests that a server may be sent at a time.
 ///
-/// Of few slots one comes free seldom. Held to the same share as a large server, a small one has some idle
-/// for the length of a message each time, and two slots kept from the lowest tier are half of it: that tier
-/// would be refused while they stand empty.
+/// A small server has a higher limit per slot than a large one, for two reasons. With few slots, one rarely
+/// comes free, so each time a slot would be idle for the round trip until the next request arrives. And
+/// reserving two slots would take half of a server with four slots from the lowest tier, which would be
+/// refused while these slots are empty.
 double slot_scheduler::most_outstanding(const slot_server& server, bool is_lowest) const {
     const double slots = server.slots;
     const double queued_by_small =
@@ -302,7 +311,7 @@
     return std::max(unreserved, std::min<double>(of_small, m_limits.lowest_in_small));
 }
 
-/// Slots that a server has left, if it doesn't rest.
+/// How many more requests the server may be sent, not considering its health.
 double slot_scheduler::slots_left(const slot_server& server, bool is_lowest) const {
     return std::max(1.0, most_outstanding(server, is_lowest) * m_limits.share) - server.outstanding;
 }
@@ -315,15 +324,16 @@
     return slots_left(server, is_lowest);
 }
 
-/// What waits inside a server can't be overtaken. A late request is late there or here, but in a server's
-/// queue it stands before those that come next and could still be in time: so it gets a slot that is free,
-/// and never a place in that queue.
+/// Whether the server may be sent a request under these terms. A late request only gets a free slot and never
+/// a place in the server's own queue, since a request in that queue can't be overtaken: requests that could
+/// still meet their target would have to wait behind the late one.
 bool slot_scheduler::is_open(const slot_server& server, const line_terms& terms, time_point now) const {
     const bool takes_line = terms.line == punctuality::in_time || server.has_free_slot(m_limits.share);
     return takes_line && room(server, terms.is_lowest, now) >= 1;
 }
 
-/// Servers with room, some of them where there are many; each search goes on where the last one ended.
+/// Returns up to `most_considered` servers with room. Each search continues where the last one ended, so that
+/// all servers get their turn.
 slot_scheduler::open_servers slot_scheduler::find_open(service_key service, const line_terms& terms,
                                                        time_point now) {
     open_servers result;
@@ -339,8 +349,9 @@
     return result;
 }
 
-/// A request is late when no server could bring its first event in time any more, free or not. One that waits
-/// for a fast server isn't, for a while: under lasting load the fast ones may never be free for it.
+/// A request is late if no server, busy or not, could still send its first event in time. It also counts as
+/// late after it has waited for some time although a fast enough server exists: under sustained load, the
+/// fast servers may never have a free slot for it.
 slot_scheduler::punctuality slot_scheduler::judge(const slot_request& request, time_point now) const {
     const auto waited = now - request.arrived;
     if (request.returns > 0 || waited > from_seconds(to_seconds(request.target) * wait_for_fast_server)) {
@@ -407,7 +418,8 @@
     });
 }
 
-/// Tiers that were given less than their floor lately go before all others, the lowest share first.
+/// Grants slots to tiers that recently got less than their guaranteed minimum share, the tier with the
+/// smallest share first.
 void slot_scheduler::grant_floors(service_key service, service_queue& tiers, time_point now,
                                   std::vector<slot_grant>& grants) {
     auto& floor = floor_of(service);
--- a/src/policy/slot_scheduler.hpp
+++ b/src/policy/slot_scheduler.hpp
@@ -1,5 +1,6 @@
-// Which waiting request gets the next free slot of which backend server. Pure: time is an argument, and what
-// is decided is returned.
+// Schedules the slots of backend servers: decides which waiting request gets the next free slot of which
+// server. The scheduler does no I/O and reads no clock; it receives the current time as an argument and
+// returns its decisions.
 #pragma once
 
 #include "policy/flow_meter.hpp"
@@ -18,41 +19,51 @@
 
 namespace borageford::policy {
 
+/// The settings of a slot_scheduler.
 struct slot_scheduler_limits {
-    /// Requests handed to a server for each of its slots. A little over one keeps a slot from idling for the
-    /// round trip between one answer and the next request; what waits in the server can't be overtaken.
+    /// Maximum number of requests sent to a server per slot. A value slightly above 1 keeps a slot from being
+    /// idle for the round trip between the end of one request and the start of the next. But a request that
+    /// waits inside a server can't be overtaken by a more urgent one, so the value should stay small.
     double outstanding_per_slot = 1.3;
-    /// Slots of each server that the lowest tier leaves free, so that a higher one finds room at once.
+    /// Number of slots of each server that the lowest tier leaves free, so that requests of higher tiers find
+    /// a free slot at once.
     unsigned reserved_slots = 2;
-    /// Up to so many requests of the lowest tier a server may hold with fewer slots kept free: a quarter of
-    /// them, which of a small server is less.
+    /// A small server may hold up to this many requests of the lowest tier even if it then has fewer free
+    /// slots than `reserved_slots`; a quarter of its slots still stay free.
     unsigned lowest_in_small = 5;
-    /// A request is refused after it has waited for so many times its latency target.
+    /// Maximum wait of a request before it is refused, as a multiple of its latency target.
     double patience = 1.5;
-    /// One whose caller was refused before and came back is late in any case. It is refused again only after
-    /// it has waited for so many times its target. Held for longer, callers of streams give up by themselves.
+    /// Maximum wait of a retried request, as a multiple of its latency target. A retried request is always
+    /// treated as late. Callers of streams that wait for longer than this give up by themselves.
     double patience_of_returned = 2;
-    /// A request is refused on arrival when those before it would take so many times its target: the part of
-    /// it in which a request is given to a server in time.
+    /// A request is refused on arrival if its expected wait in the queue exceeds this multiple of its latency
+    /// target, because it would be late by then: after 0.4 times its target, a request without a slot is
+    /// moved to the queue of late requests.
     double hopeless_wait = 0.4;
-    slot_floor_limits floor{};
-    /// Share of all slots that this process may give out; less than 1 where others give out the rest.
+    slot_floor_limits floor{}; ///< guaranteed minimum shares of the tiers
+    /// Share of all slots that this process may grant; less than 1 if other processes grant the remaining
+    /// slots.
     double share = 1;
 };
 
-/// Invariant: a server's outstanding requests are those in m_running that name it.
+/// Queues slot requests by service and tier and grants them slots. Higher tiers go first, except for the
+/// guaranteed minimum shares of lower tiers (slot_floor). Within a tier, requests that can still meet their
+/// latency target go before late ones.
+///
+/// Invariant: a server's `outstanding` is the number of entries of m_running that name the server.
 class slot_scheduler {
 public:
     explicit slot_scheduler(slot_scheduler_limits limits) : m_limits(limits) {}
     slot_scheduler(slot_scheduler&&) = default;
     slot_scheduler& operator=(slot_scheduler&&) = default;
-    slot_scheduler(const slot_scheduler&) = delete; // pools point to its servers
+    slot_scheduler(const slot_scheduler&) = delete; // m_pools points to elements of m_servers
     slot_scheduler& operator=(const slot_scheduler&) = delete;
     ~slot_scheduler() = default;
 
+    /// Changes slot_scheduler_limits::share.
     void set_share(double share);
 
-    /// A request that occupies a slot.
+    /// A running request that occupies a slot.
     struct running_slot {
         slot_ticket ticket = 0;
         server_key server = 0;
@@ -60,82 +71,94 @@
         int tier = 0;
     };
 
-    /// Adds a server or changes its slots.
+    /// Adds a server, or changes its service, number of slots or failure domain.
     void set_server(server_key server, service_key service, unsigned slots, domain_key domain = 0);
-    /// No more grants for it; what it works on goes on.
+    /// Grants no more slots of this server. Its running requests continue.
     void remove_server(server_key server);
 
-    /// May refuse it at once; see take_refusals().
+    /// Adds a request to a queue, or refuses it at once if it is expected to wait too long; see
+    /// take_refusals().
     void add(const slot_request& request, time_point now);
-    /// False when it doesn't wait, nor for its refusal to be taken.
+    /// Removes a waiting request, or its refusal that hasn't been taken yet. Returns false if there is
+    /// neither.
     bool withdraw(slot_ticket ticket);
-    /// A request that occupies a slot already.
+    /// Adds a request that already occupies a slot, which another process granted. Ignored if the ticket is
+    /// already running.
     void add_running(const running_slot& slot, time_point now);
-    /// A running request has left its slot; unknown ones are passed over.
+    /// Records that a running request ended and released its slot. Ignored if the ticket isn't running.
     void release(const slot_release& ended, time_point now);
 
-    /// A request of this process has left a slot that another process had given out.
+    /// Records that a request of this process, whose slot another process granted, has ended. `prompt` is the
+    /// number of its prompt tokens.
     void observe(const slot_release& ended, double prompt, time_point now);
-    /// What this process has seen of servers, for another one to go on from: those that failed lately first,
-    /// then those that are known best; so many at most.
+    /// Returns what this process has learned about its servers, for another process to continue with: at most
+    /// `most` reports, first on servers that failed since their last success, then on those with the most
+    /// measured requests.
     [[nodiscard]] std::vector<server_report> report_servers(std::size_t most, time_point now) const;
-    /// Takes another process's word of a server; of one that isn't known here, nothing.
+    /// Takes over a report of another process on a server. Ignored if the server isn't known here.
     void adopt(const server_report& told, time_point now);
 
-    /// All grants that are possible now.
+    /// Grants slots to all waiting requests that can have one now. Also refuses requests that have waited too
+    /// long; see take_refusals().
     [[nodiscard]] std::vector<slot_grant> grant(time_point now);
-    /// Requests that were given up since the last call: they wait no more.
+    /// Returns the refusals since the last call. The refused requests are no longer queued.
     [[nodiscard]] std::vector<slot_refusal> take_refusals();
 
-    /// A server has begun to rest, or has recovered.
+    /// A server's cooldown has started, or the server has recovered after one.
     struct health_change {
         server_key server = 0;
-        bool rests = false;
-        duration rest{};
-        unsigned failures_in_row = 0;
-        double failure_share = 0;
+        bool rests = false;           ///< true: a cooldown has started; false: the server has recovered
+        duration rest{};              ///< length of the cooldown that has started
+        unsigned failures_in_row = 0; ///< failures since the last success
+        double failure_share = 0;     ///< moving average of the share of failed requests, 0 to 1
     };
-    /// What has changed since the last call.
+    /// Returns the health changes since the last call.
     [[nodiscard]] std::vector<health_change> take_health_changes();
 
-    /// Requests that a server works on; 0 for one that isn't known.
+    /// Number of a server's running requests; 0 for a server that isn't known.
     [[nodiscard]] unsigned outstanding(server_key server) const;
+    /// Number of queued requests.
     [[nodiscard]] std::size_t waiting() const noexcept { return m_waiting.size(); }
+    /// Number of requests that occupy slots.
     [[nodiscard]] std::size_t running() const noexcept { return m_running.size(); }
 
 private:
-    /// Arrival first, so that a tier's requests lie in the order of their ages.
+    /// Position of a request in a queue. Compares the arrival time first, so that a queue is sorted by age.
     struct queue_place {
         time_point arrived;
         slot_ticket ticket = 0;
         auto operator<=>(const queue_place&) const = default;
     };
     using tier_queue = std::map<queue_place, slot_request>;
-    /// Requests of one tier that wait under the same rule, and how fast they go.
+    /// One of the two queues of a tier.
     struct waiting_line {
         tier_queue queue;
-        flow_meter grants;
+        flow_meter grants; ///< rate of grants from this queue
     };
-    /// Two lines, since a late request only gets what those in time leave. In one line, which is as long as
-    /// requests have patience, nearly all that are served are late, and the others are held as long to hear a
-    /// refusal.
+    /// Requests that can still meet their target and late requests wait in separate queues, and late requests
+    /// only get the slots that the first queue leaves. With a single queue, its length would be limited only
+    /// by the maximum wait; nearly all requests that get a slot would be late by then, and all others would
+    /// wait as long just to be refused.
     struct tier_state {
-        waiting_line in_time; ///< fresh ones that some server could still begin in time
+        waiting_line in_time; ///< requests whose target some server could still meet
         waiting_line late;
         overload_watch overload;
     };
+    /// The queues of one service by tier, highest tier first.
     using service_queue = std::map<int, tier_state>;
-    /// Servers of one service that take work, in no order.
+    /// The usable servers of one service.
     struct server_pool {
         std::vector<slot_server*> servers;
-        /// Those that have slots left, resting or not: under load they are few, where a search through all
-        /// servers of a service would grow with it.
+        /// The elements of `servers` that have slots left, whether or not they are in a cooldown. Under load
+        /// they are few, whereas the time of a search through all servers of a service would grow with their
+        /// number.
         std::vector<slot_server*> with_room;
-        std::size_t next = 0; ///< where the search among those begins
+        std::size_t next = 0; ///< index in `with_room` after which the next search starts
     };
     using open_servers = std::vector<slot_server*>;
-    /// Which of a tier's two lines a request waits in.
+    /// The queue of its tier in which a request waits.
     enum class punctuality { in_time, late };
+    /// Where a waiting request is queued.
     struct waiting_place {
         service_key service = 0;
         int tier = 0;
@@ -146,20 +169,23 @@
         server_key server = 0;
         service_key service = 0;
         int tier = 0;
-        double prompt = 0;
-        reading_backlog::mark read_mark{};
+        double prompt = 0;                 ///< tokens
+        reading_backlog::mark read_mark{}; ///< returned by reading_backlog::add() at the request's start
     };
+    /// Whether a request belongs into the queue of requests that can still meet their target or into that of
+    /// late requests.
     [[nodiscard]] punctuality judge(const slot_request& request, time_point now) const;
+    /// All usable servers of a service.
     [[nodiscard]] slot_servers servers_of(service_key service) const;
     [[nodiscard]] double most_outstanding(const slot_server& server, bool is_lowest) const;
     [[nodiscard]] double slots_left(const slot_server& server, bool is_lowest) const;
     [[nodiscard]] double room(const slot_server& server, bool is_lowest, time_point now) const;
     void update_room(slot_server& server);
-    /// What one line may be given.
+    /// Restrictions on the grants to one queue.
     struct line_terms {
         punctuality line = punctuality::in_time;
-        bool is_lowest = false; ///< the lowest tier leaves some slots free
-        std::size_t most = std::numeric_limits<std::size_t>::max(); ///< grants
+        bool is_lowest = false; ///< the queue is of the lowest tier, which leaves some slots free
+        std::size_t most = std::numeric_limits<std::size_t>::max(); ///< maximum number of grants
     };
     [[nodiscard]] bool is_open(const slot_server& server, const line_terms& terms, time_point now) const;
     [[nodiscard]] open_servers find_open(service_key service, const line_terms& terms, time_point now);
@@ -169,7 +195,7 @@
                std::vector<slot_grant>& grants);
     void grant_line(service_key service, tier_state& tier, line_terms terms, time_point now,
                     std::vector<slot_grant>& grants);
-    /// Whether a request of the tier has waited so long that others must have gone before it.
+    /// Whether the tier's oldest request has waited so long that the tier needs its guaranteed minimum share.
     [[nodiscard]] static bool goes_without(const tier_state& tier, time_point now);
     void grant_floors(service_key service, service_queue& tiers, time_point now,
                       std::vector<slot_grant>& grants);
@@ -180,7 +206,7 @@
     void enqueue_late(tier_state& tier, const slot_request& request, time_point now);
     void turn_late(tier_state& tier, tier_queue::iterator waiting, time_point now);
     void turn_all_late(tier_state& tier, time_point now);
-    /// A wait that is over what a request may wait.
+    /// The wait that led to a refusal, and the limit that it exceeds.
     struct wait_comparison {
         double needed_seconds = 0;
         double available_seconds = 0;
@@ -192,16 +218,17 @@
 
     slot_scheduler_limits m_limits;
     std::unordered_map<server_key, slot_server> m_servers;
-    /// Invariant: holds exactly the usable servers, each in the pool of its service.
+    /// Invariant: contains exactly the usable servers, each in the pool of its service.
     std::unordered_map<service_key, server_pool> m_pools;
     std::unordered_map<service_key, service_queue> m_queues;
     std::unordered_map<service_key, slot_floor> m_floors;
     std::unordered_map<slot_ticket, waiting_place> m_waiting;
-    /// When each waiting request is given up; tickets that don't wait any more are passed over.
+    /// The time at which each waiting request reaches its maximum wait. Tickets that no longer wait are
+    /// skipped.
     std::multimap<time_point, slot_ticket> m_give_up;
     std::unordered_map<slot_ticket, running_request> m_running;
     std::vector<health_change> m_health_changes;
-    std::uint64_t m_grants = 0;
+    std::uint64_t m_grants = 0; ///< number of all grants so far, which numbers the next one
     std::vector<slot_refusal> m_refusals;
 };
 
--- a/src/policy/slot_server.cpp
+++ b/src/policy/slot_server.cpp
@@ -1,4 +1,4 @@
-// What a server is expected to do, from all that it has shown.
+// Combines the estimates of one server to predict when a request would begin and end there.
 #include "policy/slot_server.hpp"
 
 #include <algorithm>
@@ -8,19 +8,21 @@
 
 namespace {
 
-/// Callers' guesses at the length of an answer are right at the median only. A larger margin calls answers
-/// too long for every server that a fast one would have ended.
+/// Factor on the answer length that callers state. These guesses are right at the median only. With a larger
+/// margin, answers that a fast server would finish in time would count as too long for every server.
 constexpr double length_margin = 1.2;
 
-/// A server that ends requests more often than this has room for a higher tier soon enough without slots kept
-/// free for it: a plain service's would stand empty while its calls are refused. Engines, whose answers take
-/// a second, are far above it.
+/// A server whose slots come free at shorter intervals than this has no slots reserved for higher tiers,
+/// since they soon find a free one anyway. On a service that isn't a model engine, reserved slots would stand
+/// empty while its calls are refused. Engines, whose answers take about a second, have much longer intervals.
 constexpr std::chrono::milliseconds fast_turnover{20};
 
-/// A failure that was longer ago says nothing of the server as it is now: rests are shorter.
+/// A reported failure that is older than this is ignored, since it says nothing about the server's present
+/// state: cooldowns are shorter.
 constexpr std::chrono::seconds longest_told_failure{5};
 
-/// How soon it began and how fast it went on, whoever had given it the request.
+/// Updates the estimates of the time to the first event and of the time per output token. They apply
+/// whichever process granted the slot.
 void learn_speed(slot_server& server, const slot_release& ended, double prompt) {
     if (ended.first_event > duration::zero()) {
         server.first_event.learn(prompt, ended.first_event);
@@ -63,7 +65,8 @@
 
 void slot_server::observe(const slot_release& ended, double prompt) {
     if (ended.outcome == slot_outcome::served) {
-        // How many ran beside it isn't known here; what is asked of the turnover concerns a full server.
+        // The number of requests that ran at the same time isn't known here. All slots are assumed to have
+        // been in use, as the turnover is only needed for a full server.
         turnover.learn(ended.busy, slots);
     }
     learn_speed(*this, ended, prompt);
--- a/src/policy/slot_server.hpp
+++ b/src/policy/slot_server.hpp
@@ -1,4 +1,5 @@
-// One backend server as the scheduler sees it: its slots, what it was given, and what it has shown.
+// The scheduler's state for one backend server: its slots, its running requests, and the estimates learned
+// from finished requests.
 #pragma once
 
 #include "policy/first_event_model.hpp"
@@ -15,43 +16,49 @@
 
 namespace borageford::policy {
 
+/// State and estimates of one backend server.
 struct slot_server {
     server_key key = 0;
     service_key service = 0;
     domain_key domain = 0;
     unsigned slots = 1;
-    unsigned outstanding = 0;
-    std::uint64_t last_grant = 0; ///< number of the last grant; among equals the one that rested longest goes
-    bool is_usable = false;
-    std::optional<std::size_t> room_place; ///< in its pool's list of servers with room
+    unsigned outstanding = 0; ///< granted requests that haven't ended
+    /// Sequence number of its last grant; among equal servers, the lowest is chosen.
+    std::uint64_t last_grant = 0;
+    bool is_usable = false; ///< it may get new requests
+    /// Index in `server_pool::with_room` of its service; nullopt: not in that list.
+    std::optional<std::size_t> room_place;
     server_health health;
     first_event_model first_event;
     output_pace pace;
     reading_backlog reading;
     slot_turnover turnover;
 
-    /// From now to the first event of a request that is given to it now.
+    /// The expected time until the first event of a request that is sent to the server at `now`.
     [[nodiscard]] duration expect_first_event(const slot_request& request, time_point now) const;
-    /// How long after its caller's time the answer is expected to end.
+    /// By how much the answer is expected to exceed the request's deadline, if its first event comes after
+    /// `until_first_event`; zero if it is expected to end in time.
     [[nodiscard]] duration expect_overrun(const slot_request& request, duration until_first_event,
                                           time_point now) const;
-    /// Slots come free so often that none needs to be kept free.
+    /// Whether slots come free so often that none needs to be reserved for higher tiers.
     [[nodiscard]] bool has_fast_turnover() const;
-    /// `share`: part of its slots that may be given out here.
+    /// Whether a slot is free. `share` is the part of the server's slots that this process may grant.
     [[nodiscard]] bool has_free_slot(double share) const;
 
-    /// A request with this prompt has left it; `read_mark` is what the backlog gave at its start.
+    /// Learns from the end of a request with `prompt` prompt tokens that this process granted the slot for.
+    /// `read_mark` is the value that `reading.add()` returned when the request started.
     void learn(const slot_release& ended, double prompt, reading_backlog::mark read_mark, time_point now);
-    /// A request with this prompt has left it that another process had given it.
+    /// Learns from the end of a request with `prompt` prompt tokens that another process granted the slot
+    /// for.
     void observe(const slot_release& ended, double prompt);
 
-    /// What another process is told of it.
+    /// What is sent about this server to another process.
     [[nodiscard]] server_report report(time_point now) const;
-    /// Takes another process's word where little is known here.
+    /// Takes over what another process has learned, where less is known here.
     void adopt(const server_report& told, time_point now);
 };
 
-/// Whether the request was sent to this server before, in vain.
+/// Whether the request was already sent to this server and failed there.
 [[nodiscard]] bool has_failed(const slot_request& request, server_key server);
 
 } // namespace borageford::policy
--- a/src/policy/slot_turnover.cpp
+++ b/src/policy/slot_turnover.cpp
@@ -1,11 +1,13 @@
-// By the law of queues: requests that end a second are those that are there by the time that each stays.
+// Applies Little's law: requests end at the rate of the running requests divided by the time that each one
+// takes.
 #include "policy/slot_turnover.hpp"
 
 namespace borageford::policy {
 
 namespace {
 
-/// Some ten requests, about one second of a server under load.
+/// Weight of the newest request in the moving average, so that about the last ten requests determine it: one
+/// second of a server under load.
 constexpr double step = 0.1;
 
 } // namespace
