--- a/tests/unit/test_policy_server_report.cpp
+++ b/tests/unit/test_policy_server_report.cpp
@@ -1,4 +1,4 @@
-// What a process that begins to decide about slots goes on from.
+// Tests of the server reports with which a new coordinator continues from what the members have learned.
 #include "coordination/slot_coordinator.hpp"
 #include "policy/slot_scheduler.hpp"
 
@@ -39,7 +39,7 @@
     return request;
 }
 
-/// What a member's own requests met: one server doesn't take connections, one is slow, one is fast.
+/// Records a member's own requests: one server refuses connections, one is slow and one is fast.
 void observe_all(slot_scheduler& member, time_point now) {
     for (slot_ticket ticket = 1; ticket <= 12; ++ticket) {
         member.observe({ticket, slow, slot_outcome::served, 2s, 900ms, 40}, 1000, now - 1s);
@@ -61,10 +61,10 @@
 
 } // namespace
 
-TEST_CASE("a process that begins to decide knows what the members' requests met", "[policy][server_report]") {
-    // The gateway that gave out all slots was killed. It alone knew that one server takes no connections and
-    // that another is slow; its successor sent the next requests of all members to both, and their callers
-    // waited for connections that never came.
+TEST_CASE("a new coordinator knows the outcomes of the members' requests", "[policy][server_report]") {
+    // The coordinator was killed, and only it had recorded that one server accepts no connections and that
+    // another one is slow. The new coordinator sent the next requests of all members to these two servers,
+    // and their callers waited for connections that were never opened.
     auto member = make_scheduler();
     observe_all(member, start_time);
     auto successor = make_scheduler();
@@ -73,21 +73,24 @@
     }
     const auto grants = count_grants(successor, 6, start_time);
     CHECK_FALSE(grants.contains(dead));
-    CHECK_FALSE(grants.contains(slow)); // its first event would come too late
+    CHECK_FALSE(grants.contains(slow)); // its first event would be late
     CHECK(grants.at(fast) >= 4);
 }
 
-TEST_CASE("a member that loses its coordinator goes on from what it saw itself", "[policy][server_report]") {
-    // For a moment nobody gives out slots for all, and each gateway uses its own part of them. While another
-    // decided, its own requests were told to that other alone.
+TEST_CASE("a member that loses its coordinator continues from what it has learned itself",
+          "[policy][server_report]") {
+    // Without a coordinator, each gateway grants its own share of the slots. Its scheduler must know the
+    // outcomes of the requests for which the coordinator had granted the slots, although they were sent to
+    // the coordinator as well.
     auto member = make_scheduler();
     observe_all(member, start_time);
     CHECK_FALSE(count_grants(member, 6, start_time).contains(dead));
 }
 
-TEST_CASE("a server's own success counts for more than what others met before", "[policy][server_report]") {
-    // A member was cut off from a server for a moment, and tells of it later. The server has served others
-    // since then, and must not rest for that.
+TEST_CASE("a success at a server overrides earlier failures that other members report",
+          "[policy][server_report]") {
+    // A member couldn't reach a server for a moment and reports that later. The server has served other
+    // requests since then, so the report must not start a cooldown.
     auto member = make_scheduler();
     member.observe({100, dead, slot_outcome::unreachable, 300ms, {}, 0}, 1000, start_time);
     auto successor = make_scheduler();
@@ -98,7 +101,7 @@
     CHECK(count_grants(successor, 12, start_time + 20ms).contains(dead));
 }
 
-TEST_CASE("a server that was found failing long ago starts without a rest", "[policy][server_report]") {
+TEST_CASE("a failure that was long ago starts no cooldown at a new coordinator", "[policy][server_report]") {
     auto member = make_scheduler();
     member.observe({100, dead, slot_outcome::unreachable, 300ms, {}, 0}, 1000, start_time);
     auto successor = make_scheduler();
@@ -108,8 +111,10 @@
     CHECK(count_grants(successor, 12, start_time + 20s).contains(dead));
 }
 
-TEST_CASE("reports are bounded, and the worst news goes first", "[policy][server_report]") {
-    // With 1,300 servers and 350 members that all tell at once, a successor would be busy with nothing else.
+TEST_CASE("the number of reports is bounded, and failing servers are reported first",
+          "[policy][server_report]") {
+    // With 1,300 servers and 350 members that all report at once, a new coordinator would be busy with
+    // nothing but reports.
     slot_scheduler member({});
     for (server_key server = 1; server <= 500; ++server) {
         member.set_server(server, engines, 4);
@@ -122,8 +127,8 @@
     CHECK(reports.front().rests == 1);
 }
 
-TEST_CASE("a server that is reborn inherits nothing from a report", "[policy][server_report]") {
-    // Its new start has another key, which no report names yet.
+TEST_CASE("reports on a server's previous start don't apply to its new one", "[policy][server_report]") {
+    // A restarted server has a new key, which no report contains yet.
     auto member = make_scheduler();
     member.observe({100, dead, slot_outcome::unreachable, 300ms, {}, 0}, 1000, start_time);
     slot_scheduler successor({});
@@ -135,8 +140,9 @@
     CHECK(count_grants(successor, 2, start_time).at(reborn) == 2);
 }
 
-TEST_CASE("reports go ahead of the requests that they concern", "[coordination][server_report]") {
-    // They come in the same batch as what waits. Taken after it, they would be too late for it.
+TEST_CASE("the reports in a batch are applied before its slot requests", "[coordination][server_report]") {
+    // Reports arrive in the same batch as slot requests. Applied after the requests, they would have no
+    // effect on them.
     auto member = make_scheduler();
     observe_all(member, start_time);
     coordination::slot_coordinator successor({}, {}, {});
--- a/tests/unit/test_policy_server_starts.cpp
+++ b/tests/unit/test_policy_server_starts.cpp
@@ -1,4 +1,4 @@
-// Which start of a backend server is the present one.
+// Tests of server_starts: which start (process incarnation) of a backend server is the current one.
 #include "policy/server_starts.hpp"
 
 #include <catch2/catch.hpp>
@@ -6,10 +6,10 @@
 using borageford::policy::server_starts;
 using verdict = server_starts::verdict;
 
-TEST_CASE("the last start that the store took is the present one, whatever its clock said",
+TEST_CASE("the start that the store received last is the current one, whatever start time it states",
           "[policy][server_starts]") {
-    // The VM's clock was stepped back between two starts of an engine. Judged by the time, the new start
-    // would look older than the dead one and never get a request.
+    // The VM's clock was stepped back between two starts of an engine. Ordered by their start times, the new
+    // start would look older than the dead one and never get a request.
     server_starts starts;
     CHECK(starts.take("engine", 2'000'000) == verdict::first);
     CHECK(starts.take("engine", 2'000'000) == verdict::same);
@@ -17,9 +17,9 @@
     CHECK(starts.take("engine", 1'000'000) == verdict::same);
 }
 
-TEST_CASE("a start that was followed by another never comes back", "[policy][server_starts]") {
-    // The last heartbeat of a crashed engine was slow on its way and is stored after the first one of the new
-    // start. Taken for news, it would send requests to a process that is dead.
+TEST_CASE("a start that was followed by another one never becomes current again", "[policy][server_starts]") {
+    // The last heartbeat of a crashed engine is delayed and stored after the first one of its new start.
+    // Applied as a new registration, it would send requests to a dead process.
     server_starts starts;
     CHECK(starts.take("engine", 1) == verdict::first);
     CHECK(starts.take("engine", 2) == verdict::restarted);
@@ -28,24 +28,25 @@
     CHECK(starts.take("engine", 2) == verdict::superseded);
     starts.forget("engine");
     CHECK(starts.take("engine", 1) == verdict::superseded);
-    CHECK(starts.take("engine", 3) == verdict::first); // it was away, and lives
+    CHECK(starts.take("engine", 3) == verdict::first); // the current start registers again
     CHECK(starts.take("other", 1) == verdict::first);
 }
 
-TEST_CASE("servers that don't tell their start are known by their id alone", "[policy][server_starts]") {
+TEST_CASE("servers that don't state their start are identified by their id alone",
+          "[policy][server_starts]") {
     server_starts starts;
     CHECK(starts.take("old", 0) == verdict::first);
     CHECK(starts.take("old", 0) == verdict::same);
-    CHECK(starts.take("old", 5) == verdict::restarted); // updated, it tells its start
-    CHECK(starts.take("old", 0) == verdict::untold);    // somebody else wrote this
+    CHECK(starts.take("old", 5) == verdict::restarted); // after an update, the server states its start
+    CHECK(starts.take("old", 0) == verdict::untold);    // not written by the server itself
     CHECK(starts.take("old", 5) == verdict::same);
 }
 
-TEST_CASE("superseded starts are remembered within bounds", "[policy][server_starts]") {
+TEST_CASE("the number of remembered superseded starts is bounded", "[policy][server_starts]") {
     server_starts starts;
     for (std::uint64_t start = 1; start <= 10'000; ++start) {
         static_cast<void>(starts.take("restless", start));
     }
     CHECK(starts.take("restless", 9'999) == verdict::superseded);
-    CHECK(starts.take("restless", 1) == verdict::restarted); // forgotten
+    CHECK(starts.take("restless", 1) == verdict::restarted); // no longer remembered
 }
--- a/tests/unit/test_policy_slot_floor.cpp
+++ b/tests/unit/test_policy_slot_floor.cpp
@@ -1,4 +1,5 @@
-// No tier goes without while others are served: loads that starve the lowest tiers in strict order.
+// Tests of slot_floor, alone and within slot_scheduler, under loads where a strict order of tiers would
+// starve the lowest ones.
 #include "policy/slot_floor.hpp"
 #include "policy/slot_scheduler.hpp"
 
@@ -16,7 +17,7 @@
 constexpr service_key engines = 77;
 constexpr auto step = 5ms;
 
-/// Requests of one tier: so many a second, each with its time in a slot.
+/// The load of one tier: its rate of requests and the time that each one occupies a slot.
 struct tier_load {
     int tier = 0;
     double per_second = 0;
@@ -24,14 +25,14 @@
     duration target = 500ms;
 };
 
-/// What became of a tier's requests.
+/// How many requests a tier sent, and how many of them got a slot.
 struct tier_result {
     unsigned asked = 0;
     unsigned served = 0;
     [[nodiscard]] double share() const { return static_cast<double>(served) / asked; }
 };
 
-/// A scheduler under a steady load, in virtual time.
+/// Simulates a scheduler under a steady load in virtual time.
 class played_load {
 public:
     played_load(slot_scheduler_limits limits, unsigned servers, unsigned slots)
@@ -49,7 +50,8 @@
         }
     }
 
-    /// Another process gives out the slots from now on: it is told what runs, and knows nothing else.
+    /// Replaces the scheduler by that of a new coordinator, which knows the running requests and nothing
+    /// else.
     void change_coordinator() {
         m_scheduler = make_scheduler();
         for (const auto& [end, running] : m_running) {
@@ -60,7 +62,7 @@
 
     [[nodiscard]] const tier_result& result(int tier) { return m_results[tier]; }
     void forget_results() { m_results.clear(); }
-    /// Slot time that a tier was given, as a share of all.
+    /// The share of all granted slot time that a tier got.
     [[nodiscard]] double slot_share(int tier) {
         duration all{};
         for (const auto& [other, given] : m_given) {
@@ -125,7 +127,8 @@
     std::map<int, duration> m_given;
 };
 
-/// Twice what four engines of nine slots can do, nearly all of it by dear requests of the highest tiers.
+/// Twice the load that four engines with nine slots each can handle. Expensive requests of the two highest
+/// tiers are nearly all of it.
 const std::vector<tier_load> heavy_load{{0, 30, 1400ms}, {1, 40, 1100ms}, {2, 40, 120ms}};
 
 slot_scheduler_limits without_floor() {
@@ -136,25 +139,26 @@
 
 } // namespace
 
-TEST_CASE("cheap requests of the lowest tier don't go without because dear ones wait",
+TEST_CASE("cheap requests of the lowest tier aren't starved by expensive ones of higher tiers",
           "[policy][slot_floor]") {
-    // Under lasting load the higher tiers take every slot that comes free. The lowest one's callers hear
-    // refusals only, for half a minute, though all of their requests together need a tenth of the slots.
+    // Under sustained load, the higher tiers take every slot that comes free. All requests of the lowest tier
+    // together need only a tenth of the slots, yet they were all refused for half a minute.
     played_load strict(without_floor(), 4, 9);
     strict.play(heavy_load, 20s);
     CHECK(strict.result(2).share() < 0.1);
     played_load floored({}, 4, 9);
     floored.play(heavy_load, 20s);
     CHECK(floored.result(2).share() > 0.5);
-    // What it gets is the floor, no more; the highest tier goes on before the others.
+    // The lowest tier gets its minimum share and no more, and the highest tier still goes before the middle
+    // one.
     CHECK(floored.slot_share(2) < 0.1);
     CHECK(floored.result(0).share() > floored.result(1).share());
-    // All floors together take a quarter of the slots at most.
+    // The minimum shares together take at most a quarter of the slots.
     CHECK(floored.result(0).share() >= 0.75 * strict.result(0).share());
 }
 
-TEST_CASE("a process with a part of all slots keeps the floors too", "[policy][slot_floor]") {
-    // No coordinator is heard, so each of five gateways gives out its part of every server.
+TEST_CASE("a process with a share of all slots guarantees the minimum shares too", "[policy][slot_floor]") {
+    // Without a coordinator, each of five gateways grants its own share of every server's slots.
     slot_scheduler_limits limits;
     limits.share = 0.2;
     auto load = heavy_load;
@@ -167,8 +171,10 @@
     CHECK(part.result(0).share() > part.result(1).share());
 }
 
-TEST_CASE("a new coordinator keeps the floors from its first decision on", "[policy][slot_floor]") {
-    // It knows what runs from what the members tell, and nothing of what was given before.
+TEST_CASE("a new coordinator guarantees the minimum shares from its first decision on",
+          "[policy][slot_floor]") {
+    // A new coordinator learns the running requests from the members, but not the slot time that was granted
+    // before.
     played_load load({}, 4, 9);
     load.play(heavy_load, 5s);
     for (int change = 0; change < 5; ++change) {
@@ -180,7 +186,7 @@
     }
 }
 
-TEST_CASE("with many tiers each one below the highest gets something, and all together a bounded part",
+TEST_CASE("with many tiers, each one below the highest gets some slots, and all together a bounded share",
           "[policy][slot_floor]") {
     std::vector<tier_load> load{{0, 60, 1400ms}};
     for (int tier = 1; tier < 8; ++tier) {
@@ -198,7 +204,7 @@
     CHECK(lower < 0.35);
 }
 
-TEST_CASE("while nothing waits long, the order of tiers is strict", "[policy][slot_floor]") {
+TEST_CASE("without overload, requests of all tiers are served", "[policy][slot_floor]") {
     played_load calm({}, 4, 9);
     calm.play({{0, 10, 1400ms}, {1, 5, 1100ms}, {2, 20, 120ms}}, 10s);
     CHECK(calm.result(0).share() > 0.95);
@@ -206,22 +212,22 @@
     CHECK(calm.result(2).share() > 0.95);
 }
 
-TEST_CASE("a floor is owed until its share was given", "[policy][slot_floor]") {
+TEST_CASE("a tier may be granted slots first until it has its minimum share", "[policy][slot_floor]") {
     slot_floor floor({0.1, 0.25});
     for (int index = 0; index < 40; ++index) {
         floor.begin(0, start_time);
     }
     const auto later = start_time + 4s;
     CHECK(floor.share(0, later) == Approx(1));
-    CHECK(floor.owed(1, 1, later) == 8); // twice its part, to catch up
+    CHECK(floor.owed(1, 1, later) == 8); // twice its share, so that it catches up
     for (int index = 0; index < 8; ++index) {
         floor.begin(1, later);
     }
-    CHECK(floor.owed(1, 1, later) <= 1); // its slots count at once
+    CHECK(floor.owed(1, 1, later) <= 1); // the slots just granted count at once
     CHECK(floor.owed(1, 1, later + 10s) == 0);
     for (int index = 0; index < 8; ++index) {
         floor.end(1, later + 10s);
     }
     CHECK(floor.owed(1, 1, later + 30s) > 0);
-    CHECK(floor.owed(1, 100, later + 30s) <= 1); // many share the part of all
+    CHECK(floor.owed(1, 100, later + 30s) <= 1); // 100 tiers divide share_of_all between them
 }
--- a/tests/unit/test_policy_slot_scheduler.cpp
+++ b/tests/unit/test_policy_slot_scheduler.cpp
@@ -1,4 +1,5 @@
-// Which request gets which slot.
+// Tests of slot_scheduler: which request gets which slot, which requests are refused, and which servers are
+// avoided.
 #include "policy/slot_scheduler.hpp"
 
 #include <catch2/catch.hpp>
@@ -42,7 +43,8 @@
 
 } // namespace
 
-TEST_CASE("no server gets more than its slots and the lookahead", "[policy][slot_scheduler]") {
+TEST_CASE("a server gets no more requests than its slots times outstanding_per_slot",
+          "[policy][slot_scheduler]") {
     auto scheduler = make_scheduler(2, 4, {.outstanding_per_slot = 1.25, .reserved_slots = 0});
     for (slot_ticket ticket = 1; ticket <= 16; ++ticket) {
         scheduler.add(make_request(ticket, 0), start_time);
@@ -54,7 +56,8 @@
     CHECK(scheduler.grant(start_time).size() == 1);
 }
 
-TEST_CASE("a higher tier goes first, however long a lower one has waited", "[policy][slot_scheduler]") {
+TEST_CASE("a request of a higher tier goes first, however long one of a lower tier has waited",
+          "[policy][slot_scheduler]") {
     auto scheduler = make_scheduler(1, 1, {.outstanding_per_slot = 1, .reserved_slots = 0});
     scheduler.add(make_request(1, 0), start_time);
     const auto first = scheduler.grant(start_time);
@@ -74,10 +77,11 @@
     CHECK(order == std::vector<slot_ticket>{4, 3, 2});
 }
 
-TEST_CASE("a long answer goes where it overruns its caller's time least", "[policy][slot_scheduler]") {
-    // One engine begins soonest, but makes tokens at a third of the other's pace. The longest answers take it
-    // more time than their callers have: they hold its slot until they are thrown away, and their callers see
-    // a stream break off after many seconds.
+TEST_CASE("a long answer goes to the server where it exceeds its deadline least",
+          "[policy][slot_scheduler]") {
+    // One engine sends its first event soonest but needs three times as long per token as the other one. On
+    // this engine, the longest answers would exceed their callers' deadlines: they would occupy a slot until
+    // they are aborted, and their callers would receive a truncated stream.
     constexpr server_key slow = 1;
     constexpr server_key fast = 2;
     auto scheduler = make_scheduler(2, 1, {.outstanding_per_slot = 1, .reserved_slots = 0});
@@ -96,15 +100,15 @@
     const auto grants = scheduler.grant(start_time);
     REQUIRE(grants.size() == 1);
     CHECK(grants.front().server == fast);
-    // It waits a little for the fast one, and then takes what there is: it may be shorter than its caller
-    // told.
+    // A long request waits a little for the fast server and then takes the slow one, since the answer may be
+    // shorter than its caller stated.
     request.ticket = 51;
     scheduler.add(request, start_time);
     CHECK(scheduler.grant(start_time + 100ms).empty());
     const auto later = scheduler.grant(start_time + 300ms);
     REQUIRE(later.size() == 1);
     CHECK(later.front().server == slow);
-    // A short one goes where it begins soonest.
+    // A short request goes to the server with the earliest first event.
     scheduler.release({51, slow, slot_outcome::served, 100ms, 10ms}, start_time);
     request.ticket = 52;
     request.cost.output = 40;
@@ -113,10 +117,9 @@
     CHECK(scheduler.grant(start_time + 300ms).front().server == slow);
 }
 
-TEST_CASE("an answer of absurd length is expected to take long, not to be over at once",
-          "[policy][output_pace]") {
-    // A caller tells that its answer has more tokens than any engine makes in a lifetime. Turned into a time,
-    // that wrapped round to the distant past, and every server seemed fast enough.
+TEST_CASE("the expected time of an absurdly long answer doesn't overflow", "[policy][output_pace]") {
+    // A caller states an answer length of more tokens than any engine generates in a lifetime. The conversion
+    // to a duration overflowed to a negative value, so that every server seemed to be fast enough.
     output_pace pace;
     pace.learn(400, 4s);
     CHECK(pace.expect(100) > 900ms);
@@ -124,11 +127,11 @@
     CHECK(start_time + pace.expect(9e18) + pace.expect(9e18) > start_time);
 }
 
-TEST_CASE("room is found whatever happens to servers, and never given out twice",
+TEST_CASE("free slots are found and never granted twice while servers come and go",
           "[policy][slot_scheduler]") {
-    // Servers come, leave, come back with other slots, and requests end at any time. A scheduler that lost
-    // track of a server's room would leave callers waiting beside free servers, or queue them inside busy
-    // ones.
+    // Servers are added, removed and added again with another number of slots while requests end at any time.
+    // If the scheduler's list of servers with room were wrong, requests would wait although a server is free,
+    // or queue up inside busy servers.
     std::mt19937 random(11);
     slot_scheduler scheduler({.outstanding_per_slot = 1, .reserved_slots = 0, .patience = 1e6});
     std::map<server_key, unsigned> slots;
@@ -163,7 +166,7 @@
     }
 }
 
-TEST_CASE("requests that were withdrawn are never granted", "[policy][slot_scheduler]") {
+TEST_CASE("withdrawn requests get no slot", "[policy][slot_scheduler]") {
     auto scheduler = make_scheduler(1, 2, {});
     scheduler.add(make_request(1, 0), start_time);
     CHECK(scheduler.withdraw(1));
@@ -171,11 +174,11 @@
     CHECK(scheduler.grant(start_time).empty());
 }
 
-TEST_CASE("what can't be served in time is refused at once, what comes back is not",
+TEST_CASE("a request that can't be served in time is refused at once, a retried one is queued",
           "[policy][slot_scheduler]") {
-    // A burst has filled the queue for seconds. Held until its patience is over, a request hears the same as
-    // at once, and its caller has lost that time; one that was refused before and came back has waited
-    // already.
+    // A burst has filled the queue for several seconds. A new request that can't be served in time is refused
+    // at once, because waiting for the same refusal would only cost its caller time. A retried request is
+    // queued, since its caller has already waited.
     auto scheduler = make_scheduler(1, 1, {.outstanding_per_slot = 1, .reserved_slots = 0});
     for (slot_ticket ticket = 1; ticket <= 20; ++ticket) {
         scheduler.add(make_request(ticket, 0), start_time);
@@ -193,7 +196,8 @@
 
 namespace {
 
-/// A server that has begun a request each 10 ms for a second; all slots are free again.
+/// Returns a scheduler with one server that has started a request every 10 ms for a second and whose slots
+/// are all free.
 slot_scheduler make_busy_scheduler(unsigned slots) {
     auto scheduler = make_scheduler(1, slots, {.outstanding_per_slot = 1, .reserved_slots = 0});
     for (slot_ticket ticket = 1000; ticket < 1100; ++ticket) {
@@ -210,10 +214,11 @@
 
 } // namespace
 
-TEST_CASE("a request that would be late before its turn is refused on arrival", "[policy][slot_scheduler]") {
-    // A burst of thirty requests comes to a server that begins a hundred a second. Those behind the first
-    // twenty can't begin in the 0.2 s in which they would be in time. Held until they are late, and then
-    // until their patience is over, they would hear the same refusal half a second later.
+TEST_CASE("a request that is expected to be late before it gets a slot is refused on arrival",
+          "[policy][slot_scheduler]") {
+    // A burst of 30 requests reaches a server that starts 100 requests a second, so those after the first 20
+    // can't start within the 0.2 s in which they would be on time. Without a refusal on arrival they would be
+    // moved to the queue of late requests and be refused after their maximum wait, half a second later.
     auto scheduler = make_busy_scheduler(1);
     for (slot_ticket ticket = 1; ticket <= 30; ++ticket) {
         scheduler.add(make_request(ticket, 0), start_time);
@@ -223,9 +228,10 @@
     CHECK(refused <= 20);
 }
 
-TEST_CASE("late requests don't wait while no late one is served", "[policy][slot_scheduler]") {
-    // A server hangs for a while. What waits turns late, and nothing late has been served lately. Each caller
-    // would be held for all of its patience and then refused, when it could have been told at once.
+TEST_CASE("late requests are refused at once while no late request is being served",
+          "[policy][slot_scheduler]") {
+    // While a server hangs, the waiting requests become late, and no late request has been served recently.
+    // Those that can't expect a slot are refused at once, instead of waiting for their maximum time first.
     auto scheduler = make_busy_scheduler(1);
     for (slot_ticket ticket = 1; ticket <= 16; ++ticket) {
         scheduler.add(make_request(ticket, 0), start_time);
@@ -238,9 +244,9 @@
     CHECK(scheduler.waiting() == 8);
 }
 
-TEST_CASE("late requests wait where late ones are served", "[policy][slot_scheduler]") {
-    // A burst is over and the server works off what is left of it. Late answers are worth something to their
-    // callers, and refusing them all would leave slots empty.
+TEST_CASE("late requests are queued while late requests are being served", "[policy][slot_scheduler]") {
+    // After a burst, the server works off the queue. Late answers still have a value for their callers, and
+    // slots would stay empty if all late requests were refused.
     auto scheduler = make_busy_scheduler(1);
     for (slot_ticket ticket = 1; ticket <= 16; ++ticket) {
         scheduler.add(make_request(ticket, 0), start_time);
@@ -257,7 +263,7 @@
     CHECK(scheduler.waiting() == 0);
 }
 
-TEST_CASE("a server that left gets nothing new, and its requests leave no trace",
+TEST_CASE("a removed server gets no new requests, also after its running requests have ended",
           "[policy][slot_scheduler]") {
     auto scheduler = make_scheduler(2, 2, {.outstanding_per_slot = 1, .reserved_slots = 0});
     for (slot_ticket ticket = 1; ticket <= 4; ++ticket) {
@@ -277,9 +283,9 @@
     }
 }
 
-TEST_CASE("a crashed server that answers fastest doesn't draw the load", "[policy][slot_scheduler]") {
-    // One server of four refuses connections at once. Judged by free slots alone it would get nearly every
-    // request, again and again.
+TEST_CASE("a crashed server that fails requests quickly doesn't attract them", "[policy][slot_scheduler]") {
+    // One of four servers refuses connections at once, so it always has free slots. Chosen by free slots
+    // alone, it would get nearly every request.
     auto scheduler = make_scheduler(4, 4, {.outstanding_per_slot = 1, .reserved_slots = 0});
     unsigned failed = 0;
     slot_ticket ticket = 0;
@@ -299,11 +305,11 @@
     CHECK_FALSE(scheduler.take_health_changes().empty());
 }
 
-TEST_CASE("a server that has started anew gets nothing more under its former name",
+TEST_CASE("a server that was restarted under a new key gets no more requests under the old one",
           "[policy][slot_scheduler]") {
-    // A server crashes and is back at its address under another name, which isn't known here for a second or
-    // two. Whatever is sent to the former one is turned away at once, so it always looks free: it draws
-    // request after request, and all of them count as sent once more.
+    // A server crashes and starts again at its address under a new key, which the scheduler only learns a
+    // second or two later. Requests to the old key are rejected at once, so it always appears to have free
+    // slots; it would draw one request after the other, and each would count as a retry.
     auto scheduler = make_scheduler(4, 4, {.outstanding_per_slot = 1, .reserved_slots = 0});
     unsigned turned_away = 0;
     for (slot_ticket ticket = 1; ticket <= 100; ++ticket) {
@@ -322,7 +328,8 @@
     CHECK(turned_away <= 4);
 }
 
-TEST_CASE("a request avoids the servers that failed it while others take work", "[policy][slot_scheduler]") {
+TEST_CASE("a request avoids the servers that failed it while other servers take work",
+          "[policy][slot_scheduler]") {
     auto scheduler = make_scheduler(2, 4, {});
     auto request = make_request(1, 0);
     request.avoided = {1, 0};
@@ -336,7 +343,7 @@
     CHECK(scheduler.grant(start_time).size() == 1);
 }
 
-TEST_CASE("equally free servers take turns", "[policy][slot_scheduler]") {
+TEST_CASE("equally suitable servers are used in turn", "[policy][slot_scheduler]") {
     auto scheduler = make_scheduler(3, 4, {});
     std::set<server_key> used;
     for (slot_ticket ticket = 1; ticket <= 3; ++ticket) {
@@ -349,15 +356,15 @@
     CHECK(used.size() == 3);
 }
 
-TEST_CASE("a long prompt waits for a server that reads fast enough", "[policy][slot_scheduler]") {
-    // Engines differ threefold. A chapter of 20,000 tokens on a slow one is late, and holds up every stream
-    // beside it; a moment later a fast one is free.
+TEST_CASE("a long prompt waits for a server that processes it fast enough", "[policy][slot_scheduler]") {
+    // The speed of engines differs by a factor of three. A prompt of 20,000 tokens would be late on a slow
+    // engine and would stall all streams that run there, while a fast engine is free a moment later.
     auto scheduler = make_scheduler(2, 1, {.outstanding_per_slot = 1, .reserved_slots = 0});
     slot_ticket ticket = 0;
     auto now = start_time;
     for (int round = 0; round < 200; ++round) {
         now += 2s;
-        // Two at once, so that both servers work.
+        // Two requests at the same time, so that both servers get one.
         const double prompt = round % 2 == 0 ? 500 : 4000;
         for (int number = 0; number < 2; ++number) {
             auto request = make_request(++ticket, 0);
@@ -390,12 +397,11 @@
     CHECK(granted.front().server == 1);
 }
 
-TEST_CASE("a server that reads faster than expected doesn't look busier with every request",
+TEST_CASE("the expected backlog doesn't keep growing on a server that processes prompts faster than expected",
           "[policy][slot_scheduler]") {
-    // An engine reads a prompt of 3,000 tokens in 30 ms, and 60 ms are expected of it. Requests come every
-    // 40 ms, so the prompts that it is believed to have before it add up to seconds although it begins each
-    // answer after 100 ms. Requests that could be in time wait beside empty slots, and their callers get them
-    // late.
+    // An engine needs 30 ms for a prompt of 3,000 tokens, but 60 ms are expected. With a request every 40 ms,
+    // the expected backlog of prompts would grow to seconds although each answer starts after 100 ms, and
+    // requests would wait beside empty slots until they are late.
     auto scheduler = make_scheduler(1, 20, {.outstanding_per_slot = 1, .reserved_slots = 0});
     const auto ends_after = 200ms;
     std::map<time_point, slot_grant> ends;
@@ -417,9 +423,10 @@
     }
 }
 
-TEST_CASE("within a tier, what can still be in time goes before what is late", "[policy][slot_scheduler]") {
-    // After a burst the oldest requests are late whatever happens. Served first, they make all that follow
-    // late as well.
+TEST_CASE("within a tier, requests that can still meet their target go before late ones",
+          "[policy][slot_scheduler]") {
+    // After a burst, the oldest requests are already late. Served first, they would make all following
+    // requests late too.
     auto scheduler = make_scheduler(1, 1, {.outstanding_per_slot = 1, .reserved_slots = 0, .patience = 10});
     auto late = make_request(1, 0);
     late.arrived = start_time - 2s;
@@ -435,8 +442,7 @@
     CHECK(second.front().ticket == 1);
 }
 
-TEST_CASE("a request that has waited too long is given up and told when to come back",
-          "[policy][slot_scheduler]") {
+TEST_CASE("a request that has waited too long is refused with a retry delay", "[policy][slot_scheduler]") {
     auto scheduler = make_scheduler(1, 1, {.outstanding_per_slot = 1, .reserved_slots = 0, .patience = 1.5});
     scheduler.add(make_request(1, 0), start_time);
     REQUIRE(scheduler.grant(start_time).size() == 1);
@@ -451,11 +457,11 @@
     CHECK(scheduler.waiting() == 0);
 }
 
-TEST_CASE("a request isn't put behind a full server's queue while another begins it sooner",
+TEST_CASE("a request isn't queued inside a full server while another server would start it earlier",
           "[policy][slot_scheduler]") {
-    // Two engines with as much to read, which is nothing. In one all slots are taken by answers of two
-    // seconds, and what comes next waits inside it for one of them to end. Given there as to the sooner one,
-    // a short prompt had its first event a quarter of a second late.
+    // Two engines have no prompts to process, but all slots of one are taken by answers of two seconds, so
+    // that a further request waits inside it for a slot. When this wait wasn't taken into account, a request
+    // with a short prompt was sent there and had its first event a quarter of a second late.
     constexpr server_key full = 1;
     constexpr server_key free = 2;
     auto scheduler = make_scheduler(2, 4, {.outstanding_per_slot = 1.5, .reserved_slots = 0});
@@ -468,7 +474,8 @@
     for (slot_ticket ticket = 1; ticket <= 8; ++ticket) {
         occupy(ticket % 2 == 0 ? full : free, ticket);
     }
-    // Both have shown how long an answer takes; the one that will be full begins it sooner.
+    // Both servers have finished answers of known length. The one that will be full has the earlier first
+    // events.
     for (slot_ticket ticket = 1; ticket <= 8; ++ticket) {
         finish(ticket % 2 == 0 ? full : free, ticket, ticket % 2 == 0 ? 20ms : 60ms);
     }
@@ -481,10 +488,11 @@
     CHECK(grants.front().server == free);
 }
 
-TEST_CASE("a server in the request's own failure domain goes first where that costs no time",
+TEST_CASE("a server in the request's own failure domain is preferred if that costs no time",
           "[policy][slot_scheduler]") {
-    // Servers of all failure domains begin equally soon. Taken without a look at where they stand, two of
-    // three prompts and answers crossed between failure domains, which is paid for by the byte.
+    // Servers in all failure domains send their first events equally early. When the scheduler ignored the
+    // failure domain, two thirds of the prompts and answers crossed between failure domains, and this traffic
+    // is charged by the byte.
     constexpr domain_key here = 7;
     constexpr domain_key elsewhere = 8;
     slot_scheduler scheduler({.outstanding_per_slot = 1, .reserved_slots = 0});
@@ -502,8 +510,8 @@
     }
     CHECK(order[0] == 2);
     CHECK(order[1] == 2);
-    CHECK(order[2] != 2); // full: another domain is better than waiting
-    // A near one that is slower by more than a caller may notice isn't taken.
+    CHECK(order[2] != 2); // server 2 is full, and another domain is better than waiting
+    // A server in the same failure domain isn't chosen if it is slower by more than a caller may notice.
     scheduler.add_running({100, 2, engines, 0}, start_time);
     for (int index = 0; index < 20; ++index) {
         scheduler.add_running({200, 1, engines, 0}, start_time);
@@ -522,10 +530,10 @@
     CHECK(grants.front().server != 2);
 }
 
-TEST_CASE("no slots stand empty for a higher tier where slots come free all the time",
+TEST_CASE("no slots are reserved on a server where slots come free all the time",
           "[policy][slot_scheduler]") {
-    // Calls to a plain service take 60 ms. Two of its six slots were kept from the lower of two tiers, whose
-    // callers were refused while they stood empty.
+    // Calls to a service that isn't a model engine take 60 ms. Two of its six slots were reserved for the
+    // higher tier, and callers of the lower tier were refused while these slots were empty.
     slot_scheduler scheduler({.outstanding_per_slot = 1, .reserved_slots = 2});
     scheduler.set_server(1, engines, 6);
     const auto fill = [&](slot_ticket first) {
@@ -535,7 +543,7 @@
         }
         return scheduler.grant(start_time);
     };
-    const auto before = fill(1); // nothing is known yet: two slots are kept
+    const auto before = fill(1); // the turnover isn't known yet, so two slots are reserved
     CHECK(before.size() == 4);
     for (slot_ticket ticket = 101; ticket < 120; ++ticket) {
         scheduler.add_running({ticket, 1, engines, 1}, start_time);
@@ -544,15 +552,15 @@
     CHECK(scheduler.grant(start_time).size() == 2);
 }
 
-TEST_CASE("small servers are handed more for each slot, and the lowest tier is let in",
+TEST_CASE("small servers are sent more requests per slot and reserve fewer slots",
           "[policy][slot_scheduler]") {
-    // Two slots kept free are a quarter of a server with eight, and half of one with four: there the lowest
-    // tier was refused while slots stood idle. And of four slots one comes free seldom, so that it is idle
-    // for long when nothing waits inside the server.
+    // Two reserved slots are a quarter of a server with eight slots but half of one with four, where the
+    // lowest tier was refused while slots were idle. Also, with few slots, one rarely comes free, and is then
+    // idle for long unless another request is already waiting inside the server.
     struct server_size {
         unsigned slots;
-        std::size_t highest; ///< requests that it is handed
-        std::size_t lowest;
+        std::size_t highest; ///< requests that the server is sent, if all are of the highest tier
+        std::size_t lowest;  ///< the same for the lowest tier
     };
     for (const auto& [slots, highest, lowest] : {server_size{1, 1, 1},
                                                  {2, 3, 2},
@@ -564,7 +572,7 @@
                                                  {16, 20, 18}}) {
         const auto count_grants = [slots = slots](int tier) {
             auto scheduler = make_scheduler(1, slots, {.hopeless_wait = 1e6});
-            scheduler.add(make_request(1000, 1 - tier), start_time); // both tiers are known
+            scheduler.add(make_request(1000, 1 - tier), start_time); // creates the queues of both tiers
             scheduler.withdraw(1000);
             for (slot_ticket ticket = 1; ticket <= 40; ++ticket) {
                 scheduler.add(make_request(ticket, tier), start_time);
@@ -577,11 +585,11 @@
     }
 }
 
-TEST_CASE("a late request gets a free slot, but no place before those that can be in time",
+TEST_CASE("a late request gets a free slot but no place in a server's own queue",
           "[policy][slot_scheduler]") {
-    // A server is given a little more than it has slots for, and what waits inside it can't be overtaken.
-    // Under lasting load late requests filled those places as soon as one was free, so that each request in
-    // time waited behind them and was late as well.
+    // A server is sent slightly more requests than it has slots, and a request that waits inside it can't be
+    // overtaken. Under sustained load, late requests took these places as soon as one was free, so that
+    // requests that could have met their target waited behind them and became late too.
     auto scheduler = make_scheduler(1, 4, {.outstanding_per_slot = 1.5, .reserved_slots = 0});
     auto late = make_request(1, 0);
     late.arrived = start_time - 400ms;
