--- a/tests/unit/test_gateway_policy.cpp
+++ b/tests/unit/test_gateway_policy.cpp
@@ -1,4 +1,5 @@
-// The pure decisions behind a gateway: health, attempts, budgets, allowances, registrations, suspects.
+// Tests of the gateway's policies, which need no network and no clock: server health, attempts, the retry
+// budget, quotas, vanished registrations, requests that crash servers, and retry delays.
 #include "policy/allowance_book.hpp"
 #include "policy/attempt_rule.hpp"
 #include "policy/crash_suspects.hpp"
@@ -22,8 +23,9 @@
 
 } // namespace
 
-TEST_CASE("a server that refuses connections rests at once, longer each time, and returns by one request",
-          "[policy][server_health]") {
+TEST_CASE(
+    "a server that refuses connections gets a cooldown at once, longer each time, and ends it by one request",
+    "[policy][server_health]") {
     server_health health;
     CHECK(health.look(start_time) == server_health::trust::full);
     CHECK(health.record(slot_outcome::unreachable, start_time) == server_health::change::rests);
@@ -37,7 +39,7 @@
     CHECK(health.look(second_end) == server_health::trust::full);
 }
 
-TEST_CASE("single failures, refusals and callers that leave don't make a server rest",
+TEST_CASE("single failures, refusals and callers that leave don't start a cooldown",
           "[policy][server_health]") {
     server_health health;
     for (int round = 0; round < 20; ++round) {
@@ -50,7 +52,8 @@
     CHECK(health.failure_share() > 0);
 }
 
-TEST_CASE("what may have run goes elsewhere only if it may be repeated", "[policy][attempt_rule]") {
+TEST_CASE("a request that may have run is only sent to another server if it may run twice",
+          "[policy][attempt_rule]") {
     attempt_rule once(false, 3);
     once.record(1, try_outcome::unreachable);
     once.record(2, try_outcome::not_executed);
@@ -67,8 +70,8 @@
     CHECK_FALSE(often.may_try_again());
 }
 
-TEST_CASE("repeats stay within a share of the requests and a reserve", "[policy][repeat_budget]") {
-    // A service fails everything. Without a budget each of its requests arrives several times.
+TEST_CASE("retries stay within a share of the requests and a reserve", "[policy][repeat_budget]") {
+    // A service fails all requests. Without a budget, each request would be sent to several servers.
     repeat_budget budget({.ratio = 0.2, .reserve = 10, .window = 10s});
     int repeats = 0;
     for (int index = 0; index < 1000; ++index) {
@@ -82,10 +85,10 @@
     CHECK(budget.try_repeat(8, start_time));
 }
 
-TEST_CASE("an allowance is a rate with a burst, divided by shares", "[policy][allowance_book]") {
+TEST_CASE("a quota is a rate with a burst, divided by shares", "[policy][allowance_book]") {
     allowance_book book({.window = 8s, .tolerance = 0, .slack = 0});
     book.set_limit(1, {.rate = 100, .burst = 200}, start_time);
-    // A fresh bucket may be one of several within a window, so it isn't full.
+    // A new bucket isn't full, because other processes may have started one within the same window.
     CHECK_FALSE(book.try_take(1, 200, 0, start_time));
     const auto later = start_time + 10s;
     CHECK(book.try_take(1, 200, 0, later));
@@ -100,9 +103,10 @@
     CHECK(book.try_take(2, 1e9, 0, later));
 }
 
-TEST_CASE("a window never holds more than the limit and its tolerance", "[policy][allowance_book]") {
-    // A workspace asks for far more than it may have, and the process that counts changes twice in the
-    // middle.
+TEST_CASE("no more units are granted in a window than the limit and its tolerance",
+          "[policy][allowance_book]") {
+    // A workspace requests far more than its quota, and the process that counts its units is replaced twice
+    // within a window.
     const allowance_limits limits{.window = 8s, .tolerance = 0.1, .slack = 500};
     const allowance limit{.rate = 100, .burst = 200};
     double given = 0;
@@ -120,11 +124,11 @@
     CHECK(given <= (100 * 8 + 200) * 1.1 + 500);
 }
 
-TEST_CASE("processes that start together give out no more than one that starts alone",
+TEST_CASE("processes that start together grant no more units than one that starts alone",
           "[policy][allowance_book]") {
-    // All gateways were killed and are back, and each gives out a part of its own until it has found who
-    // coordinates. A first level that was the same for each let a workspace run over its limit by as many
-    // times as there are gateways.
+    // All gateways were killed and start again, and each grants its own share of the quota until it has found
+    // the coordinator. When the initial level of the bucket didn't depend on the share, a workspace could
+    // exceed its quota by as many times as there are gateways.
     const allowance_limits limits{.window = 8s, .tolerance = 0.1, .slack = 500};
     const auto give_out_at_start = [&](double share) {
         allowance_book book(limits);
@@ -140,11 +144,12 @@
     CHECK(give_out_at_start(0.25) > 0);
 }
 
-TEST_CASE("a process that comes to coordinate gives out what one that begins so does",
+TEST_CASE("a process that becomes coordinator grants as many units as one that starts as coordinator",
           "[policy][allowance_book]") {
-    // It gave out a part of its own before. Left with that part's first level, a workspace of few requests a
-    // second would be refused within its limit for seconds; given the whole again at each change of its part,
-    // it would run over it.
+    // A process that granted its own share of a quota becomes the coordinator. If it kept the initial level
+    // of its share, a workspace with few requests a second would be refused for seconds although it is within
+    // its quota. If it got the full initial level again at each change of its share, the workspace could
+    // exceed its quota.
     const allowance_limits limits{.window = 8s, .tolerance = 0.1, .slack = 500};
     const auto take_all = [](allowance_book& book) {
         double given = 0;
@@ -168,10 +173,9 @@
     CHECK(take_all(chosen) == 0);
 }
 
-TEST_CASE("an allowance that is scarce goes to the higher ranks of its workspace",
-          "[policy][allowance_book]") {
-    // A workspace sends five times what it may. First come, first served would spend its allowance on long
-    // notes that can wait, and refuse the summaries that its writers wait for.
+TEST_CASE("a scarce quota goes to the higher ranks of its workspace", "[policy][allowance_book]") {
+    // A workspace sends five times what its quota allows. Granted in the order of arrival, the quota would be
+    // spent on long notes that can wait, and the summaries that its writers are waiting for would be refused.
     allowance_book book({.window = 8s, .tolerance = 0, .slack = 0});
     book.set_limit(1, {.rate = 1000, .burst = 1000}, start_time);
     std::array<int, 3> asked{};
@@ -185,11 +189,11 @@
     }
     CHECK(taken[0] > 0.95 * asked[0]);
     CHECK(taken[2] < 0.2 * asked[2]);
-    // A call that takes next to nothing isn't held back for the others' sake.
+    // A call that needs hardly any units isn't refused in favour of higher ranks.
     CHECK(book.try_take(1, 1, 2, start_time + 40500ms));
 }
 
-TEST_CASE("a lowered allowance binds at once", "[policy][allowance_book]") {
+TEST_CASE("a lowered quota takes effect at once", "[policy][allowance_book]") {
     allowance_book book({.window = 8s, .tolerance = 0, .slack = 0});
     book.set_limit(1, {.rate = 1000, .burst = 1000}, start_time);
     const auto now = start_time + 10s;
@@ -198,20 +202,21 @@
     CHECK(book.try_take(1, 10, 0, now));
 }
 
-TEST_CASE("a registration that vanishes while only this process is turned away has left",
+TEST_CASE("a registration that vanishes while the store rejects only this process is removed",
           "[policy][registration_watch]") {
-    // The store turns one gateway away and serves the others. A server that leaves meanwhile was missed here
-    // for 2.3 s, and got requests after it had said that it leaves.
+    // The store rejects one gateway and serves all others. A server that drained meanwhile was retained by
+    // this gateway for 2.3 s and got requests after it had announced that it was draining.
     registration_watch watch;
     watch.note_other_in_touch(start_time);
     watch.note_outage(start_time + 200ms);
     CHECK(watch.is_gone("server", start_time + 300ms));
-    // The others' word is old: the store may be away for all.
+    // The last message that another member can reach the store is old, so the store may be unavailable for
+    // all.
     watch.note_outage(start_time + 700ms);
     CHECK_FALSE(watch.is_gone("server", start_time + 800ms));
 }
 
-TEST_CASE("registrations that vanish around an outage are missed before they count as gone",
+TEST_CASE("registrations that vanish around an outage are retained for a while before they are removed",
           "[policy][registration_watch]") {
     registration_watch watch;
     CHECK(watch.is_gone("a", start_time));
@@ -225,9 +230,10 @@
     CHECK(watch.is_gone("c", start_time + 100ms + registration_watch::grace));
 }
 
-TEST_CASE("a request that was cut at two crashed servers is held back, its neighbours aren't",
+TEST_CASE("a request that was aborted at two crashed servers is quarantined, the ones beside it aren't",
           "[policy][crash_suspects]") {
-    // One poisoned chapter crashes every engine that reads it, and takes the engine's other readers with it.
+    // One prompt crashes every engine that processes it, and the requests that run there at the same time are
+    // aborted too.
     crash_suspects suspects;
     suspects.note_cut(666, 1, start_time);
     suspects.note_cut(42, 1, start_time);
@@ -243,11 +249,11 @@
     CHECK_FALSE(suspects.held_for(666, start_time + 2min));
 }
 
-TEST_CASE("a request that crashes servers is known though they start anew at once",
+TEST_CASE("a request that crashes servers is quarantined even if they restart at once",
           "[policy][crash_suspects]") {
-    // Under its old id a server is back before any request finds it gone, so only its new start tells of the
-    // crash; and a connection that went silent is noticed only after that. The request would crash one server
-    // after the other, and callers would lose every answer that was being written there.
+    // A server restarts under its old id before any request finds it gone, so only the new start shows that
+    // it crashed, and an unresponsive connection is noticed only after that. Otherwise the request would
+    // crash one server after the other, with all answers that are being generated there.
     crash_suspects suspects;
     suspects.note_cut(666, 1, start_time);
     suspects.note_restart(1, start_time + 10ms);
@@ -258,7 +264,8 @@
     CHECK_FALSE(suspects.held_for(42, start_time + 1s));
 }
 
-TEST_CASE("cuts long before a server was found gone prove nothing", "[policy][crash_suspects]") {
+TEST_CASE("requests that were aborted long before a server was found gone aren't quarantined",
+          "[policy][crash_suspects]") {
     crash_suspects suspects;
     for (std::uint64_t server = 1; server < 4; ++server) {
         suspects.note_cut(42, server, start_time);
@@ -267,10 +274,9 @@
     CHECK_FALSE(suspects.held_for(42, start_time + 10s));
 }
 
-TEST_CASE("callers are told to come back after as long as the overload has lasted",
-          "[policy][overload_watch]") {
-    // A burst of unknown length. Told to come back in half a second, callers press in again and again; told
-    // to come back in five, they wait for nothing after a short one.
+TEST_CASE("the retry delay is the time that the overload has lasted", "[policy][overload_watch]") {
+    // A burst lasts for an unknown time. With a delay of half a second, callers would retry again and again;
+    // with five seconds, they would wait for nothing after a short burst.
     overload_watch watch;
     watch.note_refusal(start_time);
     const auto early = watch.retry_after(15s, 0.5, start_time);
@@ -282,14 +288,15 @@
     CHECK(later == 3s);
     CHECK(watch.retry_after(15s, 0.0, start_time + 3s) < later);
     CHECK(watch.retry_after(15s, 0.99, start_time + 3s) > later);
-    // Not so late that the caller has no time left for its answer.
+    // The delay leaves the caller enough time for its answer.
     CHECK(watch.retry_after(3s, 0.5, start_time + 3s) <= 1s);
-    // A new burst begins anew.
+    // A new burst starts with a short delay again.
     watch.note_refusal(start_time + 10s);
     CHECK(watch.retry_after(15s, 0.5, start_time + 10s) < 500ms);
 }
 
-TEST_CASE("a request that comes back is known until it is served or long ago", "[policy][return_memory]") {
+TEST_CASE("a retried request is recognised until it is served or its refusal is too old",
+          "[policy][return_memory]") {
     return_memory memory;
     memory.note_refused(7, start_time);
     CHECK(memory.refusals(7, start_time + 2s) == 1);
--- a/tests/unit/test_rollouts.cpp
+++ b/tests/unit/test_rollouts.cpp
@@ -1,5 +1,5 @@
-// From an operator's order to its end: the judgement, the course, who gets slots, and what is read and
-// written.
+// Tests of roll-outs of software versions: the statistical evaluation, the phases, which servers get slots,
+// and the encoding of orders and states in the store.
 #include "platform/backend_codec.hpp"
 #include "platform/rollout_codec.hpp"
 #include "policy/rollout_course.hpp"
@@ -22,18 +22,19 @@
 
 const policy::time_point start_time = policy::time_point{} + 1h;
 
-/// Answers of one version: some fail, some are slow.
+/// The probabilities with which an answer of one version fails or is slow.
 struct quality {
     double failing = 0;
     double slow = 0;
 };
 
-/// Histories drawn from a seed; one answer of the new version to twenty of the former one.
+/// Draws random answers from a seed: 20 answers of the previous version for each one of the new version.
 class played_rollout {
 public:
     explicit played_rollout(unsigned seed) : m_random(seed) {}
 
-    /// Answers of the new version until it is condemned; `most`: all of them, and it wasn't.
+    /// Records answers until the new version is rejected and returns how many answers it gave; `most` if it
+    /// wasn't rejected within that many.
     std::size_t play(rollout_judgement& judgement, quality former, quality next, std::size_t most) {
         constexpr int former_answers = 20;
         for (std::size_t answer = 0; answer < most; ++answer) {
@@ -63,7 +64,8 @@
 
 } // namespace
 
-TEST_CASE("a bad version is condemned before fifty bad answers, a good one isn't", "[policy][rollout]") {
+TEST_CASE("a bad version is rejected before it has given fifty bad answers, a good one isn't",
+          "[policy][rollout]") {
     struct row {
         quality former;
         quality next;
@@ -89,7 +91,8 @@
     CHECK(condemned <= 4 * seeds / 100);
 }
 
-TEST_CASE("a version that turns bad after a good beginning is condemned as soon", "[policy][rollout]") {
+TEST_CASE("a version that turns bad after a good beginning is rejected as soon as one that was always bad",
+          "[policy][rollout]") {
     rollout_judgement judgement;
     played_rollout played(7);
     played.play(judgement, {}, {}, 300);
@@ -98,14 +101,14 @@
     CHECK(judgement.is_bad());
 }
 
-TEST_CASE("a burst that slows both versions condemns neither", "[policy][rollout]") {
+TEST_CASE("a burst that slows down both versions doesn't reject the new one", "[policy][rollout]") {
     rollout_judgement judgement;
     played_rollout played(8);
     played.play(judgement, {}, {}, 100);
     CHECK(played.play(judgement, {0, 0.5}, {0, 0.5}, 3) == 3);
 }
 
-TEST_CASE("the new version gets a small share until it is judged", "[policy][rollout]") {
+TEST_CASE("the new version gets a small share of the requests until it is accepted", "[policy][rollout]") {
     rollout_course course("v2", 10s, start_time);
     course.begin();
     int next = 0;
@@ -118,7 +121,8 @@
     CHECK(next > 40);
 }
 
-TEST_CASE("a good version is completed once the former one works on nothing", "[policy][rollout]") {
+TEST_CASE("the roll-out of a good version is completed once the previous version has no running requests",
+          "[policy][rollout]") {
     rollout_course course("v2", 10s, start_time);
     course.begin();
     for (int answer = 0; answer < 100; ++answer) {
@@ -135,7 +139,7 @@
     CHECK(course.phase() == rollout_phase::completed);
 }
 
-TEST_CASE("a version that nobody could judge is rolled back at the end of its time", "[policy][rollout]") {
+TEST_CASE("a version with too few answers is rolled back at the end of the time limit", "[policy][rollout]") {
     rollout_course course("v2", 10s, start_time);
     course.begin();
     course.advance(true, start_time + 9s);
@@ -146,7 +150,7 @@
     CHECK(course.phase() == rollout_phase::rolled_back);
 }
 
-TEST_CASE("a version that is rolled out gets nothing where nobody decides", "[gateway][rollout]") {
+TEST_CASE("a version that is being rolled out gets no requests without a coordinator", "[gateway][rollout]") {
     known_servers here;
     here.write("old", "engines#v1", 1);
     const bool is_server_first = GENERATE(true, false);
@@ -163,15 +167,16 @@
     CHECK_FALSE(here.rollouts().is_held_back("other"));
     CHECK(here.recorded().empty());
     here.write("new", "leaving engines#v2", 5);
-    CHECK_FALSE(here.rollouts().is_held_back("new")); // it takes no work at all
+    // Not withheld, because a draining server gets no work anyway.
+    CHECK_FALSE(here.rollouts().is_held_back("new"));
     here.write("newer", "engines#v2", 6);
     CHECK(here.rollouts().is_held_back("newer"));
     here.rollouts().withdraw_order("engines");
     CHECK_FALSE(here.rollouts().is_held_back("newer"));
 }
 
-TEST_CASE("who decides asks first what was decided before", "[gateway][rollout]") {
-    // Guards against a successor that begins anew what was rolled back, or goes back on what was completed.
+TEST_CASE("a new coordinator first reads from the store what was decided before", "[gateway][rollout]") {
+    // A new coordinator must not start a roll-out again that was rolled back, or undo one that was completed.
     known_servers here;
     here.write("old", "engines#v1", 1);
     here.write("new", "engines#v2", 2);
@@ -200,7 +205,7 @@
     CHECK(here.recorded().size() == 1);
 }
 
-TEST_CASE("a verdict is recorded again when the store has lost it", "[gateway][rollout]") {
+TEST_CASE("the final state of a roll-out is recorded again if the store has lost it", "[gateway][rollout]") {
     known_servers here;
     here.read_all({1, 10}, {{"old", "engines#v1", 1}, {"new", "engines#v2", 2}});
     here.rollouts().set_order({"engines", "v2", 10s});
@@ -212,7 +217,7 @@
     CHECK(here.recorded().back().state == rollout_state::rolled_back);
 }
 
-TEST_CASE("orders, states and versions mean the same to whoever reads them", "[platform][rollout]") {
+TEST_CASE("orders, states and versions are decoded as they were encoded", "[platform][rollout]") {
     const auto order = platform::decode_rollout(platform::encode_rollout({"engines", "v2", 12s}));
     CHECK(order.service == "engines");
     CHECK(order.to == "v2");
