--- a/src/policy/first_event_model.cpp
+++ b/src/policy/first_event_model.cpp
@@ -1,4 +1,4 @@
-// Fits the two parameters of the line by stochastic gradient descent.
+// Implements first_event_model: fits its two parameters to measured times by stochastic gradient descent.
 #include "policy/first_event_model.hpp"
 
 #include <algorithm>
--- a/src/policy/flow_meter.cpp
+++ b/src/policy/flow_meter.cpp
@@ -1,4 +1,4 @@
-// Implements the rate estimate as a count of events that decays exponentially over time.
+// Implements flow_meter as a count of events that decays exponentially over time.
 #include "policy/flow_meter.hpp"
 
 #include <cmath>
--- a/src/policy/output_pace.cpp
+++ b/src/policy/output_pace.cpp
@@ -1,4 +1,4 @@
-// Implements the estimate as a moving average whose weight depends on the length of each answer.
+// Implements output_pace as a moving average in which the weight of an answer depends on its length.
 #include "policy/output_pace.hpp"
 
 #include <algorithm>
--- a/src/policy/overload_watch.cpp
+++ b/src/policy/overload_watch.cpp
@@ -1,4 +1,5 @@
-// Estimates the remaining duration of an overload as the time that it has lasted so far.
+// Implements overload_watch: estimates the remaining duration of an overload as the time that it has lasted
+// so far.
 #include "policy/overload_watch.hpp"
 
 #include <algorithm>
--- a/src/policy/reading_backlog.cpp
+++ b/src/policy/reading_backlog.cpp
@@ -1,5 +1,5 @@
-// Keeps an expected time at which all prompts are processed; each observed first event can only bring it
-// forward.
+// Implements reading_backlog as the expected time at which all prompts are processed; each observed first
+// event can only bring it forward.
 #include "policy/reading_backlog.hpp"
 
 #include <algorithm>
--- a/src/policy/return_memory.cpp
+++ b/src/policy/return_memory.cpp
@@ -1,5 +1,5 @@
-// Implements the history as a map from fingerprints to refusals and a queue of all refusals in order of time,
-// by which old entries are removed.
+// Implements return_memory as a map from fingerprints to refusals and a queue of all refusals in order of
+// time, by which old entries are removed.
 #include "policy/return_memory.hpp"
 
 #include <chrono>
--- a/src/policy/rollout_course.cpp
+++ b/src/policy/rollout_course.cpp
@@ -1,5 +1,5 @@
-// Implements the phase transitions of a roll-out. A roll-out never returns to an earlier phase, except that
-// it starts again from `waiting` when another process becomes coordinator.
+// Implements the phase transitions of rollout_course. A roll-out never returns to an earlier phase, except
+// that it goes back to `waiting` while this process isn't the coordinator.
 #include "policy/rollout_course.hpp"
 
 namespace borageford::policy {
--- a/src/policy/rollout_judgement.cpp
+++ b/src/policy/rollout_judgement.cpp
@@ -1,4 +1,5 @@
-// Implements a cumulative sum (CUSUM) test: each answer of the new version adds its log-likelihood ratio.
+// Implements rollout_judgement, a cumulative sum (CUSUM) test: each answer of the new version adds its
+// log-likelihood ratio.
 #include "policy/rollout_judgement.hpp"
 
 #include <algorithm>
--- a/src/policy/server_health.cpp
+++ b/src/policy/server_health.cpp
@@ -1,4 +1,5 @@
-// Implements cooldowns whose length doubles with each further failure, and which a single probe request ends.
+// Implements server_health: cooldowns whose length doubles with each further failure, and which one
+// successful probe request ends.
 #include "policy/server_health.hpp"
 
 #include <algorithm>
--- a/src/policy/server_starts.cpp
+++ b/src/policy/server_starts.cpp
@@ -1,4 +1,4 @@
-// Implements the tracker with a map of current starts and a bounded list of superseded ones.
+// Implements server_starts with a map of the current starts and a bounded list of superseded ones.
 #include "policy/server_starts.hpp"
 
 namespace borageford::policy {
--- a/src/policy/slot_choice.cpp
+++ b/src/policy/slot_choice.cpp
@@ -1,5 +1,5 @@
-// Chooses the server with the earliest expected first event among those that can finish the answer before the
-// caller's deadline.
+// Implements choose_server(): chooses the server with the earliest expected first event among those that can
+// finish the answer before the caller's deadline.
 #include "policy/slot_choice.hpp"
 
 #include <algorithm>
--- a/src/policy/slot_floor.cpp
+++ b/src/policy/slot_floor.cpp
@@ -1,4 +1,5 @@
-// Measures each tier's slot time as its number of running requests, averaged over the last seconds.
+// Implements slot_floor: measures each tier's slot time as its number of running requests, averaged over the
+// last seconds.
 #include "policy/slot_floor.hpp"
 
 #include <algorithm>
--- a/src/policy/slot_scheduler.cpp
+++ b/src/policy/slot_scheduler.cpp
@@ -1,4 +1,5 @@
-// Implements the queues, the limits on a server's outstanding requests, and the granting of slots.
+// Implements slot_scheduler: its queues, the limits on a server's outstanding requests, and the granting of
+// slots.
 #include "policy/slot_scheduler.hpp"
 
 #include "policy/random_sequence.hpp"
--- a/src/policy/slot_scheduler.hpp
+++ b/src/policy/slot_scheduler.hpp
@@ -56,7 +56,8 @@
     explicit slot_scheduler(slot_scheduler_limits limits) : m_limits(limits) {}
     slot_scheduler(slot_scheduler&&) = default;
     slot_scheduler& operator=(slot_scheduler&&) = default;
-    slot_scheduler(const slot_scheduler&) = delete; // m_pools points to elements of m_servers
+    // Not copyable, since m_pools points to elements of m_servers.
+    slot_scheduler(const slot_scheduler&) = delete;
     slot_scheduler& operator=(const slot_scheduler&) = delete;
     ~slot_scheduler() = default;
 
--- a/src/policy/slot_server.cpp
+++ b/src/policy/slot_server.cpp
@@ -1,4 +1,5 @@
-// Combines the estimates of one server to predict when a request would begin and end there.
+// Implements slot_server: combines the estimates of one server to predict when a request would begin and end
+// there.
 #include "policy/slot_server.hpp"
 
 #include <algorithm>
--- a/src/policy/slot_turnover.cpp
+++ b/src/policy/slot_turnover.cpp
@@ -1,5 +1,5 @@
-// Applies Little's law: requests end at the rate of the running requests divided by the time that each one
-// takes.
+// Implements slot_turnover by Little's law: the rate at which requests end is the number of running requests
+// divided by the time that each one takes.
 #include "policy/slot_turnover.hpp"
 
 namespace borageford::policy {
