--- a/src/policy/first_event_model.cpp
+++ b/src/policy/first_event_model.cpp
@@ -10,19 +10,19 @@
 constexpr double ms_per_second = 1000;
 /// Step sizes for a measured time below and above the line. With a ratio of three to one, the line settles
 /// where about a quarter of the measured times lie below it.
-constexpr double step_under = 0.15;
-constexpr double step_over = 0.05;
+constexpr double step_below = 0.15;
+constexpr double step_above = 0.05;
 /// The first samples have a larger step size, so that a few requests are enough for a usable estimate of a
 /// new server.
 constexpr unsigned early_samples = 10;
 constexpr double early_factor = 3;
 /// Prompt length in tokens by which prompts are scaled, so that both parameters converge at a similar rate.
 /// Typical prompts have a few thousand tokens.
-constexpr double usual_prompt = 2000;
-constexpr double least_fixed_ms = 1;
-constexpr double most_ms_per_token = 1;
+constexpr double typical_prompt_tokens = 2000;
+constexpr double min_fixed_ms = 1;
+constexpr double max_ms_per_token = 1;
 /// Longer measured times are cut to this one, so that a single request that hung doesn't distort the line.
-constexpr double most_first_ms = 5000;
+constexpr double max_first_event_ms = 5000;
 
 duration from_ms(double ms) {
     return from_seconds(ms / ms_per_second);
@@ -34,31 +34,32 @@
     return from_ms(m_fixed_ms + m_ms_per_token * prompt_tokens);
 }
 
-duration first_event_model::expect_reading(double prompt_tokens) const noexcept {
+duration first_event_model::expect_prompt_processing(double prompt_tokens) const noexcept {
     return from_ms(m_ms_per_token * prompt_tokens);
 }
 
 void first_event_model::learn(double prompt_tokens, duration first_event) noexcept {
-    const double measured = std::min(most_first_ms, to_seconds(first_event) * ms_per_second);
+    const double measured = std::min(max_first_event_ms, to_seconds(first_event) * ms_per_second);
     const double error = measured - (m_fixed_ms + m_ms_per_token * prompt_tokens);
-    const double scaled = std::min(4.0, prompt_tokens / usual_prompt);
-    const double step = (error < 0 ? step_under : step_over) * (m_samples < early_samples ? early_factor : 1);
+    const double scaled = std::min(4.0, prompt_tokens / typical_prompt_tokens);
+    const double step =
+        (error < 0 ? step_below : step_above) * (m_samples < early_samples ? early_factor : 1);
     const double norm = 1 + scaled * scaled;
-    m_fixed_ms = std::max(least_fixed_ms, m_fixed_ms + step * error / norm);
-    m_ms_per_token =
-        std::clamp(m_ms_per_token + step * error * scaled / norm / usual_prompt, 0.0, most_ms_per_token);
+    m_fixed_ms = std::max(min_fixed_ms, m_fixed_ms + step * error / norm);
+    m_ms_per_token = std::clamp(m_ms_per_token + step * error * scaled / norm / typical_prompt_tokens, 0.0,
+                                max_ms_per_token);
     ++m_samples;
 }
 
 void first_event_model::adopt(double fixed_ms, double ms_per_token, unsigned samples) noexcept {
-    const auto told = std::min(samples, early_samples);
-    if (told == 0 || m_samples >= early_samples) {
+    const auto reported = std::min(samples, early_samples);
+    if (reported == 0 || m_samples >= early_samples) {
         return;
     }
-    const double share = static_cast<double>(told) / (told + m_samples);
-    m_fixed_ms += share * (std::max(least_fixed_ms, fixed_ms) - m_fixed_ms);
-    m_ms_per_token += share * (std::clamp(ms_per_token, 0.0, most_ms_per_token) - m_ms_per_token);
-    m_samples = std::min(m_samples + told, early_samples);
+    const double share = static_cast<double>(reported) / (reported + m_samples);
+    m_fixed_ms += share * (std::max(min_fixed_ms, fixed_ms) - m_fixed_ms);
+    m_ms_per_token += share * (std::clamp(ms_per_token, 0.0, max_ms_per_token) - m_ms_per_token);
+    m_samples = std::min(m_samples + reported, early_samples);
 }
 
 } // namespace borageford::policy
--- a/src/policy/first_event_model.hpp
+++ b/src/policy/first_event_model.hpp
@@ -19,7 +19,7 @@
     [[nodiscard]] duration expect(double prompt_tokens) const noexcept;
     /// The part of expect() that is spent on processing the prompt. During this time the server processes no
     /// other prompt.
-    [[nodiscard]] duration expect_reading(double prompt_tokens) const noexcept;
+    [[nodiscard]] duration expect_prompt_processing(double prompt_tokens) const noexcept;
 
     /// Records the measured time from the start of a request to its first event.
     void learn(double prompt_tokens, duration first_event) noexcept;
--- a/src/policy/flow_meter.cpp
+++ b/src/policy/flow_meter.cpp
@@ -9,7 +9,7 @@
 
 /// Time constant of the decay. Bursts of requests start and end within about a second, so a longer memory
 /// would react too late.
-constexpr double memory_seconds = 1;
+constexpr double time_constant_seconds = 1;
 
 } // namespace
 
@@ -17,16 +17,16 @@
     if (m_updated == time_point::min()) {
         return 0;
     }
-    return m_level * std::exp(-to_seconds(now - m_updated) / memory_seconds);
+    return m_level * std::exp(-to_seconds(now - m_updated) / time_constant_seconds);
 }
 
-void flow_meter::count(time_point now) noexcept {
+void flow_meter::record(time_point now) noexcept {
     m_level = decayed(now) + 1;
     m_updated = now;
 }
 
 double flow_meter::per_second(time_point now) const noexcept {
-    return decayed(now) / memory_seconds;
+    return decayed(now) / time_constant_seconds;
 }
 
 } // namespace borageford::policy
--- a/src/policy/flow_meter.hpp
+++ b/src/policy/flow_meter.hpp
@@ -9,7 +9,7 @@
 class flow_meter {
 public:
     /// Records one event.
-    void count(time_point now) noexcept;
+    void record(time_point now) noexcept;
     /// The current estimate in events per second; 0 if no event was ever recorded.
     [[nodiscard]] double per_second(time_point now) const noexcept;
 
--- a/src/policy/output_pace.cpp
+++ b/src/policy/output_pace.cpp
@@ -9,22 +9,22 @@
 
 /// Answers with fewer tokens are ignored: nearly all of their time passes before the first event, and the
 /// time after the first event is too short to measure.
-constexpr double least_tokens = 16;
-/// An answer of this many tokens or more has the full weight `most_weight`; shorter answers have
+constexpr double min_tokens = 16;
+/// An answer of this many tokens or more has the full weight `max_weight`; shorter answers have
 /// proportionally less.
-constexpr double telling_tokens = 400;
+constexpr double full_weight_tokens = 400;
 /// Weight of one long answer, so that about the last ten determine the average. A server's time per token
 /// changes with what else it is working on.
-constexpr double most_weight = 0.1;
+constexpr double max_weight = 0.1;
 
 } // namespace
 
-void output_pace::learn(double tokens, duration took) noexcept {
-    if (tokens < least_tokens || took <= duration::zero()) {
+void output_pace::learn(double tokens, duration elapsed) noexcept {
+    if (tokens < min_tokens || elapsed <= duration::zero()) {
         return;
     }
-    const double measured = to_seconds(took) / tokens;
-    const double weight = most_weight * std::min(1.0, tokens / telling_tokens);
+    const double measured = to_seconds(elapsed) / tokens;
+    const double weight = max_weight * std::min(1.0, tokens / full_weight_tokens);
     m_seconds_per_token =
         m_seconds_per_token > 0 ? m_seconds_per_token + weight * (measured - m_seconds_per_token) : measured;
 }
--- a/src/policy/output_pace.hpp
+++ b/src/policy/output_pace.hpp
@@ -10,9 +10,9 @@
 /// because a few tokens are too few for a good measurement.
 class output_pace {
 public:
-    /// Records a finished answer with the number of tokens `tokens`; `took` is the time from its first event
-    /// to its end. Answers that are too short to measure are ignored.
-    void learn(double tokens, duration took) noexcept;
+    /// Records a finished answer with the number of tokens `tokens`; `elapsed` is the time from its first
+    /// event to its end. Answers that are too short to measure are ignored.
+    void learn(double tokens, duration elapsed) noexcept;
 
     /// Takes over a time per token (in seconds) that another process measured. Has no effect once a value is
     /// known here.
--- a/src/policy/overload_watch.hpp
+++ b/src/policy/overload_watch.hpp
@@ -15,7 +15,7 @@
 class overload_watch {
 public:
     /// Records that a request was refused.
-    void note_refusal(time_point now) noexcept;
+    void record_refusal(time_point now) noexcept;
 
     /// The delay after which a refused caller should retry. `time_left` is the time until the caller's
     /// deadline; `draw` is a random number in [0, 1) that spreads the callers.
--- a/src/policy/reading_backlog.cpp
+++ b/src/policy/reading_backlog.cpp
@@ -6,19 +6,19 @@
 
 namespace borageford::policy {
 
-reading_backlog::mark reading_backlog::add(duration reading, time_point now) noexcept {
-    m_ends = std::max(m_ends, now) + reading;
-    m_given += reading;
-    return m_given;
+reading_backlog::mark reading_backlog::add(duration processing_time, time_point now) noexcept {
+    m_expected_end = std::max(m_expected_end, now) + processing_time;
+    m_total += processing_time;
+    return m_total;
 }
 
-void reading_backlog::note_read(mark prompt, time_point at) noexcept {
-    const auto given_after = m_given - prompt;
-    m_ends = std::min(m_ends, at + given_after);
+void reading_backlog::record_processed(mark prompt, time_point at) noexcept {
+    const auto added_after = m_total - prompt;
+    m_expected_end = std::min(m_expected_end, at + added_after);
 }
 
 duration reading_backlog::wait(time_point now) const noexcept {
-    return std::max(duration::zero(), m_ends - now);
+    return std::max(duration::zero(), m_expected_end - now);
 }
 
 } // namespace borageford::policy
--- a/src/policy/reading_backlog.hpp
+++ b/src/policy/reading_backlog.hpp
@@ -11,26 +11,26 @@
 /// every request, until a server that starts new answers at once would appear to be seconds behind. Requests
 /// that could still meet their target would not be sent there, and its slots would stay empty until late
 /// requests take them. A first event proves that its prompt and all earlier prompts have been processed, and
-/// note_read() uses this to discard the accumulated error.
+/// record_processed() uses this to discard the accumulated error.
 class reading_backlog {
 public:
     /// Identifies a prompt by its position in the sequence of prompts: the sum of the estimated processing
     /// times of all prompts up to and including this one.
     using mark = duration;
 
-    /// Records that a prompt with the estimated processing time `reading` was sent to the server at `now`.
-    /// Returns the prompt's mark for note_read().
-    mark add(duration reading, time_point now) noexcept;
+    /// Records that a prompt with the estimated processing time `processing_time` was sent to the server at
+    /// `now`. Returns the prompt's mark for record_processed().
+    mark add(duration processing_time, time_point now) noexcept;
     /// Records that the server had finished processing the prompt with this mark at the time `at`.
-    void note_read(mark prompt, time_point at) noexcept;
+    void record_processed(mark prompt, time_point at) noexcept;
 
     /// The expected wait before the server would start processing a prompt that is sent to it at `now`; zero
     /// if the server is idle.
     [[nodiscard]] duration wait(time_point now) const noexcept;
 
 private:
-    time_point m_ends;  ///< expected time at which all prompts are processed
-    duration m_given{}; ///< sum of the estimated processing times of all prompts
+    time_point m_expected_end; ///< expected time at which all prompts are processed
+    duration m_total{};        ///< sum of the estimated processing times of all prompts
 };
 
 } // namespace borageford::policy
--- a/src/policy/return_memory.cpp
+++ b/src/policy/return_memory.cpp
@@ -11,12 +11,12 @@
 /// How long a refusal is remembered. Callers are told to retry within five seconds at most, and this leaves
 /// them as much time again to do so.
 constexpr std::chrono::seconds lifetime{10};
-constexpr std::size_t most_entries = 20000;
+constexpr std::size_t max_entries = 20000;
 
 } // namespace
 
-void return_memory::forget_old(time_point now) {
-    while (!m_order.empty() && (now - m_order.front().at > lifetime || m_order.size() > most_entries)) {
+void return_memory::remove_expired(time_point now) {
+    while (!m_order.empty() && (now - m_order.front().at > lifetime || m_order.size() > max_entries)) {
         const auto found = m_refusals.find(m_order.front().fingerprint);
         if (found != m_refusals.end() && found->second.last == m_order.front().at) {
             m_refusals.erase(found);
@@ -33,11 +33,11 @@
     ++entry.refusals;
     entry.last = now;
     m_order.push_back({fingerprint, now});
-    forget_old(now);
+    remove_expired(now);
 }
 
 unsigned return_memory::refusals(std::uint64_t fingerprint, time_point now) {
-    forget_old(now);
+    remove_expired(now);
     const auto found = m_refusals.find(fingerprint);
     return fingerprint == 0 || found == m_refusals.end() ? 0 : found->second.refusals;
 }
--- a/src/policy/return_memory.hpp
+++ b/src/policy/return_memory.hpp
@@ -27,19 +27,19 @@
     void forget(std::uint64_t fingerprint) { m_refusals.erase(fingerprint); }
 
 private:
-    struct memory {
+    struct refusal_count {
         unsigned refusals = 0;
         time_point last;
     };
-    struct noted {
+    struct refusal_entry {
         std::uint64_t fingerprint = 0;
         time_point at;
     };
 
-    void forget_old(time_point now);
+    void remove_expired(time_point now);
 
-    std::unordered_map<std::uint64_t, memory> m_refusals;
-    std::deque<noted> m_order; ///< every recorded refusal, oldest first
+    std::unordered_map<std::uint64_t, refusal_count> m_refusals;
+    std::deque<refusal_entry> m_order; ///< every recorded refusal, oldest first
 };
 
 } // namespace borageford::policy
--- a/src/policy/slot_scheduler.cpp
+++ b/src/policy/slot_scheduler.cpp
@@ -127,7 +127,7 @@
 
 void slot_scheduler::refuse(tier_state& tier, const slot_request& request, wait_comparison why,
                             time_point now) {
-    tier.overload.note_refusal(now);
+    tier.overload.record_refusal(now);
     // Seeded with the ticket, the draw differs between requests but is the same whenever a run is repeated.
     const double draw = static_cast<double>(random_sequence(request.ticket).below(draw_steps)) / draw_steps;
     const auto wait = tier.overload.retry_after(request.deadline - now, draw, now);
@@ -370,13 +370,14 @@
 void slot_scheduler::start(waiting_line& line, tier_queue::iterator waiting, slot_server& server,
                            time_point now, std::vector<slot_grant>& grants) {
     const auto& request = waiting->second;
-    const auto mark = server.reading.add(server.first_event.expect_reading(request.cost.prompt), now);
+    const auto mark =
+        server.reading.add(server.first_event.expect_prompt_processing(request.cost.prompt), now);
     m_running[request.ticket] = {server.key, request.service, request.tier, request.cost.prompt, mark};
     floor_of(request.service).begin(request.tier, now);
     ++server.outstanding;
     update_room(server);
     server.last_grant = ++m_grants;
-    line.grants.count(now);
+    line.grants.record(now);
     grants.push_back({request.ticket, server.key});
     m_waiting.erase(request.ticket);
     line.queue.erase(waiting);
--- a/src/policy/slot_server.cpp
+++ b/src/policy/slot_server.cpp
@@ -60,7 +60,7 @@
     }
     learn_speed(*this, ended, prompt);
     if (ended.first_event > duration::zero()) {
-        reading.note_read(read_mark, now - (ended.busy - ended.first_event));
+        reading.record_processed(read_mark, now - (ended.busy - ended.first_event));
     }
 }
 
--- a/tests/unit/test_gateway_policy.cpp
+++ b/tests/unit/test_gateway_policy.cpp
@@ -278,10 +278,10 @@
     // A burst lasts for an unknown time. With a delay of half a second, callers would retry again and again;
     // with five seconds, they would wait for nothing after a short burst.
     overload_watch watch;
-    watch.note_refusal(start_time);
+    watch.record_refusal(start_time);
     const auto early = watch.retry_after(15s, 0.5, start_time);
     for (int step = 1; step <= 30; ++step) {
-        watch.note_refusal(start_time + step * 100ms);
+        watch.record_refusal(start_time + step * 100ms);
     }
     const auto later = watch.retry_after(15s, 0.5, start_time + 3s);
     CHECK(early < 500ms);
@@ -291,7 +291,7 @@
     // The delay leaves the caller enough time for its answer.
     CHECK(watch.retry_after(3s, 0.5, start_time + 3s) <= 1s);
     // A new burst starts with a short delay again.
-    watch.note_refusal(start_time + 10s);
+    watch.record_refusal(start_time + 10s);
     CHECK(watch.retry_after(15s, 0.5, start_time + 10s) < 500ms);
 }
 
