--- a/src/policy/rollout_course.cpp
+++ b/src/policy/rollout_course.cpp
@@ -32,38 +32,38 @@
     }
 }
 
-void rollout_course::record_grant(bool is_next) noexcept {
+void rollout_course::record_grant(bool is_new) noexcept {
     ++m_granted;
-    m_granted_next += is_next ? 1 : 0;
+    m_granted_new += is_new ? 1 : 0;
 }
 
-void rollout_course::record_answer(bool is_next, const version_answer& answer) {
-    if (is_next) {
-        m_judgement.record_next(answer);
+void rollout_course::record_answer(bool is_new, const version_answer& answer) {
+    if (is_new) {
+        m_analysis.record_new(answer);
     } else {
-        m_judgement.record_former(answer);
+        m_analysis.record_previous(answer);
     }
 }
 
 bool rollout_course::has_room_for_next() const noexcept {
-    return static_cast<double>(m_granted_next + 1) <= probing_share * static_cast<double>(m_granted);
+    return static_cast<double>(m_granted_new + 1) <= canary_share * static_cast<double>(m_granted);
 }
 
-void rollout_course::advance(bool is_former_idle, time_point now) {
+void rollout_course::advance(bool is_previous_idle, time_point now) {
     const bool is_open = m_phase == rollout_phase::probing || m_phase == rollout_phase::finishing;
     if (!is_open) {
         return;
     }
-    if (m_judgement.is_bad()) {
+    if (m_analysis.is_bad()) {
         m_phase = rollout_phase::rolled_back;
         return;
     }
     if (m_phase == rollout_phase::finishing) {
-        m_phase = is_former_idle ? rollout_phase::completed : m_phase;
+        m_phase = is_previous_idle ? rollout_phase::completed : m_phase;
         return;
     }
-    const bool is_time = now - m_begin >= from_seconds(to_seconds(m_length) * judged_after);
-    if (is_time && m_judgement.is_good()) {
+    const bool is_late_enough = now - m_begin >= from_seconds(to_seconds(m_length) * earliest_acceptance);
+    if (is_late_enough && m_analysis.is_good()) {
         m_phase = rollout_phase::finishing;
     } else if (now >= end()) {
         m_phase = rollout_phase::rolled_back; // too few answers, or too many bad ones, to accept the version
--- a/src/policy/rollout_course.hpp
+++ b/src/policy/rollout_course.hpp
@@ -44,7 +44,7 @@
     [[nodiscard]] const std::string& to() const noexcept { return m_to; }
     [[nodiscard]] rollout_phase phase() const noexcept { return m_phase; }
     /// The evaluation of the new version's answers.
-    [[nodiscard]] const rollout_judgement& judgement() const noexcept { return m_judgement; }
+    [[nodiscard]] const rollout_judgement& judgement() const noexcept { return m_analysis; }
     /// Whether the roll-out is completed or rolled back.
     [[nodiscard]] bool is_over() const noexcept { return m_phase >= rollout_phase::completed; }
     /// The end of the time limit.
@@ -57,35 +57,35 @@
     /// coordinator.
     void pause() noexcept;
     /// Sets the final phase that was read from the store.
-    void adopt(rollout_phase final_word) noexcept { m_phase = final_word; }
+    void adopt(rollout_phase final_phase) noexcept { m_phase = final_phase; }
 
-    /// Records that a request was sent to a server of the new version (`is_next`) or of the previous one.
-    void record_grant(bool is_next) noexcept;
-    /// Records the result of a request at a server of the new version (`is_next`) or of the previous one.
-    void record_answer(bool is_next, const version_answer& answer);
+    /// Records that a request was sent to a server of the new version (`is_new`) or of the previous one.
+    void record_grant(bool is_new) noexcept;
+    /// Records the result of a request at a server of the new version (`is_new`) or of the previous one.
+    void record_answer(bool is_new, const version_answer& answer);
     /// Whether the new version may get one more request without exceeding its share in the canary phase.
     [[nodiscard]] bool has_room_for_next() const noexcept;
 
-    /// Enters the next phase if its conditions are met. `is_former_idle`: the servers of the previous version
-    /// have no running requests.
-    void advance(bool is_former_idle, time_point now);
+    /// Enters the next phase if its conditions are met. `is_previous_idle`: the servers of the previous
+    /// version have no running requests.
+    void advance(bool is_previous_idle, time_point now);
 
 private:
     /// The new version's share of the requests in the canary phase: half of the share that is allowed. When
     /// another process becomes coordinator during the canary phase, it starts counting from zero, and the new
     /// version can get this share once more.
-    static constexpr double probing_share = 0.05;
+    static constexpr double canary_share = 0.05;
     /// The new version can be accepted after this part of the time limit. The remaining time is for the
     /// previous version's running requests to finish.
-    static constexpr double judged_after = 0.4;
+    static constexpr double earliest_acceptance = 0.4;
 
     std::string m_to;
     time_point m_begin;
     duration m_length;
     rollout_phase m_phase = rollout_phase::waiting;
-    rollout_judgement m_judgement;
-    std::size_t m_granted = 0;      ///< requests sent to either version
-    std::size_t m_granted_next = 0; ///< requests sent to the new version
+    rollout_judgement m_analysis;
+    std::size_t m_granted = 0;     ///< requests sent to either version
+    std::size_t m_granted_new = 0; ///< requests sent to the new version
 };
 
 } // namespace borageford::policy
--- a/src/policy/rollout_judgement.cpp
+++ b/src/policy/rollout_judgement.cpp
@@ -13,51 +13,53 @@
 constexpr double slow_factor = 3;
 /// No answer counts as slow before this many times of the previous version have been measured; the mean of
 /// fewer times is too uncertain.
-constexpr std::size_t least_timed = 20;
+constexpr std::size_t min_timed_answers = 20;
 /// Number of good answers that are added to the previous version's counted answers (a prior), so that a few
 /// bad answers at the start don't give it a large share of bad answers.
-constexpr double assumed_good = 20;
+constexpr double prior_good_answers = 20;
 /// Bounds of the previous version's estimated share of bad answers. Neither a share of 0 nor one of 1 has a
 /// finite log-likelihood ratio.
-constexpr double least_share = 0.01;
-constexpr double most_share = 0.9;
+constexpr double min_bad_share = 0.01;
+constexpr double max_bad_share = 0.9;
 /// The alternative hypothesis of the test: a worse version's share of bad answers is that of the previous
-/// version times `worse_factor`, plus `worse_by`.
-constexpr double worse_by = 0.1;
+/// version times `worse_factor`, plus `worse_offset`.
+constexpr double worse_offset = 0.1;
 constexpr double worse_factor = 1.5;
 
 } // namespace
 
 bool rollout_judgement::is_slow(const version_answer& answer) const {
-    if (m_former_timed < least_timed) {
+    if (m_previous_timed < min_timed_answers) {
         return false;
     }
-    const double mean = m_former_seconds / static_cast<double>(m_former_timed);
+    const double mean = m_previous_seconds / static_cast<double>(m_previous_timed);
     return to_seconds(answer.time) > slow_factor * mean;
 }
 
-double rollout_judgement::former_share() const {
-    const double share = static_cast<double>(m_former_bad) / (static_cast<double>(m_former) + assumed_good);
-    return std::clamp(share, least_share, most_share / worse_factor - worse_by);
+double rollout_judgement::previous_bad_share() const {
+    const double share =
+        static_cast<double>(m_previous_bad) / (static_cast<double>(m_previous) + prior_good_answers);
+    return std::clamp(share, min_bad_share, max_bad_share / worse_factor - worse_offset);
 }
 
-void rollout_judgement::record_former(const version_answer& answer) {
-    ++m_former;
-    m_former_bad += answer.has_failed || is_slow(answer) ? 1 : 0;
+void rollout_judgement::record_previous(const version_answer& answer) {
+    ++m_previous;
+    m_previous_bad += answer.has_failed || is_slow(answer) ? 1 : 0;
     if (!answer.has_failed) {
-        ++m_former_timed;
-        m_former_seconds += to_seconds(answer.time);
+        ++m_previous_timed;
+        m_previous_seconds += to_seconds(answer.time);
     }
 }
 
-void rollout_judgement::record_next(const version_answer& answer) {
+void rollout_judgement::record_new(const version_answer& answer) {
     const bool is_bad_answer = answer.has_failed || is_slow(answer);
-    ++m_next;
-    m_next_bad += is_bad_answer ? 1 : 0;
-    const double usual = former_share();
-    const double worse = usual * worse_factor + worse_by;
-    const double step = is_bad_answer ? std::log(worse / usual) : std::log((1 - worse) / (1 - usual));
-    m_suspicion = std::max(0.0, m_suspicion + step);
+    ++m_new;
+    m_new_bad += is_bad_answer ? 1 : 0;
+    const double usual_share = previous_bad_share();
+    const double worse_share = usual_share * worse_factor + worse_offset;
+    const double step =
+        is_bad_answer ? std::log(worse_share / usual_share) : std::log((1 - worse_share) / (1 - usual_share));
+    m_log_likelihood_ratio = std::max(0.0, m_log_likelihood_ratio + step);
 }
 
 } // namespace borageford::policy
--- a/tests/unit/test_rollouts.cpp
+++ b/tests/unit/test_rollouts.cpp
@@ -29,19 +29,19 @@
 };
 
 /// Draws random answers from a seed: 20 answers of the previous version for each one of the new version.
-class played_rollout {
+class rollout_simulation {
 public:
-    explicit played_rollout(unsigned seed) : m_random(seed) {}
+    explicit rollout_simulation(unsigned seed) : m_random(seed) {}
 
     /// Records answers until the new version is rejected and returns how many answers it gave; `most` if it
     /// wasn't rejected within that many.
-    std::size_t play(rollout_judgement& judgement, quality former, quality next, std::size_t most) {
-        constexpr int former_answers = 20;
+    std::size_t run(rollout_judgement& judgement, quality previous, quality new_version, std::size_t most) {
+        constexpr int previous_answers = 20;
         for (std::size_t answer = 0; answer < most; ++answer) {
-            for (int index = 0; index < former_answers; ++index) {
-                judgement.record_former(draw(former));
+            for (int index = 0; index < previous_answers; ++index) {
+                judgement.record_previous(draw(previous));
             }
-            judgement.record_next(draw(next));
+            judgement.record_new(draw(new_version));
             if (judgement.is_bad()) {
                 return answer + 1;
             }
@@ -67,58 +67,58 @@
 TEST_CASE("a bad version is rejected before it has given fifty bad answers, a good one isn't",
           "[policy][rollout]") {
     struct row {
-        quality former;
-        quality next;
+        quality previous;
+        quality new_version;
     };
     constexpr std::size_t most = 600;
     constexpr unsigned seeds = 200;
-    for (const auto& [former, next] :
+    for (const auto& [previous, new_version] :
          {row{{0, 0}, {0.3, 0}}, row{{0, 0}, {0, 0.4}}, row{{0.01, 0}, {0.2, 0.2}}, row{{0.14, 0}, {0.5, 0}},
           row{{0.05, 0.02}, {1, 0}}}) {
         for (unsigned seed = 0; seed < seeds; ++seed) {
             rollout_judgement judgement;
-            CHECK(played_rollout(seed).play(judgement, former, next, most) < most);
+            CHECK(rollout_simulation(seed).run(judgement, previous, new_version, most) < most);
             CHECK(judgement.bad() < 50);
         }
     }
-    unsigned condemned = 0;
-    for (const auto& same : {quality{0, 0}, quality{0.01, 0}, quality{0.14, 0}, quality{0.05, 0.05}}) {
+    unsigned rejected = 0;
+    for (const auto& both : {quality{0, 0}, quality{0.01, 0}, quality{0.14, 0}, quality{0.05, 0.05}}) {
         for (unsigned seed = 0; seed < seeds; ++seed) {
             rollout_judgement judgement;
-            condemned += played_rollout(seed).play(judgement, same, same, most) < most ? 1 : 0;
+            rejected += rollout_simulation(seed).run(judgement, both, both, most) < most ? 1 : 0;
         }
     }
-    CHECK(condemned <= 4 * seeds / 100);
+    CHECK(rejected <= 4 * seeds / 100);
 }
 
 TEST_CASE("a version that turns bad after a good beginning is rejected as soon as one that was always bad",
           "[policy][rollout]") {
     rollout_judgement judgement;
-    played_rollout played(7);
-    played.play(judgement, {}, {}, 300);
+    rollout_simulation simulation(7);
+    simulation.run(judgement, {}, {}, 300);
     CHECK(judgement.is_good());
-    CHECK(played.play(judgement, {}, {0.5, 0}, 300) < 50);
+    CHECK(simulation.run(judgement, {}, {0.5, 0}, 300) < 50);
     CHECK(judgement.is_bad());
 }
 
 TEST_CASE("a burst that slows down both versions doesn't reject the new one", "[policy][rollout]") {
     rollout_judgement judgement;
-    played_rollout played(8);
-    played.play(judgement, {}, {}, 100);
-    CHECK(played.play(judgement, {0, 0.5}, {0, 0.5}, 3) == 3);
+    rollout_simulation simulation(8);
+    simulation.run(judgement, {}, {}, 100);
+    CHECK(simulation.run(judgement, {0, 0.5}, {0, 0.5}, 3) == 3);
 }
 
 TEST_CASE("the new version gets a small share of the requests until it is accepted", "[policy][rollout]") {
     rollout_course course("v2", 10s, start_time);
     course.begin();
-    int next = 0;
+    int new_version = 0;
     for (int request = 0; request < 1000; ++request) {
-        const bool is_next = course.has_room_for_next();
-        course.record_grant(is_next);
-        next += is_next ? 1 : 0;
+        const bool is_new = course.has_room_for_next();
+        course.record_grant(is_new);
+        new_version += is_new ? 1 : 0;
     }
-    CHECK(next <= 50);
-    CHECK(next > 40);
+    CHECK(new_version <= 50);
+    CHECK(new_version > 40);
 }
 
 TEST_CASE("the roll-out of a good version is completed once the previous version has no running requests",
