--- a/src/policy/rollout_judgement.cpp
+++ b/src/policy/rollout_judgement.cpp
@@ -17,8 +17,9 @@
 /// Number of good answers that are added to the previous version's counted answers (a prior), so that a few
 /// bad answers at the start don't give it a large share of bad answers.
 constexpr double prior_good_answers = 20;
-/// Bounds of the previous version's estimated share of bad answers. Neither a share of 0 nor one of 1 has a
-/// finite log-likelihood ratio.
+/// The previous version's estimated share of bad answers is at least `min_bad_share` and so low that a worse
+/// version's share stays below `max_bad_share`. With a share of 0 or 1, the log-likelihood ratio would be
+/// infinite.
 constexpr double min_bad_share = 0.01;
 constexpr double max_bad_share = 0.9;
 /// The alternative hypothesis of the test: a worse version's share of bad answers is that of the previous
--- a/src/policy/rollout_judgement.hpp
+++ b/src/policy/rollout_judgement.hpp
@@ -54,11 +54,11 @@
 
     std::size_t m_previous = 0;     ///< answers of the previous version
     std::size_t m_previous_bad = 0; ///< failed or slow answers of the previous version
-    std::size_t m_previous_timed =
-        0;                         ///< successful answers of the previous version, whose times were measured
-    double m_previous_seconds = 0; ///< sum of the measured times of the previous version
-    std::size_t m_new = 0;         ///< answers of the new version
-    std::size_t m_new_bad = 0;     ///< failed or slow answers of the new version
+    /// Successful answers of the previous version, whose times were measured.
+    std::size_t m_previous_timed = 0;
+    double m_previous_seconds = 0;     ///< sum of the measured times of the previous version
+    std::size_t m_new = 0;             ///< answers of the new version
+    std::size_t m_new_bad = 0;         ///< failed or slow answers of the new version
     double m_log_likelihood_ratio = 0; ///< cumulative sum of log-likelihood ratios, at least 0
 };
 
--- a/tests/unit/test_rollouts.cpp
+++ b/tests/unit/test_rollouts.cpp
@@ -111,14 +111,14 @@
 TEST_CASE("the new version gets a small share of the requests until it is accepted", "[policy][rollout]") {
     rollout_course course("v2", 10s, start_time);
     course.begin();
-    int new_version = 0;
+    int new_requests = 0;
     for (int request = 0; request < 1000; ++request) {
         const bool is_new = course.has_room_for_next();
         course.record_grant(is_new);
-        new_version += is_new ? 1 : 0;
+        new_requests += is_new ? 1 : 0;
     }
-    CHECK(new_version <= 50);
-    CHECK(new_version > 40);
+    CHECK(new_requests <= 50);
+    CHECK(new_requests > 40);
 }
 
 TEST_CASE("the roll-out of a good version is completed once the previous version has no running requests",
