--- a/src/policy/server_health.cpp
+++ b/src/policy/server_health.cpp
@@ -19,20 +19,20 @@
 /// rejects everything that is sent to the start before the crash, so that start always appears to have free
 /// slots. Until the new start's registration is known, it would draw one request after the other, and each of
 /// them would count as a retry.
-constexpr unsigned tolerated_when_gone = 1;
-constexpr milliseconds first_rest{150}; ///< length of the first cooldown
-constexpr unsigned most_doublings = 4;  ///< so that the longest cooldown is 2.4 s
+constexpr unsigned tolerated_when_unreachable = 1;
+constexpr milliseconds first_cooldown{150}; ///< length of the first cooldown
+constexpr unsigned max_doublings = 4;       ///< so that the longest cooldown is 2.4 s
 /// Weight of the newest request in the moving average of failures, so that about the last twenty requests
 /// determine it.
 constexpr double newest_weight = 0.05;
 
 } // namespace
 
-server_health::trust server_health::look(time_point now) const {
-    if (now < m_rests_until) {
-        return trust::none;
+server_health::availability server_health::availability_at(time_point now) const {
+    if (now < m_cooldown_until) {
+        return availability::none;
     }
-    return m_is_probing ? trust::probe : trust::full;
+    return m_is_probing ? availability::probe : availability::full;
 }
 
 server_health::change server_health::record(slot_outcome outcome, time_point now) {
@@ -56,31 +56,31 @@
     m_last_success = now;
     m_failure_share *= 1 - newest_weight;
     m_failures_in_row = 0;
-    m_rests = 0;
+    m_cooldowns = 0;
     return std::exchange(m_is_probing, false) ? change::recovered : change::none;
 }
 
-server_health::change server_health::record_failure(bool is_gone, time_point now) {
+server_health::change server_health::record_failure(bool is_unreachable, time_point now) {
     m_last_failure = now;
     m_failure_share += (1 - m_failure_share) * newest_weight;
     ++m_failures_in_row;
-    const auto tolerated = is_gone ? tolerated_when_gone : tolerated_failures;
-    if (m_failures_in_row < tolerated || now < m_rests_until) {
+    const auto tolerated = is_unreachable ? tolerated_when_unreachable : tolerated_failures;
+    if (m_failures_in_row < tolerated || now < m_cooldown_until) {
         return change::none;
     }
-    m_rests_until = now + first_rest * (1U << std::min(m_rests, most_doublings));
-    ++m_rests;
+    m_cooldown_until = now + first_cooldown * (1U << std::min(m_cooldowns, max_doublings));
+    ++m_cooldowns;
     m_is_probing = true;
-    return change::rests;
+    return change::cooldown_started;
 }
 
-void server_health::adopt(time_point failed, time_point rests_until, unsigned rests) noexcept {
-    if (rests == 0 || m_last_success > failed) {
+void server_health::adopt(time_point failed, time_point cooldown_until, unsigned cooldowns) noexcept {
+    if (cooldowns == 0 || m_last_success > failed) {
         return;
     }
     m_last_failure = std::max(m_last_failure, failed);
-    m_rests_until = std::max(m_rests_until, rests_until);
-    m_rests = std::max(m_rests, rests);
+    m_cooldown_until = std::max(m_cooldown_until, cooldown_until);
+    m_cooldowns = std::max(m_cooldowns, cooldowns);
     m_is_probing = true;
 }
 
--- a/src/policy/server_health.hpp
+++ b/src/policy/server_health.hpp
@@ -18,33 +18,33 @@
 class server_health {
 public:
     /// What may be sent to the server now.
-    enum class trust {
+    enum class availability {
         full,  ///< as many requests as it has slots for
         probe, ///< one request at a time, until one succeeds
         none   ///< nothing, because its cooldown isn't over
     };
 
     /// What may be sent to the server at `now`.
-    [[nodiscard]] trust look(time_point now) const;
+    [[nodiscard]] availability availability_at(time_point now) const;
 
-    /// The effect of a request's outcome: a cooldown has started (`rests`), or the server is healthy again
-    /// after one (`recovered`).
-    enum class change { none, rests, recovered };
+    /// The effect of a request's outcome: a cooldown has started (`cooldown_started`), or the server is
+    /// healthy again after one (`recovered`).
+    enum class change { none, cooldown_started, recovered };
 
     /// Records the outcome of a request.
     change record(slot_outcome outcome, time_point now);
 
     /// Takes over a cooldown that another process observed: the time of the server's last failure, the end of
-    /// the cooldown, and the number of cooldowns since its last success. Has no effect if `rests` is 0, or if
-    /// a request succeeded here after that failure.
-    void adopt(time_point failed, time_point rests_until, unsigned rests) noexcept;
+    /// the cooldown, and the number of cooldowns since its last success. Has no effect if `cooldowns` is 0,
+    /// or if a request succeeded here after that failure.
+    void adopt(time_point failed, time_point cooldown_until, unsigned cooldowns) noexcept;
 
     /// Time of the last failed request; time_point::min() if none has failed.
     [[nodiscard]] time_point last_failure() const noexcept { return m_last_failure; }
     /// Number of cooldowns since the last successful request.
-    [[nodiscard]] unsigned rests() const noexcept { return m_rests; }
+    [[nodiscard]] unsigned cooldowns() const noexcept { return m_cooldowns; }
     /// End of the current or last cooldown; time_point::min() if there was none.
-    [[nodiscard]] time_point rests_until() const noexcept { return m_rests_until; }
+    [[nodiscard]] time_point cooldown_until() const noexcept { return m_cooldown_until; }
     /// Number of failures since the last successful request.
     [[nodiscard]] unsigned failures_in_row() const noexcept { return m_failures_in_row; }
 
@@ -53,12 +53,12 @@
 
 private:
     change record_success(time_point now);
-    change record_failure(bool is_gone, time_point now);
+    change record_failure(bool is_unreachable, time_point now);
 
     double m_failure_share = 0;
     unsigned m_failures_in_row = 0;
-    unsigned m_rests = 0; ///< cooldowns since the last success
-    time_point m_rests_until = time_point::min();
+    unsigned m_cooldowns = 0; ///< cooldowns since the last success
+    time_point m_cooldown_until = time_point::min();
     time_point m_last_success = time_point::min();
     time_point m_last_failure = time_point::min();
     bool m_is_probing = false; ///< no request has succeeded since the last cooldown began
--- a/src/policy/slot_choice.cpp
+++ b/src/policy/slot_choice.cpp
@@ -25,7 +25,7 @@
 bool has_fresh_server(const slot_request& request, const slot_choice_terms& terms) {
     return std::ranges::any_of(terms.all, [&](const auto* server) {
         return !has_failed(request, server->key) &&
-               server->health.look(terms.now) != server_health::trust::none;
+               server->health.availability_at(terms.now) != server_health::availability::none;
     });
 }
 
--- a/src/policy/slot_scheduler.cpp
+++ b/src/policy/slot_scheduler.cpp
@@ -282,8 +282,8 @@
     auto& health = m_servers[server].health;
     const auto change = health.record(outcome, now);
     if (change != server_health::change::none) {
-        m_health_changes.push_back({server, change == server_health::change::rests,
-                                    health.rests_until() - now, health.failures_in_row(),
+        m_health_changes.push_back({server, change == server_health::change::cooldown_started,
+                                    health.cooldown_until() - now, health.failures_in_row(),
                                     health.failure_share()});
     }
 }
@@ -318,9 +318,9 @@
 }
 
 double slot_scheduler::room(const slot_server& server, bool is_lowest, time_point now) const {
-    const auto trust = server.health.look(now);
-    if (trust != server_health::trust::full) {
-        return trust == server_health::trust::probe && server.outstanding == 0 ? 1 : 0;
+    const auto availability = server.health.availability_at(now);
+    if (availability != server_health::availability::full) {
+        return availability == server_health::availability::probe && server.outstanding == 0 ? 1 : 0;
     }
     return slots_left(server, is_lowest);
 }
--- a/src/policy/slot_server.cpp
+++ b/src/policy/slot_server.cpp
@@ -79,10 +79,10 @@
     if (health.last_failure() != time_point::min()) {
         result.failed_ago = now - health.last_failure();
     }
-    if (health.rests_until() > now) {
-        result.rest_left = health.rests_until() - now;
+    if (health.cooldown_until() > now) {
+        result.rest_left = health.cooldown_until() - now;
     }
-    result.rests = health.rests();
+    result.rests = health.cooldowns();
     result.first_event_ms = first_event.fixed_ms();
     result.first_event_ms_per_token = first_event.ms_per_token();
     result.first_events = first_event.samples();
--- a/tests/unit/test_gateway_policy.cpp
+++ b/tests/unit/test_gateway_policy.cpp
@@ -27,16 +27,16 @@
     "a server that refuses connections gets a cooldown at once, longer each time, and ends it by one request",
     "[policy][server_health]") {
     server_health health;
-    CHECK(health.look(start_time) == server_health::trust::full);
-    CHECK(health.record(slot_outcome::unreachable, start_time) == server_health::change::rests);
-    CHECK(health.look(start_time) == server_health::trust::none);
-    const auto first_end = health.rests_until();
-    CHECK(health.look(first_end) == server_health::trust::probe);
-    CHECK(health.record(slot_outcome::unreachable, first_end) == server_health::change::rests);
-    CHECK(health.rests_until() - first_end > first_end - start_time);
-    const auto second_end = health.rests_until();
+    CHECK(health.availability_at(start_time) == server_health::availability::full);
+    CHECK(health.record(slot_outcome::unreachable, start_time) == server_health::change::cooldown_started);
+    CHECK(health.availability_at(start_time) == server_health::availability::none);
+    const auto first_end = health.cooldown_until();
+    CHECK(health.availability_at(first_end) == server_health::availability::probe);
+    CHECK(health.record(slot_outcome::unreachable, first_end) == server_health::change::cooldown_started);
+    CHECK(health.cooldown_until() - first_end > first_end - start_time);
+    const auto second_end = health.cooldown_until();
     CHECK(health.record(slot_outcome::served, second_end) == server_health::change::recovered);
-    CHECK(health.look(second_end) == server_health::trust::full);
+    CHECK(health.availability_at(second_end) == server_health::availability::full);
 }
 
 TEST_CASE("single failures, refusals and callers that leave don't start a cooldown",
@@ -48,7 +48,7 @@
         health.record(slot_outcome::abandoned, start_time);
         health.record(slot_outcome::served, start_time);
     }
-    CHECK(health.look(start_time) == server_health::trust::full);
+    CHECK(health.availability_at(start_time) == server_health::availability::full);
     CHECK(health.failure_share() > 0);
 }
 
