--- a/src/policy/server_starts.cpp
+++ b/src/policy/server_starts.cpp
@@ -7,7 +7,7 @@
 
 /// Maximum number of superseded starts that are remembered, about 0.4 MB. Enough for 1,300 servers that all
 /// start three times before a delayed registration of an earlier start arrives.
-constexpr std::size_t most_superseded = 4096;
+constexpr std::size_t max_superseded = 4096;
 
 } // namespace
 
@@ -15,25 +15,25 @@
     if (m_superseded.contains({std::string(id), start})) {
         return verdict::superseded;
     }
-    const auto present = m_present.find(id);
-    if (present == m_present.end()) {
-        m_present.emplace(id, start);
+    const auto current = m_current.find(id);
+    if (current == m_current.end()) {
+        m_current.emplace(id, start);
         return verdict::first;
     }
-    if (present->second == start) {
+    if (current->second == start) {
         return verdict::same;
     }
     if (start == 0) {
         return verdict::untold;
     }
-    supersede(id, std::exchange(present->second, start));
+    supersede(id, std::exchange(current->second, start));
     return verdict::restarted;
 }
 
 void server_starts::forget(std::string_view id) {
-    const auto present = m_present.find(id);
-    if (present != m_present.end()) {
-        m_present.erase(present);
+    const auto current = m_current.find(id);
+    if (current != m_current.end()) {
+        m_current.erase(current);
     }
 }
 
@@ -43,7 +43,7 @@
     }
     m_order.emplace_back(id, start);
     m_superseded.insert(m_order.back());
-    if (m_order.size() > most_superseded) {
+    if (m_order.size() > max_superseded) {
         m_superseded.erase(m_order.front());
         m_order.pop_front();
     }
--- a/src/policy/server_starts.hpp
+++ b/src/policy/server_starts.hpp
@@ -43,7 +43,7 @@
 
     void supersede(std::string_view id, std::uint64_t start);
 
-    std::map<std::string, std::uint64_t, std::less<>> m_present; ///< the current start of each id
+    std::map<std::string, std::uint64_t, std::less<>> m_current; ///< the current start of each id
     std::set<named_start> m_superseded;
     std::deque<named_start> m_order; ///< the entries of m_superseded, oldest first
 };
--- a/src/policy/slot_choice.cpp
+++ b/src/policy/slot_choice.cpp
@@ -32,23 +32,23 @@
 /// The largest expected overrun (time past the deadline) with which a server is accepted: that of the best
 /// considered server of the service, busy or not, plus `tolerated_overrun`. No limit for a request in the
 /// queue of late requests.
-duration bearable_overrun(const slot_request& request, const slot_choice_terms& terms) {
+duration max_accepted_overrun(const slot_request& request, const slot_choice_terms& terms) {
     if (!terms.is_in_time || terms.all.empty()) {
         return duration::max();
     }
-    auto least = duration::max() - tolerated_overrun;
-    for (const auto* server : terms.all | std::views::take(most_considered)) {
-        least = std::min(least, server->expect_overrun(request, duration::zero(), terms.now));
-        if (least == duration::zero()) {
+    auto smallest = duration::max() - tolerated_overrun;
+    for (const auto* server : terms.all | std::views::take(max_considered_servers)) {
+        smallest = std::min(smallest, server->expect_overrun(request, duration::zero(), terms.now));
+        if (smallest == duration::zero()) {
             break;
         }
     }
-    return least + tolerated_overrun;
+    return smallest + tolerated_overrun;
 }
 
 } // namespace
 
-bool can_be_in_time(const slot_request& request, slot_servers all, time_point now) {
+bool can_meet_target(const slot_request& request, slot_servers all, time_point now) {
     const auto left = request.arrived + request.target - now;
     return std::ranges::any_of(
         all, [&](const auto* server) { return server->first_event.expect(request.cost.prompt) <= left; });
@@ -63,30 +63,30 @@
 /// token. A slow engine would work on the longest answers until their deadlines and then discard them,
 /// whereas a fast engine would finish many of them.
 slot_server* choose_server(const slot_request& request, const slot_choice_terms& terms) {
-    const bool avoids = request.avoided.front() != 0 && has_fresh_server(request, terms);
+    const bool avoids_failed = request.avoided.front() != 0 && has_fresh_server(request, terms);
     const auto left = request.arrived + request.target - terms.now;
-    const auto bearable = bearable_overrun(request, terms);
+    const auto max_overrun = max_accepted_overrun(request, terms);
     const auto near_bonus = from_seconds(to_seconds(request.target) * target_share_for_near);
     slot_server* best = nullptr;
-    auto least_overrun = duration::max();
+    auto smallest_overrun = duration::max();
     auto soonest = duration::max();
-    for (auto* server : terms.open) {
-        if (avoids && has_failed(request, server->key)) {
+    for (auto* server : terms.available) {
+        if (avoids_failed && has_failed(request, server->key)) {
             continue;
         }
         const auto expected = server->expect_first_event(request, terms.now);
         const auto overrun = server->expect_overrun(request, expected, terms.now);
-        if (terms.is_in_time && (expected > left || overrun > bearable)) {
+        if (terms.is_in_time && (expected > left || overrun > max_overrun)) {
             continue;
         }
         const bool is_near = request.domain != 0 && server->domain == request.domain;
-        const auto weighed = expected - (is_near ? near_bonus : duration::zero());
+        const auto adjusted = expected - (is_near ? near_bonus : duration::zero());
         const auto last_grant = server->last_grant;
         if (best == nullptr ||
-            std::tie(overrun, weighed, last_grant) < std::tie(least_overrun, soonest, best->last_grant)) {
+            std::tie(overrun, adjusted, last_grant) < std::tie(smallest_overrun, soonest, best->last_grant)) {
             best = server;
-            least_overrun = overrun;
-            soonest = weighed;
+            smallest_overrun = overrun;
+            soonest = adjusted;
         }
     }
     return best;
--- a/src/policy/slot_choice.hpp
+++ b/src/policy/slot_choice.hpp
@@ -13,14 +13,14 @@
 /// Maximum number of servers that are compared for one request. The best of many servers is hardly better
 /// than the best of this many. A process that compares thousands of servers for each waiting request can't
 /// work off the queue that forms after all gateways were killed.
-inline constexpr std::size_t most_considered = 64;
+inline constexpr std::size_t max_considered_servers = 64;
 
 /// Whether some server, busy or not, could send the request's first event within its target.
-[[nodiscard]] bool can_be_in_time(const slot_request& request, slot_servers all, time_point now);
+[[nodiscard]] bool can_meet_target(const slot_request& request, slot_servers all, time_point now);
 
 /// The servers and the queue that choose_server() takes into account.
 struct slot_choice_terms {
-    slot_servers open;      ///< servers with room
+    slot_servers available; ///< servers with room
     slot_servers all;       ///< all servers of the service, including busy ones
     bool is_in_time = true; ///< the request waits in the queue of requests that can still meet their target
     time_point now;
--- a/src/policy/slot_floor.cpp
+++ b/src/policy/slot_floor.cpp
@@ -15,7 +15,7 @@
 constexpr double memory_seconds = 2;
 /// Maximum number of slots that a tier may be granted at once, as a multiple of its minimum share: enough to
 /// catch up within the averaging time, but not enough to displace all other tiers together.
-constexpr double most_at_once = 2;
+constexpr double max_at_once = 2;
 
 } // namespace
 
@@ -58,15 +58,15 @@
     return found == m_tiers.end() || all <= 0 ? 0 : found->second.recent / all;
 }
 
-std::size_t slot_floor::owed(int tier, std::size_t floors, time_point now) {
-    const double floor = std::min(m_limits.share, m_limits.share_of_all /
-                                                      static_cast<double>(std::max<std::size_t>(floors, 1)));
-    if (share(tier, now) >= floor) {
+std::size_t slot_floor::slots_below_minimum(int tier, std::size_t floors, time_point now) {
+    const double minimum = std::min(
+        m_limits.share, m_limits.share_of_all / static_cast<double>(std::max<std::size_t>(floors, 1)));
+    if (share(tier, now) >= minimum) {
         return 0;
     }
-    const auto most = std::max(1.0, most_at_once * floor * static_cast<double>(running()));
+    const auto max_slots = std::max(1.0, max_at_once * minimum * static_cast<double>(running()));
     const auto used = m_tiers[tier].running;
-    return static_cast<std::size_t>(most) > used ? static_cast<std::size_t>(most) - used : 0;
+    return static_cast<std::size_t>(max_slots) > used ? static_cast<std::size_t>(max_slots) - used : 0;
 }
 
 } // namespace borageford::policy
--- a/src/policy/slot_request.hpp
+++ b/src/policy/slot_request.hpp
@@ -24,17 +24,17 @@
 using slot_ticket = std::uint64_t;
 
 /// Number of distinct tiers of workspaces, and of routes. Higher tier numbers count as the lowest tier.
-inline constexpr int most_tiers = 8;
+inline constexpr int max_tiers = 8;
 
 /// Combines the tiers of a workspace and a route into one: the workspace's tier takes precedence, and the
 /// route's tier orders requests of workspaces in the same tier. 0 is the highest tier.
 [[nodiscard]] constexpr int combine_tiers(int of_workspace, int of_route) noexcept {
-    return std::clamp(of_workspace, 0, most_tiers - 1) * most_tiers + std::clamp(of_route, 0, most_tiers - 1);
+    return std::clamp(of_workspace, 0, max_tiers - 1) * max_tiers + std::clamp(of_route, 0, max_tiers - 1);
 }
 
 /// The route's tier in a combined tier, which ranks a request among those of its own workspace.
 [[nodiscard]] constexpr int rank_in_workspace(int tier) noexcept {
-    return tier % most_tiers;
+    return tier % max_tiers;
 }
 
 /// Expected cost of a request for a model engine, in tokens. Both values are 0 for a call to a service that
--- a/src/policy/slot_scheduler.cpp
+++ b/src/policy/slot_scheduler.cpp
@@ -76,19 +76,19 @@
 /// the server's slots, its outstanding requests, the share or is_usable have changed.
 void slot_scheduler::update_room(slot_server& server) {
     const bool has_room = server.is_usable && slots_left(server, false) >= 1;
-    if (has_room == server.room_place.has_value()) {
+    if (has_room == server.with_room_index.has_value()) {
         return;
     }
     auto& list = m_pools[server.service].with_room;
     if (has_room) {
-        server.room_place = list.size();
+        server.with_room_index = list.size();
         list.push_back(&server);
         return;
     }
-    const auto place = *std::exchange(server.room_place, std::nullopt);
+    const auto place = *std::exchange(server.with_room_index, std::nullopt);
     if (list.back() != &server) {
         list[place] = list.back();
-        list[place]->room_place = place;
+        list[place]->with_room_index = place;
     }
     list.pop_back();
 }
@@ -333,14 +333,14 @@
     return takes_line && room(server, terms.is_lowest, now) >= 1;
 }
 
-/// Returns up to `most_considered` servers with room. Each search continues where the last one ended, so that
-/// all servers get their turn.
+/// Returns up to `max_considered_servers` servers with room. Each search continues where the last one ended,
+/// so that all servers get their turn.
 slot_scheduler::open_servers slot_scheduler::find_open(service_key service, const line_terms& terms,
                                                        time_point now) {
     open_servers result;
     auto& pool = m_pools[service];
     const auto count = pool.with_room.size();
-    for (std::size_t looked = 0; looked < count && result.size() < most_considered; ++looked) {
+    for (std::size_t looked = 0; looked < count && result.size() < max_considered_servers; ++looked) {
         pool.next = (pool.next + 1) % count;
         auto* server = pool.with_room[pool.next];
         if (is_open(*server, terms, now)) {
@@ -358,8 +358,8 @@
     if (request.returns > 0 || waited > from_seconds(to_seconds(request.target) * wait_for_fast_server)) {
         return punctuality::late;
     }
-    return can_be_in_time(request, servers_of(request.service), now) ? punctuality::in_time
-                                                                     : punctuality::late;
+    return can_meet_target(request, servers_of(request.service), now) ? punctuality::in_time
+                                                                      : punctuality::late;
 }
 
 slot_servers slot_scheduler::servers_of(service_key service) const {
@@ -371,7 +371,7 @@
                            time_point now, std::vector<slot_grant>& grants) {
     const auto& request = waiting->second;
     const auto mark =
-        server.reading.add(server.first_event.expect_prompt_processing(request.cost.prompt), now);
+        server.prompts_ahead.add(server.first_event.expect_prompt_processing(request.cost.prompt), now);
     m_running[request.ticket] = {server.key, request.service, request.tier, request.cost.prompt, mark};
     floor_of(request.service).begin(request.tier, now);
     ++server.outstanding;
@@ -434,9 +434,9 @@
     std::ranges::sort(ranks, {}, [&](int rank) { return floor.share(rank, now); });
     for (const auto rank : ranks) {
         for (const auto line : {punctuality::in_time, punctuality::late}) {
-            const auto owed = floor.owed(rank, ranks.size(), now);
-            if (owed > 0) {
-                grant_line(service, tiers.at(rank), {line, false, owed}, now, grants);
+            const auto slots_below_minimum = floor.slots_below_minimum(rank, ranks.size(), now);
+            if (slots_below_minimum > 0) {
+                grant_line(service, tiers.at(rank), {line, false, slots_below_minimum}, now, grants);
             }
         }
     }
--- a/src/policy/slot_server.cpp
+++ b/src/policy/slot_server.cpp
@@ -20,33 +20,33 @@
 
 /// A reported failure that is older than this is ignored, since it says nothing about the server's present
 /// state: cooldowns are shorter.
-constexpr std::chrono::seconds longest_told_failure{5};
+constexpr std::chrono::seconds max_reported_failure_age{5};
 
 /// Updates the estimates of the time to the first event and of the time per output token. They apply
 /// whichever process granted the slot.
 void learn_speed(slot_server& server, const slot_release& ended, double prompt) {
     if (ended.first_event > duration::zero()) {
         server.first_event.learn(prompt, ended.first_event);
-        server.pace.learn(ended.output, ended.busy - ended.first_event);
+        server.token_time.learn(ended.output, ended.busy - ended.first_event);
     }
 }
 
 } // namespace
 
 duration slot_server::expect_first_event(const slot_request& request, time_point now) const {
-    const auto before = std::max(reading.wait(now), turnover.wait(outstanding, slots));
-    return before + first_event.expect(request.cost.prompt);
+    const auto wait = std::max(prompts_ahead.wait(now), turnover.wait(outstanding, slots));
+    return wait + first_event.expect(request.cost.prompt);
 }
 
 duration slot_server::expect_overrun(const slot_request& request, duration until_first_event,
                                      time_point now) const {
-    const auto rest = pace.expect(request.cost.output * length_margin);
-    return std::max(duration::zero(), now + until_first_event + rest - request.deadline);
+    const auto remaining = token_time.expect(request.cost.output * length_margin);
+    return std::max(duration::zero(), now + until_first_event + remaining - request.deadline);
 }
 
 bool slot_server::has_fast_turnover() const {
-    const auto between = turnover.between_ends();
-    return between > duration::zero() && between <= fast_turnover;
+    const auto interval = turnover.between_ends();
+    return interval > duration::zero() && interval <= fast_turnover;
 }
 
 bool slot_server::has_free_slot(double share) const {
@@ -60,7 +60,7 @@
     }
     learn_speed(*this, ended, prompt);
     if (ended.first_event > duration::zero()) {
-        reading.record_processed(read_mark, now - (ended.busy - ended.first_event));
+        prompts_ahead.record_processed(read_mark, now - (ended.busy - ended.first_event));
     }
 }
 
@@ -86,18 +86,18 @@
     result.first_event_ms = first_event.fixed_ms();
     result.first_event_ms_per_token = first_event.ms_per_token();
     result.first_events = first_event.samples();
-    result.seconds_per_token = pace.seconds_per_token();
+    result.seconds_per_token = token_time.seconds_per_token();
     result.seconds_between_ends = to_seconds(turnover.between_ends());
     return result;
 }
 
-void slot_server::adopt(const server_report& told, time_point now) {
-    if (told.failed_ago <= longest_told_failure) {
-        health.adopt(now - told.failed_ago, now + told.rest_left, told.rests);
+void slot_server::adopt(const server_report& reported, time_point now) {
+    if (reported.failed_ago <= max_reported_failure_age) {
+        health.adopt(now - reported.failed_ago, now + reported.rest_left, reported.rests);
     }
-    first_event.adopt(told.first_event_ms, told.first_event_ms_per_token, told.first_events);
-    pace.adopt(told.seconds_per_token);
-    turnover.adopt(told.seconds_between_ends);
+    first_event.adopt(reported.first_event_ms, reported.first_event_ms_per_token, reported.first_events);
+    token_time.adopt(reported.seconds_per_token);
+    turnover.adopt(reported.seconds_between_ends);
 }
 
 bool has_failed(const slot_request& request, server_key server) {
--- a/src/policy/slot_server.hpp
+++ b/src/policy/slot_server.hpp
@@ -27,11 +27,11 @@
     std::uint64_t last_grant = 0;
     bool is_usable = false; ///< it may get new requests
     /// Index in `server_pool::with_room` of its service; nullopt: not in that list.
-    std::optional<std::size_t> room_place;
+    std::optional<std::size_t> with_room_index;
     server_health health;
     first_event_model first_event;
-    output_pace pace;
-    reading_backlog reading;
+    output_pace token_time;
+    reading_backlog prompts_ahead;
     slot_turnover turnover;
 
     /// The expected time until the first event of a request that is sent to the server at `now`.
@@ -55,7 +55,7 @@
     /// What is sent about this server to another process.
     [[nodiscard]] server_report report(time_point now) const;
     /// Takes over what another process has learned, where less is known here.
-    void adopt(const server_report& told, time_point now);
+    void adopt(const server_report& reported, time_point now);
 };
 
 /// Whether the request was already sent to this server and failed there.
--- a/src/policy/slot_turnover.cpp
+++ b/src/policy/slot_turnover.cpp
@@ -8,7 +8,7 @@
 
 /// Weight of the newest request in the moving average, so that about the last ten requests determine it: one
 /// second of a server under load.
-constexpr double step = 0.1;
+constexpr double newest_weight = 0.1;
 
 } // namespace
 
@@ -16,8 +16,9 @@
     if (outstanding == 0 || busy <= duration::zero()) {
         return;
     }
-    const double between = to_seconds(busy) / outstanding;
-    m_seconds_between_ends += (m_seconds_between_ends == 0 ? 1 : step) * (between - m_seconds_between_ends);
+    const double interval = to_seconds(busy) / outstanding;
+    m_seconds_between_ends +=
+        (m_seconds_between_ends == 0 ? 1 : newest_weight) * (interval - m_seconds_between_ends);
 }
 
 void slot_turnover::adopt(double seconds_between_ends) noexcept {
--- a/tests/unit/test_policy_slot_floor.cpp
+++ b/tests/unit/test_policy_slot_floor.cpp
@@ -219,15 +219,15 @@
     }
     const auto later = start_time + 4s;
     CHECK(floor.share(0, later) == Approx(1));
-    CHECK(floor.owed(1, 1, later) == 8); // twice its share, so that it catches up
+    CHECK(floor.slots_below_minimum(1, 1, later) == 8); // twice its share, so that it catches up
     for (int index = 0; index < 8; ++index) {
         floor.begin(1, later);
     }
-    CHECK(floor.owed(1, 1, later) <= 1); // the slots just granted count at once
-    CHECK(floor.owed(1, 1, later + 10s) == 0);
+    CHECK(floor.slots_below_minimum(1, 1, later) <= 1); // the slots just granted count at once
+    CHECK(floor.slots_below_minimum(1, 1, later + 10s) == 0);
     for (int index = 0; index < 8; ++index) {
         floor.end(1, later + 10s);
     }
-    CHECK(floor.owed(1, 1, later + 30s) > 0);
-    CHECK(floor.owed(1, 100, later + 30s) <= 1); // 100 tiers divide share_of_all between them
+    CHECK(floor.slots_below_minimum(1, 1, later + 30s) > 0);
+    CHECK(floor.slots_below_minimum(1, 100, later + 30s) <= 1); // 100 tiers divide share_of_all between them
 }
