--- a/src/policy/slot_floor.cpp
+++ b/src/policy/slot_floor.cpp
@@ -58,9 +58,9 @@
     return found == m_tiers.end() || all <= 0 ? 0 : found->second.recent / all;
 }
 
-std::size_t slot_floor::slots_below_minimum(int tier, std::size_t floors, time_point now) {
+std::size_t slot_floor::slots_below_minimum(int tier, std::size_t waiting_tiers, time_point now) {
     const double minimum = std::min(
-        m_limits.share, m_limits.share_of_all / static_cast<double>(std::max<std::size_t>(floors, 1)));
+        m_limits.share, m_limits.share_of_all / static_cast<double>(std::max<std::size_t>(waiting_tiers, 1)));
     if (share(tier, now) >= minimum) {
         return 0;
     }
--- a/src/policy/slot_floor.hpp
+++ b/src/policy/slot_floor.hpp
@@ -34,9 +34,9 @@
     /// A request of this tier released its slot.
     void end(int tier, time_point now);
 
-    /// Number of slots that a tier with waiting requests may be granted now before all other tiers. `floors`
-    /// is the number of tiers below the highest that have waiting requests.
-    [[nodiscard]] std::size_t slots_below_minimum(int tier, std::size_t floors, time_point now);
+    /// Number of slots that a tier with waiting requests may be granted now before all other tiers.
+    /// `waiting_tiers` is the number of tiers below the highest that have waiting requests.
+    [[nodiscard]] std::size_t slots_below_minimum(int tier, std::size_t waiting_tiers, time_point now);
 
     /// The tier's share of the slot time of the last seconds, 0 to 1.
     [[nodiscard]] double share(int tier, time_point now);
--- a/src/policy/slot_scheduler.cpp
+++ b/src/policy/slot_scheduler.cpp
@@ -20,29 +20,29 @@
 
 /// Part of its target that a request waits before its tier is granted its guaranteed minimum share. Without
 /// overload no request waits this long, and the order of tiers is strict.
-constexpr double wait_before_floor = 0.1;
+constexpr double wait_before_minimum_share = 0.1;
 
 /// Minimum length of a queue for estimating the wait in it; the wait in a shorter queue counts as 0.
-constexpr std::size_t least_telling_queue = 8;
+constexpr std::size_t min_queue_for_estimate = 8;
 /// Lower bound of the assumed rate of grants per second, because a queue without recent grants may get some
 /// soon.
-constexpr double least_grant_rate = 2;
+constexpr double min_grant_rate = 2;
 constexpr std::size_t draw_steps = 1000; ///< resolution of the random numbers for the retry delay
 
 /// A small server is sent more requests beyond its slots than a large one: per slot, this many times as many,
-/// but at most `most_queued_by_small` in total.
+/// but at most `max_queued_by_small` in total.
 constexpr double small_queue_factor = 5.0 / 3;
-constexpr double most_queued_by_small = 2;
+constexpr double max_queued_by_small = 2;
 /// Part of a small server's slots that the lowest tier leaves free, instead of
 /// slot_scheduler_limits::reserved_slots.
 constexpr double small_reserve = 0.25;
 
 /// Expected seconds until `waiting` queued requests have got slots at a rate of `per_second` grants.
 double expect_wait(std::size_t waiting, double per_second) {
-    if (waiting < least_telling_queue) {
+    if (waiting < min_queue_for_estimate) {
         return 0;
     }
-    return static_cast<double>(waiting) / std::max(per_second, least_grant_rate);
+    return static_cast<double>(waiting) / std::max(per_second, min_grant_rate);
 }
 
 } // namespace
@@ -50,7 +50,7 @@
 void slot_scheduler::set_server(server_key server, service_key service, unsigned slots, domain_key domain) {
     auto& state = m_servers[server];
     if (state.is_usable && state.service != service) {
-        leave_pool(state);
+        remove_from_pool(state);
     }
     state.key = server;
     state.service = service;
@@ -59,7 +59,7 @@
     if (!std::exchange(state.is_usable, true)) {
         m_pools[service].servers.push_back(&state);
     }
-    update_room(state);
+    update_with_room(state);
 }
 
 void slot_scheduler::set_share(double share) {
@@ -68,13 +68,13 @@
     }
     m_limits.share = share;
     for (auto& [key, server] : m_servers) {
-        update_room(server);
+        update_with_room(server);
     }
 }
 
 /// Adds the server to the list of servers with room, or removes it from that list. Must be called whenever
 /// the server's slots, its outstanding requests, the share or is_usable have changed.
-void slot_scheduler::update_room(slot_server& server) {
+void slot_scheduler::update_with_room(slot_server& server) {
     const bool has_room = server.is_usable && slots_left(server, false) >= 1;
     if (has_room == server.with_room_index.has_value()) {
         return;
@@ -85,18 +85,18 @@
         list.push_back(&server);
         return;
     }
-    const auto place = *std::exchange(server.with_room_index, std::nullopt);
+    const auto index = *std::exchange(server.with_room_index, std::nullopt);
     if (list.back() != &server) {
-        list[place] = list.back();
-        list[place]->with_room_index = place;
+        list[index] = list.back();
+        list[index]->with_room_index = index;
     }
     list.pop_back();
 }
 
-void slot_scheduler::leave_pool(slot_server& server) {
+void slot_scheduler::remove_from_pool(slot_server& server) {
     if (std::exchange(server.is_usable, false)) {
         std::erase(m_pools[server.service].servers, &server);
-        update_room(server);
+        update_with_room(server);
     }
 }
 
@@ -108,19 +108,19 @@
 void slot_scheduler::remove_server(server_key server) {
     const auto found = m_servers.find(server);
     if (found != m_servers.end()) {
-        leave_pool(found->second);
-        drop_unused(server);
+        remove_from_pool(found->second);
+        erase_if_unused(server);
     }
 }
 
-void slot_scheduler::drop_unused(server_key server) {
+void slot_scheduler::erase_if_unused(server_key server) {
     const auto found = m_servers.find(server);
     if (found != m_servers.end() && !found->second.is_usable && found->second.outstanding == 0) {
         m_servers.erase(found);
     }
 }
 
-duration slot_scheduler::patience_of(const slot_request& request) const {
+duration slot_scheduler::max_wait_of(const slot_request& request) const {
     const double times = request.returns > 0 ? m_limits.patience_of_returned : m_limits.patience;
     return from_seconds(to_seconds(request.target) * times);
 }
@@ -135,68 +135,68 @@
         {request.ticket, refusal_reason::overloaded, wait, why.needed_seconds, why.available_seconds});
 }
 
-slot_scheduler::waiting_line& slot_scheduler::line_of(tier_state& tier, punctuality line) noexcept {
-    return line == punctuality::in_time ? tier.in_time : tier.late;
+slot_scheduler::request_queue& slot_scheduler::queue_of(tier_state& tier, deadline_state state) noexcept {
+    return state == deadline_state::in_time ? tier.in_time : tier.late;
 }
 
 void slot_scheduler::add(const slot_request& request, time_point now) {
     auto& tier = m_queues[request.service][request.tier];
-    if (judge(request, now) == punctuality::late) {
+    if (classify(request, now) == deadline_state::late) {
         enqueue_late(tier, request, now);
     } else {
         enqueue_in_time(tier, request, now);
     }
     if (m_waiting.contains(request.ticket)) {
-        m_give_up.emplace(request.arrived + patience_of(request), request.ticket);
+        m_wait_limits.emplace(request.arrived + max_wait_of(request), request.ticket);
     }
 }
 
 /// Refuses the request at once if its expected wait is too long. It would otherwise be refused later, and its
 /// caller would have lost the time until then.
 void slot_scheduler::enqueue_in_time(tier_state& tier, const slot_request& request, time_point now) {
-    const double bearable = to_seconds(request.target) * m_limits.hopeless_wait;
-    const double expected = expect_wait(tier.in_time.queue.size(), tier.in_time.grants.per_second(now));
-    if (expected > bearable) {
-        refuse(tier, request, {expected, bearable}, now);
+    const double max_wait = to_seconds(request.target) * m_limits.hopeless_wait;
+    const double expected = expect_wait(tier.in_time.requests.size(), tier.in_time.grants.per_second(now));
+    if (expected > max_wait) {
+        refuse(tier, request, {expected, max_wait}, now);
         return;
     }
-    enqueue(tier, request, punctuality::in_time);
+    enqueue(tier, request, deadline_state::in_time);
 }
 
-void slot_scheduler::enqueue(tier_state& tier, const slot_request& request, punctuality line) {
-    const queue_place place{request.arrived, request.ticket};
-    line_of(tier, line).queue.emplace(place, request);
-    m_waiting[request.ticket] = {request.service, request.tier, line, place};
+void slot_scheduler::enqueue(tier_state& tier, const slot_request& request, deadline_state state) {
+    const queue_key key{request.arrived, request.ticket};
+    queue_of(tier, state).requests.emplace(key, request);
+    m_waiting[request.ticket] = {request.service, request.tier, state, key};
 }
 
 /// Late requests only get the slots that the other requests of the tier leave. Under sustained load there are
 /// none, and each late request would wait for its maximum time just to be refused. So only as many are queued
 /// as are expected to get a slot within that time.
 void slot_scheduler::enqueue_late(tier_state& tier, const slot_request& request, time_point now) {
-    const double left = to_seconds(request.arrived + patience_of(request) - now);
-    const double expected = expect_wait(tier.late.queue.size(), tier.late.grants.per_second(now));
+    const double left = to_seconds(request.arrived + max_wait_of(request) - now);
+    const double expected = expect_wait(tier.late.requests.size(), tier.late.grants.per_second(now));
     if (expected > left) {
         refuse(tier, request, {expected, left}, now);
         return;
     }
-    enqueue(tier, request, punctuality::late);
+    enqueue(tier, request, deadline_state::late);
 }
 
-void slot_scheduler::turn_late(tier_state& tier, tier_queue::iterator waiting, time_point now) {
+void slot_scheduler::move_to_late_queue(tier_state& tier, request_map::iterator waiting, time_point now) {
     const auto request = waiting->second;
-    tier.in_time.queue.erase(waiting);
+    tier.in_time.requests.erase(waiting);
     m_waiting.erase(request.ticket);
     enqueue_late(tier, request, now);
 }
 
-void slot_scheduler::turn_all_late(tier_state& tier, time_point now) {
-    auto& queue = tier.in_time.queue;
-    for (auto waiting = queue.begin(); waiting != queue.end();) {
+void slot_scheduler::move_late_requests(tier_state& tier, time_point now) {
+    auto& requests = tier.in_time.requests;
+    for (auto waiting = requests.begin(); waiting != requests.end();) {
         const auto next = std::next(waiting);
-        if (judge(waiting->second, now) == punctuality::in_time) {
+        if (classify(waiting->second, now) == deadline_state::in_time) {
             return;
         }
-        turn_late(tier, waiting, now);
+        move_to_late_queue(tier, waiting, now);
         waiting = next;
     }
 }
@@ -206,10 +206,11 @@
     if (found == m_waiting.end()) {
         // The request may have a refusal that wasn't taken yet. The caller has left, so the refusal is
         // dropped.
-        return std::erase_if(m_refusals, [ticket](const auto& told) { return told.ticket == ticket; }) > 0;
+        return std::erase_if(m_refusals, [ticket](const auto& refusal) { return refusal.ticket == ticket; }) >
+               0;
     }
     auto& tier = m_queues[found->second.service][found->second.tier];
-    line_of(tier, found->second.line).queue.erase(found->second.place);
+    queue_of(tier, found->second.state).requests.erase(found->second.key);
     m_waiting.erase(found);
     return true;
 }
@@ -219,7 +220,7 @@
     if (m_running.emplace(slot.ticket, request).second) {
         auto& state = m_servers[slot.server];
         ++state.outstanding;
-        update_room(state);
+        update_with_room(state);
         floor_of(slot.service).begin(slot.tier, now);
     }
 }
@@ -239,9 +240,9 @@
     auto& state = m_servers[server];
     state.learn(ended, prompt, read_mark, now);
     --state.outstanding;
-    update_room(state);
+    update_with_room(state);
     record_outcome(server, ended.outcome, now);
-    drop_unused(server);
+    erase_if_unused(server);
 }
 
 void slot_scheduler::observe(const slot_release& ended, double prompt, time_point now) {
@@ -253,7 +254,7 @@
     }
 }
 
-std::vector<server_report> slot_scheduler::report_servers(std::size_t most, time_point now) const {
+std::vector<server_report> slot_scheduler::report_servers(std::size_t max_count, time_point now) const {
     std::vector<server_report> result;
     for (const auto& [key, server] : m_servers) {
         auto report = server.report(now);
@@ -261,20 +262,21 @@
             result.push_back(report);
         }
     }
-    const auto is_more_telling = [](const server_report& left, const server_report& right) {
+    const auto is_more_informative = [](const server_report& left, const server_report& right) {
         return std::tuple(left.rests > 0, left.first_events) >
                std::tuple(right.rests > 0, right.first_events);
     };
-    const auto kept = std::min(most, result.size());
-    std::ranges::partial_sort(result, result.begin() + static_cast<std::ptrdiff_t>(kept), is_more_telling);
+    const auto kept = std::min(max_count, result.size());
+    std::ranges::partial_sort(result, result.begin() + static_cast<std::ptrdiff_t>(kept),
+                              is_more_informative);
     result.resize(kept);
     return result;
 }
 
-void slot_scheduler::adopt(const server_report& told, time_point now) {
-    const auto found = m_servers.find(told.server);
+void slot_scheduler::adopt(const server_report& reported, time_point now) {
+    const auto found = m_servers.find(reported.server);
     if (found != m_servers.end()) {
-        found->second.adopt(told, now);
+        found->second.adopt(reported, now);
     }
 }
 
@@ -298,10 +300,10 @@
 /// comes free, so each time a slot would be idle for the round trip until the next request arrives. And
 /// reserving two slots would take half of a server with four slots from the lowest tier, which would be
 /// refused while these slots are empty.
-double slot_scheduler::most_outstanding(const slot_server& server, bool is_lowest) const {
+double slot_scheduler::max_outstanding(const slot_server& server, bool is_lowest) const {
     const double slots = server.slots;
     const double queued_by_small =
-        std::min(slots * (m_limits.outstanding_per_slot - 1) * small_queue_factor, most_queued_by_small);
+        std::min(slots * (m_limits.outstanding_per_slot - 1) * small_queue_factor, max_queued_by_small);
     const double all = std::max(slots * m_limits.outstanding_per_slot, slots + queued_by_small);
     if (!is_lowest || server.has_fast_turnover()) {
         return all;
@@ -314,10 +316,10 @@
 
 /// How many more requests the server may be sent, not considering its health.
 double slot_scheduler::slots_left(const slot_server& server, bool is_lowest) const {
-    return std::max(1.0, most_outstanding(server, is_lowest) * m_limits.share) - server.outstanding;
+    return std::max(1.0, max_outstanding(server, is_lowest) * m_limits.share) - server.outstanding;
 }
 
-double slot_scheduler::room(const slot_server& server, bool is_lowest, time_point now) const {
+double slot_scheduler::available_slots(const slot_server& server, bool is_lowest, time_point now) const {
     const auto availability = server.health.availability_at(now);
     if (availability != server_health::availability::full) {
         return availability == server_health::availability::probe && server.outstanding == 0 ? 1 : 0;
@@ -328,22 +330,23 @@
 /// Whether the server may be sent a request under these terms. A late request only gets a free slot and never
 /// a place in the server's own queue, since a request in that queue can't be overtaken: requests that could
 /// still meet their target would have to wait behind the late one.
-bool slot_scheduler::is_open(const slot_server& server, const line_terms& terms, time_point now) const {
-    const bool takes_line = terms.line == punctuality::in_time || server.has_free_slot(m_limits.share);
-    return takes_line && room(server, terms.is_lowest, now) >= 1;
+bool slot_scheduler::can_take_request(const slot_server& server, const grant_terms& terms,
+                                      time_point now) const {
+    const bool can_use_slot = terms.state == deadline_state::in_time || server.has_free_slot(m_limits.share);
+    return can_use_slot && available_slots(server, terms.is_lowest, now) >= 1;
 }
 
 /// Returns up to `max_considered_servers` servers with room. Each search continues where the last one ended,
 /// so that all servers get their turn.
-slot_scheduler::open_servers slot_scheduler::find_open(service_key service, const line_terms& terms,
-                                                       time_point now) {
-    open_servers result;
+slot_scheduler::available_servers slot_scheduler::find_available(service_key service,
+                                                                 const grant_terms& terms, time_point now) {
+    available_servers result;
     auto& pool = m_pools[service];
     const auto count = pool.with_room.size();
-    for (std::size_t looked = 0; looked < count && result.size() < max_considered_servers; ++looked) {
+    for (std::size_t examined = 0; examined < count && result.size() < max_considered_servers; ++examined) {
         pool.next = (pool.next + 1) % count;
         auto* server = pool.with_room[pool.next];
-        if (is_open(*server, terms, now)) {
+        if (can_take_request(*server, terms, now)) {
             result.push_back(server);
         }
     }
@@ -353,13 +356,13 @@
 /// A request is late if no server, busy or not, could still send its first event in time. It also counts as
 /// late after it has waited for some time although a fast enough server exists: under sustained load, the
 /// fast servers may never have a free slot for it.
-slot_scheduler::punctuality slot_scheduler::judge(const slot_request& request, time_point now) const {
+slot_scheduler::deadline_state slot_scheduler::classify(const slot_request& request, time_point now) const {
     const auto waited = now - request.arrived;
     if (request.returns > 0 || waited > from_seconds(to_seconds(request.target) * wait_for_fast_server)) {
-        return punctuality::late;
+        return deadline_state::late;
     }
-    return can_meet_target(request, servers_of(request.service), now) ? punctuality::in_time
-                                                                      : punctuality::late;
+    return can_meet_target(request, servers_of(request.service), now) ? deadline_state::in_time
+                                                                      : deadline_state::late;
 }
 
 slot_servers slot_scheduler::servers_of(service_key service) const {
@@ -367,7 +370,7 @@
     return pool == m_pools.end() ? slot_servers() : slot_servers(pool->second.servers);
 }
 
-void slot_scheduler::start(waiting_line& line, tier_queue::iterator waiting, slot_server& server,
+void slot_scheduler::start(request_queue& queue, request_map::iterator waiting, slot_server& server,
                            time_point now, std::vector<slot_grant>& grants) {
     const auto& request = waiting->second;
     const auto mark =
@@ -375,86 +378,88 @@
     m_running[request.ticket] = {server.key, request.service, request.tier, request.cost.prompt, mark};
     floor_of(request.service).begin(request.tier, now);
     ++server.outstanding;
-    update_room(server);
+    update_with_room(server);
     server.last_grant = ++m_grants;
-    line.grants.record(now);
+    queue.grants.record(now);
     grants.push_back({request.ticket, server.key});
     m_waiting.erase(request.ticket);
-    line.queue.erase(waiting);
+    queue.requests.erase(waiting);
 }
 
-void slot_scheduler::grant_line(service_key service, tier_state& tier, line_terms terms, time_point now,
-                                std::vector<slot_grant>& grants) {
-    auto& line = line_of(tier, terms.line);
-    if (line.queue.empty()) {
+void slot_scheduler::grant_from_queue(service_key service, tier_state& tier, grant_terms terms,
+                                      time_point now, std::vector<slot_grant>& grants) {
+    auto& queue = queue_of(tier, terms.state);
+    if (queue.requests.empty()) {
         return;
     }
-    const auto enough = grants.size() + std::min(terms.most, line.queue.size());
+    const auto enough = grants.size() + std::min(terms.max_grants, queue.requests.size());
     const auto all = servers_of(service);
-    auto open = find_open(service, terms, now);
-    for (auto waiting = line.queue.begin();
-         waiting != line.queue.end() && !open.empty() && grants.size() < enough;) {
+    auto available = find_available(service, terms, now);
+    for (auto waiting = queue.requests.begin();
+         waiting != queue.requests.end() && !available.empty() && grants.size() < enough;) {
         const auto next = std::next(waiting);
-        const bool is_in_time = terms.line == punctuality::in_time;
-        auto* server = choose_server(waiting->second, {open, all, is_in_time, now});
+        const bool is_in_time = terms.state == deadline_state::in_time;
+        auto* server = choose_server(waiting->second, {available, all, is_in_time, now});
         if (server != nullptr) {
-            start(line, waiting, *server, now, grants);
-            if (!is_open(*server, terms, now)) {
-                std::erase(open, server);
+            start(queue, waiting, *server, now, grants);
+            if (!can_take_request(*server, terms, now)) {
+                std::erase(available, server);
             }
-            if (open.empty()) {
-                open = find_open(service, terms, now);
+            if (available.empty()) {
+                available = find_available(service, terms, now);
             }
         }
         waiting = next;
     }
 }
 
-bool slot_scheduler::goes_without(const tier_state& tier, time_point now) {
-    return std::ranges::any_of(std::array{&tier.in_time.queue, &tier.late.queue}, [now](const auto* queue) {
-        if (queue->empty()) {
-            return false;
-        }
-        const auto& oldest = queue->begin()->second;
-        return now - oldest.arrived >= from_seconds(to_seconds(oldest.target) * wait_before_floor);
-    });
+bool slot_scheduler::needs_minimum_share(const tier_state& tier, time_point now) {
+    return std::ranges::any_of(std::array{&tier.in_time.requests, &tier.late.requests},
+                               [now](const auto* requests) {
+                                   if (requests->empty()) {
+                                       return false;
+                                   }
+                                   const auto& oldest = requests->begin()->second;
+                                   return now - oldest.arrived >=
+                                          from_seconds(to_seconds(oldest.target) * wait_before_minimum_share);
+                               });
 }
 
 /// Grants slots to tiers that recently got less than their guaranteed minimum share, the tier with the
 /// smallest share first.
-void slot_scheduler::grant_floors(service_key service, service_queue& tiers, time_point now,
-                                  std::vector<slot_grant>& grants) {
+void slot_scheduler::grant_minimum_shares(service_key service, service_queue& tiers, time_point now,
+                                          std::vector<slot_grant>& grants) {
     auto& floor = floor_of(service);
     std::vector<int> ranks;
     for (const auto& [rank, tier] : tiers) {
-        if (rank != tiers.begin()->first && goes_without(tier, now)) {
+        if (rank != tiers.begin()->first && needs_minimum_share(tier, now)) {
             ranks.push_back(rank);
         }
     }
     std::ranges::sort(ranks, {}, [&](int rank) { return floor.share(rank, now); });
     for (const auto rank : ranks) {
-        for (const auto line : {punctuality::in_time, punctuality::late}) {
-            const auto slots_below_minimum = floor.slots_below_minimum(rank, ranks.size(), now);
-            if (slots_below_minimum > 0) {
-                grant_line(service, tiers.at(rank), {line, false, slots_below_minimum}, now, grants);
+        for (const auto state : {deadline_state::in_time, deadline_state::late}) {
+            const auto missing = floor.slots_below_minimum(rank, ranks.size(), now);
+            if (missing > 0) {
+                grant_from_queue(service, tiers.at(rank), {state, false, missing}, now, grants);
             }
         }
     }
 }
 
-void slot_scheduler::give_up_late(time_point now) {
-    while (!m_give_up.empty() && m_give_up.begin()->first <= now) {
-        const auto found = m_waiting.find(m_give_up.begin()->second);
-        m_give_up.erase(m_give_up.begin());
+void slot_scheduler::refuse_overdue(time_point now) {
+    while (!m_wait_limits.empty() && m_wait_limits.begin()->first <= now) {
+        const auto found = m_waiting.find(m_wait_limits.begin()->second);
+        m_wait_limits.erase(m_wait_limits.begin());
         if (found == m_waiting.end()) {
             continue;
         }
         auto& tier = m_queues[found->second.service][found->second.tier];
-        auto& queue = line_of(tier, found->second.line).queue;
-        const auto waiting = queue.find(found->second.place);
+        auto& requests = queue_of(tier, found->second.state).requests;
+        const auto waiting = requests.find(found->second.key);
         const auto& request = waiting->second;
-        refuse(tier, request, {to_seconds(now - request.arrived), to_seconds(patience_of(request))}, now);
-        queue.erase(waiting);
+        refuse(tier, request, {to_seconds(now - request.arrived), to_seconds(max_wait_of(request))}, now);
+        requests.erase(waiting);
         m_waiting.erase(found);
     }
 }
@@ -465,16 +470,16 @@
 
 std::vector<slot_grant> slot_scheduler::grant(time_point now) {
     std::vector<slot_grant> grants;
-    give_up_late(now);
+    refuse_overdue(now);
     for (auto& [service, tiers] : m_queues) {
         for (auto& [rank, tier] : tiers) {
-            turn_all_late(tier, now);
+            move_late_requests(tier, now);
         }
-        grant_floors(service, tiers, now, grants);
+        grant_minimum_shares(service, tiers, now, grants);
         for (auto& [rank, tier] : tiers) {
             const bool is_lowest = tiers.size() > 1 && rank == tiers.rbegin()->first;
-            grant_line(service, tier, {punctuality::in_time, is_lowest}, now, grants);
-            grant_line(service, tier, {punctuality::late, is_lowest}, now, grants);
+            grant_from_queue(service, tier, {deadline_state::in_time, is_lowest}, now, grants);
+            grant_from_queue(service, tier, {deadline_state::late, is_lowest}, now, grants);
         }
     }
     return grants;
--- a/src/policy/slot_scheduler.hpp
+++ b/src/policy/slot_scheduler.hpp
@@ -93,11 +93,11 @@
     /// number of its prompt tokens.
     void observe(const slot_release& ended, double prompt, time_point now);
     /// Returns what this process has learned about its servers, for another process to continue with: at most
-    /// `most` reports, first on servers that failed since their last success, then on those with the most
-    /// measured requests.
-    [[nodiscard]] std::vector<server_report> report_servers(std::size_t most, time_point now) const;
+    /// `max_count` reports, first on servers that failed since their last success, then on those with the
+    /// most measured requests.
+    [[nodiscard]] std::vector<server_report> report_servers(std::size_t max_count, time_point now) const;
     /// Takes over a report of another process on a server. Ignored if the server isn't known here.
-    void adopt(const server_report& told, time_point now);
+    void adopt(const server_report& reported, time_point now);
 
     /// Grants slots to all waiting requests that can have one now. Also refuses requests that have waited too
     /// long; see take_refusals().
@@ -125,15 +125,15 @@
 
 private:
     /// Position of a request in a queue. Compares the arrival time first, so that a queue is sorted by age.
-    struct queue_place {
+    struct queue_key {
         time_point arrived;
         slot_ticket ticket = 0;
-        auto operator<=>(const queue_place&) const = default;
+        auto operator<=>(const queue_key&) const = default;
     };
-    using tier_queue = std::map<queue_place, slot_request>;
+    using request_map = std::map<queue_key, slot_request>;
     /// One of the two queues of a tier.
-    struct waiting_line {
-        tier_queue queue;
+    struct request_queue {
+        request_map requests;
         flow_meter grants; ///< rate of grants from this queue
     };
     /// Requests that can still meet their target and late requests wait in separate queues, and late requests
@@ -141,8 +141,8 @@
     /// by the maximum wait; nearly all requests that get a slot would be late by then, and all others would
     /// wait as long just to be refused.
     struct tier_state {
-        waiting_line in_time; ///< requests whose target some server could still meet
-        waiting_line late;
+        request_queue in_time; ///< requests whose target some server could still meet
+        request_queue late;
         overload_watch overload;
     };
     /// The queues of one service by tier, highest tier first.
@@ -156,15 +156,15 @@
         std::vector<slot_server*> with_room;
         std::size_t next = 0; ///< index in `with_room` after which the next search starts
     };
-    using open_servers = std::vector<slot_server*>;
+    using available_servers = std::vector<slot_server*>;
     /// The queue of its tier in which a request waits.
-    enum class punctuality { in_time, late };
+    enum class deadline_state { in_time, late };
     /// Where a waiting request is queued.
-    struct waiting_place {
+    struct queue_location {
         service_key service = 0;
         int tier = 0;
-        punctuality line = punctuality::in_time;
-        queue_place place;
+        deadline_state state = deadline_state::in_time;
+        queue_key key;
     };
     struct running_request {
         server_key server = 0;
@@ -175,46 +175,48 @@
     };
     /// Whether a request belongs into the queue of requests that can still meet their target or into that of
     /// late requests.
-    [[nodiscard]] punctuality judge(const slot_request& request, time_point now) const;
+    [[nodiscard]] deadline_state classify(const slot_request& request, time_point now) const;
     /// All usable servers of a service.
     [[nodiscard]] slot_servers servers_of(service_key service) const;
-    [[nodiscard]] double most_outstanding(const slot_server& server, bool is_lowest) const;
+    [[nodiscard]] double max_outstanding(const slot_server& server, bool is_lowest) const;
     [[nodiscard]] double slots_left(const slot_server& server, bool is_lowest) const;
-    [[nodiscard]] double room(const slot_server& server, bool is_lowest, time_point now) const;
-    void update_room(slot_server& server);
+    [[nodiscard]] double available_slots(const slot_server& server, bool is_lowest, time_point now) const;
+    void update_with_room(slot_server& server);
     /// Restrictions on the grants to one queue.
-    struct line_terms {
-        punctuality line = punctuality::in_time;
+    struct grant_terms {
+        deadline_state state = deadline_state::in_time;
         bool is_lowest = false; ///< the queue is of the lowest tier, which leaves some slots free
-        std::size_t most = std::numeric_limits<std::size_t>::max(); ///< maximum number of grants
+        std::size_t max_grants = std::numeric_limits<std::size_t>::max(); ///< maximum number of grants
     };
-    [[nodiscard]] bool is_open(const slot_server& server, const line_terms& terms, time_point now) const;
-    [[nodiscard]] open_servers find_open(service_key service, const line_terms& terms, time_point now);
-    void leave_pool(slot_server& server);
-    [[nodiscard]] static waiting_line& line_of(tier_state& tier, punctuality line) noexcept;
-    void start(waiting_line& line, tier_queue::iterator waiting, slot_server& server, time_point now,
+    [[nodiscard]] bool can_take_request(const slot_server& server, const grant_terms& terms,
+                                        time_point now) const;
+    [[nodiscard]] available_servers find_available(service_key service, const grant_terms& terms,
+                                                   time_point now);
+    void remove_from_pool(slot_server& server);
+    [[nodiscard]] static request_queue& queue_of(tier_state& tier, deadline_state state) noexcept;
+    void start(request_queue& queue, request_map::iterator waiting, slot_server& server, time_point now,
                std::vector<slot_grant>& grants);
-    void grant_line(service_key service, tier_state& tier, line_terms terms, time_point now,
-                    std::vector<slot_grant>& grants);
+    void grant_from_queue(service_key service, tier_state& tier, grant_terms terms, time_point now,
+                          std::vector<slot_grant>& grants);
     /// Whether the tier's oldest request has waited so long that the tier needs its guaranteed minimum share.
-    [[nodiscard]] static bool goes_without(const tier_state& tier, time_point now);
-    void grant_floors(service_key service, service_queue& tiers, time_point now,
-                      std::vector<slot_grant>& grants);
+    [[nodiscard]] static bool needs_minimum_share(const tier_state& tier, time_point now);
+    void grant_minimum_shares(service_key service, service_queue& tiers, time_point now,
+                              std::vector<slot_grant>& grants);
     [[nodiscard]] slot_floor& floor_of(service_key service);
-    [[nodiscard]] duration patience_of(const slot_request& request) const;
-    void enqueue(tier_state& tier, const slot_request& request, punctuality line);
+    [[nodiscard]] duration max_wait_of(const slot_request& request) const;
+    void enqueue(tier_state& tier, const slot_request& request, deadline_state state);
     void enqueue_in_time(tier_state& tier, const slot_request& request, time_point now);
     void enqueue_late(tier_state& tier, const slot_request& request, time_point now);
-    void turn_late(tier_state& tier, tier_queue::iterator waiting, time_point now);
-    void turn_all_late(tier_state& tier, time_point now);
+    void move_to_late_queue(tier_state& tier, request_map::iterator waiting, time_point now);
+    void move_late_requests(tier_state& tier, time_point now);
     /// The wait that led to a refusal, and the limit that it exceeds.
     struct wait_comparison {
         double needed_seconds = 0;
         double available_seconds = 0;
     };
     void refuse(tier_state& tier, const slot_request& request, wait_comparison why, time_point now);
-    void give_up_late(time_point now);
-    void drop_unused(server_key server);
+    void refuse_overdue(time_point now);
+    void erase_if_unused(server_key server);
     void record_outcome(server_key server, slot_outcome outcome, time_point now);
 
     slot_scheduler_limits m_limits;
@@ -223,10 +225,10 @@
     std::unordered_map<service_key, server_pool> m_pools;
     std::unordered_map<service_key, service_queue> m_queues;
     std::unordered_map<service_key, slot_floor> m_floors;
-    std::unordered_map<slot_ticket, waiting_place> m_waiting;
+    std::unordered_map<slot_ticket, queue_location> m_waiting;
     /// The time at which each waiting request reaches its maximum wait. Tickets that no longer wait are
     /// skipped.
-    std::multimap<time_point, slot_ticket> m_give_up;
+    std::multimap<time_point, slot_ticket> m_wait_limits;
     std::unordered_map<slot_ticket, running_request> m_running;
     std::vector<health_change> m_health_changes;
     std::uint64_t m_grants = 0; ///< number of all grants so far, which numbers the next one
