--- a/src/policy/slot_floor.cpp
+++ b/src/policy/slot_floor.cpp
@@ -12,7 +12,7 @@
 /// Time constant of the average. The most expensive requests take one to three seconds. With a shorter time,
 /// each of them would look like all of the slot time; with a longer one, a tier that had its minimum share
 /// before a burst would get nothing during the whole burst.
-constexpr double memory_seconds = 2;
+constexpr double time_constant_seconds = 2;
 /// Maximum number of slots that a tier may be granted at once, as a multiple of its minimum share: enough to
 /// catch up within the averaging time, but not enough to displace all other tiers together.
 constexpr double max_at_once = 2;
@@ -21,7 +21,7 @@
 
 void slot_floor::advance(time_point now) {
     if (m_updated != time_point::min() && now > m_updated) {
-        const double kept = std::exp(-to_seconds(now - m_updated) / memory_seconds);
+        const double kept = std::exp(-to_seconds(now - m_updated) / time_constant_seconds);
         for (auto& [tier, use] : m_tiers) {
             use.recent = use.recent * kept + static_cast<double>(use.running) * (1 - kept);
         }
--- a/tests/unit/test_gateway_policy.cpp
+++ b/tests/unit/test_gateway_policy.cpp
@@ -54,53 +54,53 @@
 
 TEST_CASE("a request that may have run is only sent to another server if it may run twice",
           "[policy][attempt_rule]") {
-    attempt_rule once(false, 3);
-    once.record(1, try_outcome::unreachable);
-    once.record(2, try_outcome::not_executed);
-    CHECK(once.may_try_again());
-    CHECK(once.arrivals() == 1);
-    once.record(3, try_outcome::may_have_run);
-    CHECK_FALSE(once.may_try_again());
-    CHECK(once.may_have_run());
+    attempt_rule not_repeatable(false, 3);
+    not_repeatable.record(1, try_outcome::unreachable);
+    not_repeatable.record(2, try_outcome::not_executed);
+    CHECK(not_repeatable.may_try_again());
+    CHECK(not_repeatable.arrivals() == 1);
+    not_repeatable.record(3, try_outcome::may_have_run);
+    CHECK_FALSE(not_repeatable.may_try_again());
+    CHECK(not_repeatable.may_have_run());
 
-    attempt_rule often(true, 2);
-    often.record(1, try_outcome::may_have_run);
-    CHECK(often.may_try_again());
-    often.record(2, try_outcome::may_have_run);
-    CHECK_FALSE(often.may_try_again());
+    attempt_rule repeatable(true, 2);
+    repeatable.record(1, try_outcome::may_have_run);
+    CHECK(repeatable.may_try_again());
+    repeatable.record(2, try_outcome::may_have_run);
+    CHECK_FALSE(repeatable.may_try_again());
 }
 
 TEST_CASE("retries stay within a share of the requests and a reserve", "[policy][repeat_budget]") {
     // A service fails all requests. Without a budget, each request would be sent to several servers.
     repeat_budget budget({.ratio = 0.2, .reserve = 10, .window = 10s});
-    int repeats = 0;
+    int retries = 0;
     for (int index = 0; index < 1000; ++index) {
         const auto now = start_time + index * 10ms;
         budget.count_request(7, now);
-        repeats += budget.try_repeat(7, now) ? 1 : 0;
+        retries += budget.try_repeat(7, now) ? 1 : 0;
     }
-    CHECK(repeats > 50);
-    CHECK(repeats <= 0.2 * 1000 + 10);
+    CHECK(retries > 50);
+    CHECK(retries <= 0.2 * 1000 + 10);
     CHECK_FALSE(budget.try_repeat(7, start_time + 10s));
     CHECK(budget.try_repeat(8, start_time));
 }
 
 TEST_CASE("a quota is a rate with a burst, divided by shares", "[policy][allowance_book]") {
-    allowance_book book({.window = 8s, .tolerance = 0, .slack = 0});
-    book.set_limit(1, {.rate = 100, .burst = 200}, start_time);
+    allowance_book quotas({.window = 8s, .tolerance = 0, .slack = 0});
+    quotas.set_limit(1, {.rate = 100, .burst = 200}, start_time);
     // A new bucket isn't full, because other processes may have started one within the same window.
-    CHECK_FALSE(book.try_take(1, 200, 0, start_time));
+    CHECK_FALSE(quotas.try_take(1, 200, 0, start_time));
     const auto later = start_time + 10s;
-    CHECK(book.try_take(1, 200, 0, later));
-    CHECK_FALSE(book.try_take(1, 1, 0, later));
-    CHECK(book.time_until(1, 50, 0, later) == 500ms);
-    CHECK(book.try_take(1, 50, 0, later + 500ms));
-    book.give_back(1, 50, later + 500ms);
-    CHECK(book.try_take(1, 50, 0, later + 500ms));
-    book.set_share(0.5, later + 500ms);
-    CHECK_FALSE(book.try_take(1, 100, 0, later + 1500ms));
-    CHECK(book.try_take(1, 50, 0, later + 1500ms));
-    CHECK(book.try_take(2, 1e9, 0, later));
+    CHECK(quotas.try_take(1, 200, 0, later));
+    CHECK_FALSE(quotas.try_take(1, 1, 0, later));
+    CHECK(quotas.time_until(1, 50, 0, later) == 500ms);
+    CHECK(quotas.try_take(1, 50, 0, later + 500ms));
+    quotas.give_back(1, 50, later + 500ms);
+    CHECK(quotas.try_take(1, 50, 0, later + 500ms));
+    quotas.set_share(0.5, later + 500ms);
+    CHECK_FALSE(quotas.try_take(1, 100, 0, later + 1500ms));
+    CHECK(quotas.try_take(1, 50, 0, later + 1500ms));
+    CHECK(quotas.try_take(2, 1e9, 0, later));
 }
 
 TEST_CASE("no more units are granted in a window than the limit and its tolerance",
@@ -109,19 +109,19 @@
     // within a window.
     const allowance_limits limits{.window = 8s, .tolerance = 0.1, .slack = 500};
     const allowance limit{.rate = 100, .burst = 200};
-    double given = 0;
-    auto book = std::make_unique<allowance_book>(limits);
-    book->set_limit(1, limit, start_time);
+    double granted = 0;
+    auto quotas = std::make_unique<allowance_book>(limits);
+    quotas->set_limit(1, limit, start_time);
     for (int step = 0; step < 800; ++step) {
         const auto now = start_time + step * 10ms;
         if (step == 300 || step == 500) {
-            book = std::make_unique<allowance_book>(limits);
-            book->set_limit(1, limit, now);
+            quotas = std::make_unique<allowance_book>(limits);
+            quotas->set_limit(1, limit, now);
         }
-        given += book->try_take(1, 10, 0, now) ? 10 : 0;
+        granted += quotas->try_take(1, 10, 0, now) ? 10 : 0;
     }
-    CHECK(given >= 100 * 8 * 0.9);
-    CHECK(given <= (100 * 8 + 200) * 1.1 + 500);
+    CHECK(granted >= 100 * 8 * 0.9);
+    CHECK(granted <= (100 * 8 + 200) * 1.1 + 500);
 }
 
 TEST_CASE("processes that start together grant no more units than one that starts alone",
@@ -130,18 +130,18 @@
     // the coordinator. When the initial level of the bucket didn't depend on the share, a workspace could
     // exceed its quota by as many times as there are gateways.
     const allowance_limits limits{.window = 8s, .tolerance = 0.1, .slack = 500};
-    const auto give_out_at_start = [&](double share) {
-        allowance_book book(limits);
-        book.set_share(share, start_time);
-        book.set_limit(1, {.rate = 1000, .burst = 1000}, start_time);
-        double given = 0;
-        while (book.try_take(1, 1, 0, start_time)) {
-            ++given;
+    const auto grant_at_start = [&](double share) {
+        allowance_book quotas(limits);
+        quotas.set_share(share, start_time);
+        quotas.set_limit(1, {.rate = 1000, .burst = 1000}, start_time);
+        double granted = 0;
+        while (quotas.try_take(1, 1, 0, start_time)) {
+            ++granted;
         }
-        return given;
+        return granted;
     };
-    CHECK(4 * give_out_at_start(0.25) <= give_out_at_start(1));
-    CHECK(give_out_at_start(0.25) > 0);
+    CHECK(4 * grant_at_start(0.25) <= grant_at_start(1));
+    CHECK(grant_at_start(0.25) > 0);
 }
 
 TEST_CASE("a process that becomes coordinator grants as many units as one that starts as coordinator",
@@ -151,55 +151,55 @@
     // its quota. If it got the full initial level again at each change of its share, the workspace could
     // exceed its quota.
     const allowance_limits limits{.window = 8s, .tolerance = 0.1, .slack = 500};
-    const auto take_all = [](allowance_book& book) {
-        double given = 0;
-        while (book.try_take(1, 1, 0, start_time)) {
-            ++given;
+    const auto grant_all = [](allowance_book& quotas) {
+        double granted = 0;
+        while (quotas.try_take(1, 1, 0, start_time)) {
+            ++granted;
         }
-        return given;
+        return granted;
     };
     allowance_book alone(limits);
     alone.set_limit(1, {.rate = 1000, .burst = 1000}, start_time);
     allowance_book chosen(limits);
     chosen.set_share(0.25, start_time);
     chosen.set_limit(1, {.rate = 1000, .burst = 1000}, start_time);
-    const double as_part = take_all(chosen);
+    const double as_share = grant_all(chosen);
     chosen.set_share(1, start_time);
-    const double whole = as_part + take_all(chosen);
-    CHECK(whole <= take_all(alone));
-    CHECK(whole >= 4 * as_part);
+    const double whole = as_share + grant_all(chosen);
+    CHECK(whole <= grant_all(alone));
+    CHECK(whole >= 4 * as_share);
     chosen.set_share(0.25, start_time);
     chosen.set_share(1, start_time);
-    CHECK(take_all(chosen) == 0);
+    CHECK(grant_all(chosen) == 0);
 }
 
 TEST_CASE("a scarce quota goes to the higher ranks of its workspace", "[policy][allowance_book]") {
     // A workspace sends five times what its quota allows. Granted in the order of arrival, the quota would be
     // spent on long notes that can wait, and the summaries that its writers are waiting for would be refused.
-    allowance_book book({.window = 8s, .tolerance = 0, .slack = 0});
-    book.set_limit(1, {.rate = 1000, .burst = 1000}, start_time);
-    std::array<int, 3> asked{};
+    allowance_book quotas({.window = 8s, .tolerance = 0, .slack = 0});
+    quotas.set_limit(1, {.rate = 1000, .burst = 1000}, start_time);
+    std::array<int, 3> requested{};
     std::array<int, 3> taken{};
     for (int step = 0; step < 3000; ++step) {
         const auto now = start_time + 10s + step * 10ms;
         const int rank = step % 3;
         const double units = rank == 2 ? 70 : 30;
-        ++asked[static_cast<std::size_t>(rank)];
-        taken[static_cast<std::size_t>(rank)] += book.try_take(1, units, rank, now) ? 1 : 0;
+        ++requested[static_cast<std::size_t>(rank)];
+        taken[static_cast<std::size_t>(rank)] += quotas.try_take(1, units, rank, now) ? 1 : 0;
     }
-    CHECK(taken[0] > 0.95 * asked[0]);
-    CHECK(taken[2] < 0.2 * asked[2]);
+    CHECK(taken[0] > 0.95 * requested[0]);
+    CHECK(taken[2] < 0.2 * requested[2]);
     // A call that needs hardly any units isn't refused in favour of higher ranks.
-    CHECK(book.try_take(1, 1, 2, start_time + 40500ms));
+    CHECK(quotas.try_take(1, 1, 2, start_time + 40500ms));
 }
 
 TEST_CASE("a lowered quota takes effect at once", "[policy][allowance_book]") {
-    allowance_book book({.window = 8s, .tolerance = 0, .slack = 0});
-    book.set_limit(1, {.rate = 1000, .burst = 1000}, start_time);
+    allowance_book quotas({.window = 8s, .tolerance = 0, .slack = 0});
+    quotas.set_limit(1, {.rate = 1000, .burst = 1000}, start_time);
     const auto now = start_time + 10s;
-    book.set_limit(1, {.rate = 10, .burst = 10}, now);
-    CHECK_FALSE(book.try_take(1, 11, 0, now));
-    CHECK(book.try_take(1, 10, 0, now));
+    quotas.set_limit(1, {.rate = 10, .burst = 10}, now);
+    CHECK_FALSE(quotas.try_take(1, 11, 0, now));
+    CHECK(quotas.try_take(1, 10, 0, now));
 }
 
 TEST_CASE("a registration that vanishes while the store rejects only this process is removed",
@@ -297,16 +297,16 @@
 
 TEST_CASE("a retried request is recognised until it is served or its refusal is too old",
           "[policy][return_memory]") {
-    return_memory memory;
-    memory.note_refused(7, start_time);
-    CHECK(memory.refusals(7, start_time + 2s) == 1);
-    memory.note_refused(7, start_time + 2s);
-    CHECK(memory.refusals(7, start_time + 3s) == 2);
-    CHECK(memory.refusals(8, start_time) == 0);
-    memory.forget(7);
-    CHECK(memory.refusals(7, start_time + 3s) == 0);
-    memory.note_refused(9, start_time + 3s);
-    CHECK(memory.refusals(9, start_time + 30s) == 0);
-    memory.note_refused(0, start_time);
-    CHECK(memory.refusals(0, start_time) == 0);
+    return_memory history;
+    history.note_refused(7, start_time);
+    CHECK(history.refusals(7, start_time + 2s) == 1);
+    history.note_refused(7, start_time + 2s);
+    CHECK(history.refusals(7, start_time + 3s) == 2);
+    CHECK(history.refusals(8, start_time) == 0);
+    history.forget(7);
+    CHECK(history.refusals(7, start_time + 3s) == 0);
+    history.note_refused(9, start_time + 3s);
+    CHECK(history.refusals(9, start_time + 30s) == 0);
+    history.note_refused(0, start_time);
+    CHECK(history.refusals(0, start_time) == 0);
 }
--- a/tests/unit/test_policy_server_report.cpp
+++ b/tests/unit/test_policy_server_report.cpp
@@ -132,12 +132,12 @@
     auto member = make_scheduler();
     member.observe({100, dead, slot_outcome::unreachable, 300ms, {}, 0}, 1000, start_time);
     slot_scheduler successor({});
-    constexpr server_key reborn = 9;
-    successor.set_server(reborn, engines, 4);
+    constexpr server_key restarted = 9;
+    successor.set_server(restarted, engines, 4);
     for (const auto& report : member.report_servers(all, start_time)) {
         successor.adopt(report, start_time);
     }
-    CHECK(count_grants(successor, 2, start_time).at(reborn) == 2);
+    CHECK(count_grants(successor, 2, start_time).at(restarted) == 2);
 }
 
 TEST_CASE("the reports in a batch are applied before its slot requests", "[coordination][server_report]") {
@@ -148,12 +148,12 @@
     coordination::slot_coordinator successor({}, {}, {});
     successor.scheduler().set_server(dead, engines, 4);
     successor.scheduler().set_server(fast, engines, 4);
-    coordination::batch_items told;
-    told.reports = member.report_servers(all, start_time);
+    coordination::batch_items batch;
+    batch.reports = member.report_servers(all, start_time);
     for (slot_ticket ticket = 1; ticket <= 4; ++ticket) {
-        told.asks.push_back(make_request(ticket, start_time));
+        batch.asks.push_back(make_request(ticket, start_time));
     }
-    successor.take(7, told, start_time);
+    successor.take(7, batch, start_time);
     const auto grants = successor.decide(start_time).at(7).grants;
     REQUIRE(grants.size() == 4);
     CHECK(std::ranges::all_of(grants, [](const auto& grant) { return grant.server == fast; }));
--- a/tests/unit/test_policy_slot_floor.cpp
+++ b/tests/unit/test_policy_slot_floor.cpp
@@ -27,18 +27,18 @@
 
 /// How many requests a tier sent, and how many of them got a slot.
 struct tier_result {
-    unsigned asked = 0;
+    unsigned sent = 0;
     unsigned served = 0;
-    [[nodiscard]] double share() const { return static_cast<double>(served) / asked; }
+    [[nodiscard]] double share() const { return static_cast<double>(served) / sent; }
 };
 
 /// Simulates a scheduler under a steady load in virtual time.
-class played_load {
+class load_simulation {
 public:
-    played_load(slot_scheduler_limits limits, unsigned servers, unsigned slots)
+    load_simulation(slot_scheduler_limits limits, unsigned servers, unsigned slots)
         : m_limits(limits), m_servers(servers), m_slots(slots), m_scheduler(make_scheduler()) {}
 
-    void play(const std::vector<tier_load>& load, duration length) {
+    void run(const std::vector<tier_load>& load, duration length) {
         const auto end = m_now + length;
         for (; m_now < end; m_now += step) {
             finish_due();
@@ -56,19 +56,19 @@
         m_scheduler = make_scheduler();
         for (const auto& [end, running] : m_running) {
             m_scheduler.add_running(
-                {running.ticket, running.server, engines, m_asked.at(running.ticket).tier}, m_now);
+                {running.ticket, running.server, engines, m_requests.at(running.ticket).tier}, m_now);
         }
     }
 
     [[nodiscard]] const tier_result& result(int tier) { return m_results[tier]; }
-    void forget_results() { m_results.clear(); }
+    void clear_results() { m_results.clear(); }
     /// The share of all granted slot time that a tier got.
     [[nodiscard]] double slot_share(int tier) {
         duration all{};
-        for (const auto& [other, given] : m_given) {
-            all += given;
+        for (const auto& [other, granted] : m_granted_time) {
+            all += granted;
         }
-        return to_seconds(m_given[tier]) / to_seconds(all);
+        return to_seconds(m_granted_time[tier]) / to_seconds(all);
     }
 
 private:
@@ -90,17 +90,17 @@
             request.arrived = m_now;
             request.deadline = m_now + 10s;
             request.target = tier.target;
-            m_asked[request.ticket] = tier;
-            ++m_results[tier.tier].asked;
+            m_requests[request.ticket] = tier;
+            ++m_results[tier.tier].sent;
             m_scheduler.add(request, m_now);
         }
     }
 
     void start_granted() {
         for (const auto& grant : m_scheduler.grant(m_now)) {
-            const auto& tier = m_asked.at(grant.ticket);
+            const auto& tier = m_requests.at(grant.ticket);
             ++m_results[tier.tier].served;
-            m_given[tier.tier] += tier.slot_time;
+            m_granted_time[tier.tier] += tier.slot_time;
             m_running.emplace(m_now + tier.slot_time, grant);
         }
     }
@@ -109,7 +109,7 @@
         while (!m_running.empty() && m_running.begin()->first <= m_now) {
             const auto [end, grant] = *m_running.begin();
             m_running.erase(m_running.begin());
-            const auto busy = m_asked.at(grant.ticket).slot_time;
+            const auto busy = m_requests.at(grant.ticket).slot_time;
             m_scheduler.release({grant.ticket, grant.server, slot_outcome::served, busy, 50ms}, m_now);
         }
     }
@@ -121,10 +121,10 @@
     time_point m_now = start_time;
     slot_ticket m_last_ticket = 0;
     std::map<int, double> m_due;
-    std::map<slot_ticket, tier_load> m_asked;
+    std::map<slot_ticket, tier_load> m_requests;
     std::multimap<time_point, slot_grant> m_running;
     std::map<int, tier_result> m_results;
-    std::map<int, duration> m_given;
+    std::map<int, duration> m_granted_time;
 };
 
 /// Twice the load that four engines with nine slots each can handle. Expensive requests of the two highest
@@ -143,18 +143,18 @@
           "[policy][slot_floor]") {
     // Under sustained load, the higher tiers take every slot that comes free. All requests of the lowest tier
     // together need only a tenth of the slots, yet they were all refused for half a minute.
-    played_load strict(without_floor(), 4, 9);
-    strict.play(heavy_load, 20s);
+    load_simulation strict(without_floor(), 4, 9);
+    strict.run(heavy_load, 20s);
     CHECK(strict.result(2).share() < 0.1);
-    played_load floored({}, 4, 9);
-    floored.play(heavy_load, 20s);
-    CHECK(floored.result(2).share() > 0.5);
+    load_simulation guaranteed({}, 4, 9);
+    guaranteed.run(heavy_load, 20s);
+    CHECK(guaranteed.result(2).share() > 0.5);
     // The lowest tier gets its minimum share and no more, and the highest tier still goes before the middle
     // one.
-    CHECK(floored.slot_share(2) < 0.1);
-    CHECK(floored.result(0).share() > floored.result(1).share());
+    CHECK(guaranteed.slot_share(2) < 0.1);
+    CHECK(guaranteed.result(0).share() > guaranteed.result(1).share());
     // The minimum shares together take at most a quarter of the slots.
-    CHECK(floored.result(0).share() >= 0.75 * strict.result(0).share());
+    CHECK(guaranteed.result(0).share() >= 0.75 * strict.result(0).share());
 }
 
 TEST_CASE("a process with a share of all slots guarantees the minimum shares too", "[policy][slot_floor]") {
@@ -165,22 +165,22 @@
     for (auto& tier : load) {
         tier.per_second /= 5;
     }
-    played_load part(limits, 4, 9);
-    part.play(load, 20s);
-    CHECK(part.result(2).share() > 0.5);
-    CHECK(part.result(0).share() > part.result(1).share());
+    load_simulation shared(limits, 4, 9);
+    shared.run(load, 20s);
+    CHECK(shared.result(2).share() > 0.5);
+    CHECK(shared.result(0).share() > shared.result(1).share());
 }
 
 TEST_CASE("a new coordinator guarantees the minimum shares from its first decision on",
           "[policy][slot_floor]") {
     // A new coordinator learns the running requests from the members, but not the slot time that was granted
     // before.
-    played_load load({}, 4, 9);
-    load.play(heavy_load, 5s);
+    load_simulation load({}, 4, 9);
+    load.run(heavy_load, 5s);
     for (int change = 0; change < 5; ++change) {
-        load.forget_results();
+        load.clear_results();
         load.change_coordinator();
-        load.play(heavy_load, 2s);
+        load.run(heavy_load, 2s);
         CHECK(load.result(2).share() > 0.4);
         CHECK(load.result(0).share() > 0.2);
     }
@@ -192,8 +192,8 @@
     for (int tier = 1; tier < 8; ++tier) {
         load.push_back({tier, 10, 200ms});
     }
-    played_load many({}, 4, 9);
-    many.play(load, 20s);
+    load_simulation many({}, 4, 9);
+    many.run(load, 20s);
     double lower = 0;
     for (int tier = 1; tier < 8; ++tier) {
         CAPTURE(tier);
@@ -205,8 +205,8 @@
 }
 
 TEST_CASE("without overload, requests of all tiers are served", "[policy][slot_floor]") {
-    played_load calm({}, 4, 9);
-    calm.play({{0, 10, 1400ms}, {1, 5, 1100ms}, {2, 20, 120ms}}, 10s);
+    load_simulation calm({}, 4, 9);
+    calm.run({{0, 10, 1400ms}, {1, 5, 1100ms}, {2, 20, 120ms}}, 10s);
     CHECK(calm.result(0).share() > 0.95);
     CHECK(calm.result(1).share() > 0.95);
     CHECK(calm.result(2).share() > 0.95);
--- a/tests/unit/test_policy_slot_scheduler.cpp
+++ b/tests/unit/test_policy_slot_scheduler.cpp
@@ -120,11 +120,11 @@
 TEST_CASE("the expected time of an absurdly long answer doesn't overflow", "[policy][output_pace]") {
     // A caller states an answer length of more tokens than any engine generates in a lifetime. The conversion
     // to a duration overflowed to a negative value, so that every server seemed to be fast enough.
-    output_pace pace;
-    pace.learn(400, 4s);
-    CHECK(pace.expect(100) > 900ms);
-    CHECK(pace.expect(9e18) > std::chrono::hours(24 * 365));
-    CHECK(start_time + pace.expect(9e18) + pace.expect(9e18) > start_time);
+    output_pace token_time;
+    token_time.learn(400, 4s);
+    CHECK(token_time.expect(100) > 900ms);
+    CHECK(token_time.expect(9e18) > std::chrono::hours(24 * 365));
+    CHECK(start_time + token_time.expect(9e18) + token_time.expect(9e18) > start_time);
 }
 
 TEST_CASE("free slots are found and never granted twice while servers come and go",
@@ -187,9 +187,9 @@
     const auto refused = scheduler.take_refusals();
     CHECK(refused.size() > 5);
     CHECK(refused.front().retry_after >= 100ms);
-    auto back = make_request(100, 0);
-    back.returns = 1;
-    scheduler.add(back, start_time);
+    auto retried = make_request(100, 0);
+    retried.returns = 1;
+    scheduler.add(retried, start_time);
     CHECK(scheduler.take_refusals().empty());
     CHECK(scheduler.withdraw(100));
 }
@@ -311,21 +311,21 @@
     // second or two later. Requests to the old key are rejected at once, so it always appears to have free
     // slots; it would draw one request after the other, and each would count as a retry.
     auto scheduler = make_scheduler(4, 4, {.outstanding_per_slot = 1, .reserved_slots = 0});
-    unsigned turned_away = 0;
+    unsigned rejected = 0;
     for (slot_ticket ticket = 1; ticket <= 100; ++ticket) {
         const auto now = start_time + ticket * 10ms;
         auto request = make_request(ticket, 0);
         request.arrived = now;
         scheduler.add(request, now);
         for (const auto& grant : scheduler.grant(now)) {
-            const bool is_former = grant.server == 1;
-            turned_away += is_former ? 1 : 0;
-            scheduler.release(release_of(grant, is_former ? slot_outcome::replaced : slot_outcome::served),
+            const bool is_previous = grant.server == 1;
+            rejected += is_previous ? 1 : 0;
+            scheduler.release(release_of(grant, is_previous ? slot_outcome::replaced : slot_outcome::served),
                               now);
         }
     }
-    CHECK(turned_away >= 1);
-    CHECK(turned_away <= 4);
+    CHECK(rejected >= 1);
+    CHECK(rejected <= 4);
 }
 
 TEST_CASE("a request avoids the servers that failed it while other servers take work",
@@ -386,10 +386,10 @@
     const auto held = scheduler.grant(now);
     REQUIRE(held.size() == 1);
     REQUIRE(held.front().server == 1);
-    auto chapter = make_request(++ticket, 0);
-    chapter.arrived = now;
-    chapter.cost.prompt = 20000;
-    scheduler.add(chapter, start_time);
+    auto long_request = make_request(++ticket, 0);
+    long_request.arrived = now;
+    long_request.cost.prompt = 20000;
+    scheduler.add(long_request, start_time);
     CHECK(scheduler.grant(now + 10ms).empty());
     scheduler.release(release_of(held.front()), now + 20ms);
     const auto granted = scheduler.grant(now + 20ms);
