--- a/src/policy/output_pace.hpp
+++ b/src/policy/output_pace.hpp
@@ -10,7 +10,7 @@
 /// because a few tokens are too few for a good measurement.
 class output_pace {
 public:
-    /// Records a finished answer with the number of tokens `tokens`; `elapsed` is the time from its first
+    /// Records a finished answer of `tokens` tokens; `elapsed` is the time from its first
     /// event to its end. Answers that are too short to measure are ignored.
     void learn(double tokens, duration elapsed) noexcept;
 
--- a/src/policy/slot_scheduler.hpp
+++ b/src/policy/slot_scheduler.hpp
@@ -186,7 +186,7 @@
     struct grant_terms {
         deadline_state state = deadline_state::in_time;
         bool is_lowest = false; ///< the queue is of the lowest tier, which leaves some slots free
-        std::size_t max_grants = std::numeric_limits<std::size_t>::max(); ///< maximum number of grants
+        std::size_t max_grants = std::numeric_limits<std::size_t>::max();
     };
     [[nodiscard]] bool can_take_request(const slot_server& server, const grant_terms& terms,
                                         time_point now) const;
--- a/src/policy/slot_server.hpp
+++ b/src/policy/slot_server.hpp
@@ -23,7 +23,7 @@
     domain_key domain = 0;
     unsigned slots = 1;
     unsigned outstanding = 0; ///< granted requests that haven't ended
-    /// Sequence number of its last grant; among equal servers, the lowest is chosen.
+    /// Sequence number of its last grant; among equal servers, the one with the lowest is chosen.
     std::uint64_t last_grant = 0;
     bool is_usable = false; ///< it may get new requests
     /// Index in `server_pool::with_room` of its service; nullopt: not in that list.
@@ -46,7 +46,7 @@
     [[nodiscard]] bool has_free_slot(double share) const;
 
     /// Learns from the end of a request with `prompt` prompt tokens that this process granted the slot for.
-    /// `read_mark` is the value that `reading.add()` returned when the request started.
+    /// `read_mark` is the value that `prompts_ahead.add()` returned when the request started.
     void learn(const slot_release& ended, double prompt, reading_backlog::mark read_mark, time_point now);
     /// Learns from the end of a request with `prompt` prompt tokens that another process granted the slot
     /// for.
--- a/tests/unit/test_policy_server_report.cpp
+++ b/tests/unit/test_policy_server_report.cpp
@@ -79,9 +79,9 @@
 
 TEST_CASE("a member that loses its coordinator continues from what it has learned itself",
           "[policy][server_report]") {
-    // Without a coordinator, each gateway grants its own share of the slots. Its scheduler must know the
-    // outcomes of the requests for which the coordinator had granted the slots, although they were sent to
-    // the coordinator as well.
+    // Without a coordinator, each gateway grants its own share of the slots. For that, its scheduler must
+    // also have recorded the outcomes of those requests of its own for which the coordinator had granted the
+    // slots.
     auto member = make_scheduler();
     observe_all(member, start_time);
     CHECK_FALSE(count_grants(member, 6, start_time).contains(dead));
