--- a/src/entry/admission.cpp
+++ b/src/entry/admission.cpp
@@ -1,4 +1,4 @@
-// The policy library's limits and budget behind one mutex.
+// Implements admission with policy::workspace_limits and policy::retry_budget, both guarded by one mutex.
 #include "entry/admission.hpp"
 
 #include "base/request_error.hpp"
--- a/src/entry/admission.hpp
+++ b/src/entry/admission.hpp
@@ -1,4 +1,5 @@
-// Lets requests in within their workspace's limits, and bounds this entry's own retries.
+// Admits requests within the limits of their workspaces, and limits how many requests this entry places
+// again by itself after a failed start.
 #pragma once
 
 #include "configuration/configuration.hpp"
@@ -17,7 +18,8 @@
 
 class admission;
 
-/// A request's place within its workspace's limits; given back when destroyed.
+/// Counts one admitted request against its workspace's limits until the permit is destroyed. The admission
+/// and the call that the permit refers to must outlive it.
 class admission_permit {
 public:
     admission_permit(admission& owner, const call& request) noexcept : m_owner(owner), m_call(request) {}
@@ -27,7 +29,8 @@
     admission_permit(admission_permit&&) = delete;
     admission_permit& operator=(admission_permit&&) = delete;
 
-    /// What the request really used; nothing unless set.
+    /// Sets how many tokens the request actually used; 0 unless set. The difference to the estimate is
+    /// settled when the permit is destroyed.
     void set_used_tokens(double tokens) noexcept { m_used_tokens = tokens; }
 
 private:
@@ -36,20 +39,23 @@
     double m_used_tokens = 0;
 };
 
-/// Thread-safe. The limits of the whole system are divided over the live entries.
+/// Enforces this entry's share of the workspaces' limits: the configured limits hold for the whole system
+/// and are divided among its live entries. Thread-safe.
 class admission {
 public:
-    /// Puts a configuration's limits in force.
+    /// Replaces the limits with those of a configuration and divides them among `live_entries` entries.
+    /// Workspaces that the configuration no longer has are dropped.
     void update(const configuration::configuration& current, unsigned live_entries);
 
-    /// Counts the request in until the permit ends. Throws request_error: rate_limited or
-    /// concurrency_limited, with when to come back.
+    /// Counts the request as in progress until the permit is destroyed. Throws request_error(rate_limited)
+    /// or request_error(concurrency_limited), with the time after which the caller may retry.
     [[nodiscard]] admission_permit admit(const call& request);
 
-    /// Whether a request may be placed again after a start that didn't run; otherwise its caller is told.
+    /// Returns whether a request that was started but did not run may be placed again, and counts the retry.
+    /// When it returns false, the caller gets the error instead.
     [[nodiscard]] bool try_retry();
 
-    /// What each workspace takes at this entry.
+    /// The number of requests in progress at this entry, for each workspace of the current configuration.
     [[nodiscard]] std::vector<configuration::workspace_use> use() const;
 
 private:
@@ -59,10 +65,10 @@
     mutable std::mutex m_mutex;
     policy::workspace_limits m_limits;     ///< guarded by m_mutex
     policy::retry_budget m_retries;        ///< guarded by m_mutex
-    std::vector<std::string> m_workspaces; ///< those with limits; guarded by m_mutex
+    std::vector<std::string> m_workspaces; ///< workspaces of the current configuration; guarded by m_mutex
 };
 
-/// Estimated tokens of a request: its prompt and the output expected of it.
+/// The number of tokens that a request is expected to use: those of its prompt plus its expected output.
 [[nodiscard]] double estimated_tokens(const call& request) noexcept;
 
 } // namespace borageford::entry
--- a/src/entry/answers.cpp
+++ b/src/entry/answers.cpp
@@ -1,4 +1,4 @@
-// Error bodies and headers from the table of error kinds.
+// Builds the bodies and headers of error responses from the table of error kinds (answer_for()).
 #include "entry/answers.hpp"
 
 #include <boost/json.hpp>
@@ -33,7 +33,8 @@
     answer.head.headers.push_back({"X-Error-Kind", std::string(row.name)});
     answer.head.headers.push_back({"X-Ran", std::string(to_string(row.ran))});
     if (error.retry_after()) {
-        // Whole seconds, rounded up: coming back earlier would only be refused again.
+        // Retry-After has whole seconds. They are rounded up, since a caller that retries too early is only
+        // refused again.
         const auto seconds = std::chrono::ceil<std::chrono::seconds>(*error.retry_after()).count();
         answer.head.headers.push_back({"Retry-After", std::to_string(seconds)});
     }
--- a/src/entry/call_parser.cpp
+++ b/src/entry/call_parser.cpp
@@ -1,4 +1,4 @@
-// Parsing of completions and of calls to plain services.
+// Parses completion requests (chat and plain) and requests to services, which are forwarded as they are.
 #include "entry/call_parser.hpp"
 
 #include "base/hash.hpp"
@@ -23,9 +23,12 @@
 constexpr std::string_view services_path = "/services/";
 constexpr std::string_view bearer = "Bearer ";
 constexpr std::size_t longest_key = 256;
-/// A process that has just started asks the platform and its peers at once.
+/// Retry-After while no configuration is known. A process that has just started requests the configuration
+/// from the platform and its peers at once, so it usually has one within this time.
 constexpr std::chrono::milliseconds no_configuration_retry{2000};
-constexpr std::size_t most_blocks = 64; ///< of a prompt, hashed; longer ones are told apart by these
+/// How many blocks of a prompt are hashed at most. Prompts that are longer and agree in these blocks count as
+/// having the same prefix.
+constexpr std::size_t most_blocks = 64;
 
 json::object parse_body(const std::string& body) {
     json::error_code error;
@@ -39,7 +42,8 @@
     return std::move(value.as_object());
 }
 
-/// Text of a message: a string, or the text parts of an array of parts.
+/// Appends the text of a chat message to the prompt. The content is either a string or an array of parts, of
+/// which only those with a "text" field are used.
 void append_content(std::string& prompt, const json::value& content) {
     if (const auto* text = content.if_string()) {
         prompt.append(text->data(), text->size());
@@ -165,7 +169,7 @@
     if (tier == nullptr) {
         throw request_error(error_kind::bad_request, "There is no tier \"" + std::string(*asked) + "\".");
     }
-    // A header lowers the tier and never raises it.
+    // The X-Tier header may lower the workspace's tier (a higher rank) but never raise it.
     if (own == nullptr || tier->rank > own->rank) {
         parsed.tier = tier;
     }
--- a/src/entry/call_record.cpp
+++ b/src/entry/call_record.cpp
@@ -1,4 +1,4 @@
-// Filling a record from a call.
+// Fills an audit record with the fields of a call.
 #include "entry/call_record.hpp"
 
 namespace borageford::entry {
--- a/src/entry/call_record.hpp
+++ b/src/entry/call_record.hpp
@@ -1,4 +1,4 @@
-// What every audit record of one call has in common.
+// Creates audit records for calls.
 #pragma once
 
 #include "audit/record.hpp"
@@ -6,7 +6,8 @@
 
 namespace borageford::entry {
 
-/// A record of this decision about the call, under the revision that the call was decided by.
+/// An audit record of this event with the fields that all records of the call share. Its revision is that of
+/// the configuration under which the call was authorized.
 [[nodiscard]] audit::record make_record(const call& request, audit::event what);
 
 } // namespace borageford::entry
--- a/src/entry/caller_answer.cpp
+++ b/src/entry/caller_answer.cpp
@@ -1,4 +1,4 @@
-// Writing an answer to its caller.
+// Writes the answer of a call to its caller.
 #include "entry/caller_answer.hpp"
 
 #include "base/request_error.hpp"
@@ -37,7 +37,7 @@
     }
     const auto known = m_received - offset;
     if (known >= bytes.size()) {
-        co_return true; // a copy that came late
+        co_return true; // a repeated piece: all of its bytes were accepted before
     }
     bytes.remove_prefix(static_cast<std::size_t>(known));
     if (!m_first_piece) {
--- a/src/entry/caller_answer.hpp
+++ b/src/entry/caller_answer.hpp
@@ -1,5 +1,5 @@
-// The answer to one caller, written whole or as it comes, and the promise that a part is never taken for
-// the whole.
+// Writes the answer to one caller, either streamed piece by piece or buffered and written when complete, so
+// that the caller can never mistake an incomplete answer for a complete one.
 #pragma once
 
 #include "entry/call.hpp"
@@ -15,25 +15,32 @@
 
 namespace borageford::entry {
 
-/// Invariant: `m_received` bytes of the answer have been taken, each once and in order.
+/// The answer to one call. A successful answer to a streamed call is written to the caller as its pieces
+/// arrive; every other answer is buffered until finish().
+/// Invariant: the first `m_received` bytes of the answer have been accepted, each once and in order.
 class caller_answer {
 public:
+    /// `size_limit` bounds the bytes of a buffered answer; streamed answers have no limit.
     caller_answer(const call& request, http::response_writer& writer, std::size_t size_limit);
 
-    /// The head of the backend server's answer; later ones (after an attach) are ignored.
+    /// Sets the status and content type of the backend server's answer. Only the first call has an effect:
+    /// a sidecar sends the head again after each attach message.
     boost::asio::awaitable<void> take_head(unsigned status, std::string content_type);
 
-    /// Bytes from `offset` on. Bytes that have been taken before are dropped. Returns false when bytes
-    /// before these are missing: the rest must be asked for again.
+    /// Accepts bytes of the answer that begin at `offset`; bytes that were accepted before are dropped.
+    /// Returns false when bytes before `offset` are missing: the answer must then be requested again from
+    /// received() on. Throws request_error(backend_garbled) when a buffered answer exceeds the size limit.
     boost::asio::awaitable<bool> take(std::uint64_t offset, std::string_view bytes);
 
-    /// Ends the answer; call only when received() is the whole length.
+    /// Ends the answer. Must only be called once all bytes of the answer have been accepted.
     boost::asio::awaitable<void> finish();
 
+    /// The number of bytes of the answer that have been accepted.
     [[nodiscard]] std::uint64_t received() const noexcept { return m_received; }
     [[nodiscard]] bool has_head() const noexcept { return m_status != 0; }
-    /// True once the caller has been sent anything: an error can no longer be its answer.
+    /// True once anything has been sent to the caller; from then on an error response is no longer possible.
     [[nodiscard]] bool has_begun() const noexcept { return m_begun; }
+    /// When the first bytes were accepted; nothing before that.
     [[nodiscard]] std::optional<std::chrono::steady_clock::time_point> first_piece() const noexcept {
         return m_first_piece;
     }
@@ -42,9 +49,9 @@
     const call& m_call;
     http::response_writer& m_writer;
     std::size_t m_size_limit;
-    unsigned m_status = 0;
+    unsigned m_status = 0; ///< HTTP status; 0 until the head has arrived
     std::string m_content_type;
-    std::string m_whole; ///< of an answer that isn't streamed
+    std::string m_whole; ///< bytes of a buffered answer
     std::uint64_t m_received = 0;
     bool m_begun = false;
     std::optional<std::chrono::steady_clock::time_point> m_first_piece;
--- a/src/entry/caller_api.cpp
+++ b/src/entry/caller_api.cpp
@@ -1,4 +1,4 @@
-// The callers' side of an entry.
+// Routes the HTTP requests of callers and writes the answers or errors.
 #include "entry/caller_api.hpp"
 
 #include "audit/request_identifier.hpp"
@@ -24,13 +24,15 @@
 
 namespace {
 
+/// Retry-After for a caller that is refused while this entry drains; another entry can serve it.
 constexpr std::chrono::milliseconds retry_elsewhere{1000};
 
 http::response plain(unsigned status, std::string text) {
     return http::make_response(status, "text/plain", std::move(text));
 }
 
-/// Tells the run when its caller closes the connection, for as long as the run lives.
+/// Waits until the caller closes its connection and then pushes caller_gone to the request's mailbox, unless
+/// the request has ended by then.
 asio::awaitable<void> watch_caller(http::response_writer writer, std::weak_ptr<event_mailbox> events) {
     co_await writer.wait_for_disconnect();
     if (const auto still_waiting = events.lock()) {
@@ -51,7 +53,8 @@
     if (path == "/healthz") {
         co_await writer.write(plain(200, "alive\n"));
     } else if (path == "/readyz") {
-        // Named first: this compiler destroys the temporaries of a conditional twice within a co_await.
+        // The response needs a variable of its own: the compiler destroys the temporaries of a conditional
+        // expression twice when it stands inside a co_await expression.
         const auto answer = is_ready() ? plain(200, "ready\n") : plain(503, "not ready\n");
         co_await writer.write(answer);
     } else {
@@ -123,7 +126,8 @@
         co_await writer.write(error_response(error, request.id));
         co_return;
     }
-    // The stream has begun: its last event says why it ends, and the missing end marker that it isn't whole.
+    // The stream has begun, so no error response is possible. Its last event states the error, and the
+    // connection is aborted without an end marker so that the caller sees that the answer is incomplete.
     co_await writer.write_piece(error_event(error, request.id));
     writer.cut();
 }
--- a/src/entry/caller_api.hpp
+++ b/src/entry/caller_api.hpp
@@ -1,4 +1,4 @@
-// What callers can ask an entry: completions, plain services, the list of models, and whether it is well.
+// The HTTP interface of an entry for callers: completions, services, the list of models and health checks.
 #pragma once
 
 #include "base/request_error.hpp"
@@ -13,17 +13,19 @@
 
 namespace borageford::entry {
 
+/// Handles the HTTP requests of callers.
 class caller_api {
 public:
     explicit caller_api(entry_context& context);
 
-    /// Handles one request from its parsing to the end of its answer.
+    /// Handles one request, from parsing it to writing the end of its answer.
     boost::asio::awaitable<void> handle(const http::request& received, http::response_writer& writer);
 
-    /// From now on new requests are refused as not run; those in progress go on.
+    /// Refuses all new requests from now on with error_kind::draining (not run). Requests in progress
+    /// continue.
     void drain() noexcept { m_draining.store(true); }
     [[nodiscard]] bool is_draining() const noexcept { return m_draining.load(); }
-    /// True when a caller can be served: not draining, and a configuration is known.
+    /// True when calls can be served: the entry isn't draining and has a configuration.
     [[nodiscard]] bool is_ready() const;
 
 private:
