--- a/src/entry/entry_process.cpp
+++ b/src/entry/entry_process.cpp
@@ -1,4 +1,4 @@
-// Putting an entry together, and its graceful stop.
+// Creates the parts of an entry process, connects them with each other and stops them gracefully.
 #include "entry/entry_process.hpp"
 
 #include "admin/administration.hpp"
@@ -36,7 +36,9 @@
 namespace {
 
 constexpr int wrong_settings_exit_code = 2;
+/// How often a stopping entry checks whether it is idle.
 constexpr milliseconds stop_check_period{20};
+/// How long a stopping entry waits until its last audit records have been written.
 constexpr milliseconds last_flush_limit{2000};
 
 wire::hello_message make_hello(const entry_settings& settings, const identifier& incarnation) {
@@ -50,11 +52,13 @@
     return hello;
 }
 
+/// The response to a request that http::server refuses before it reaches a handler.
 http::response refuse_without_call(error_kind kind, std::string_view detail) {
     return error_response(request_error(kind, std::string(detail)), identifier::random());
 }
 
-/// All parts of an entry, in the order in which they depend on each other.
+/// All parts of an entry. Members are declared in the order of their dependencies: each part uses only parts
+/// that are declared before it.
 class entry_process {
 public:
     explicit entry_process(entry_settings settings);
@@ -201,7 +205,8 @@
 asio::awaitable<std::optional<admin::explanation>> entry_process::explain(request_id request) {
     audit::explainer explainer(m_objects, {});
     const auto found = co_await explainer.find_request(request);
-    // Where something is missing, "not found" would pass for "didn't happen".
+    // "Not found" means that the request didn't happen. That can't be said when the explainer remarks that
+    // records are missing.
     if (found.records.empty() && found.remarks.empty()) {
         co_return std::nullopt;
     }
@@ -250,9 +255,10 @@
     admin::exchange_configuration(m_configuration, received, connection);
 }
 
-/// While the table is out, a mark is known only to the entries that its sidecar was connected to; another one
-/// would lose a third backend server to the request. So it goes to every sidecar, connected or not, and each
-/// tells its entries. Marks are rare enough for that.
+/// Sends a crash mark to all other sidecars, which forward it to the entries that they are connected to.
+/// While the platform's table can't be reached, only the entries that are connected to the reporting sidecar
+/// learn of the mark; any other entry might place the request once more and cause a third backend server to
+/// crash. Marks are rare, so links without a connection are connected for them.
 void entry_process::pass_mark_on(const wire::crash_mark_message& mark) {
     for (const auto& [name, link] : m_servers.current()->by_server) {
         if (name != mark.backend_server) {
@@ -283,7 +289,8 @@
     }
 }
 
-/// Nothing in progress is cut: new requests are refused as not run, the rest goes on to its end.
+/// Refuses new requests as not run, lets requests in progress run to their end, and then ends the process.
+/// Requests that take longer than `entry_settings::stop_limit` are aborted.
 void entry_process::stop_gracefully() {
     m_callers.drain();
     m_caller_server.drain();
--- a/src/entry/entry_process.hpp
+++ b/src/entry/entry_process.hpp
@@ -5,8 +5,8 @@
 
 namespace borageford::entry {
 
-/// Runs an entry until it is told to stop. Returns the process's exit code: 0 after a graceful stop, 2 when
-/// the settings are wrong (every error has been printed), 1 when it can't start.
+/// Runs an entry until the process is asked to stop. Returns the process's exit code: 0 after a graceful
+/// stop, 2 when the settings file has errors (all of them are printed), 1 when the entry can't start.
 int run_entry(const std::string& settings_file);
 
 } // namespace borageford::entry
--- a/src/entry/entry_settings.cpp
+++ b/src/entry/entry_settings.cpp
@@ -1,4 +1,4 @@
-// Reading an entry's settings file.
+// Reads an entry's settings from its settings file.
 #include "entry/entry_settings.hpp"
 
 #include "settings/section_reader.hpp"
--- a/src/entry/fate_inquiry.cpp
+++ b/src/entry/fate_inquiry.cpp
@@ -1,4 +1,4 @@
-// Pacing of the questions.
+// Exponential backoff of the requests for a dispatch's fate.
 #include "entry/fate_inquiry.hpp"
 
 #include <algorithm>
--- a/src/entry/fate_inquiry.hpp
+++ b/src/entry/fate_inquiry.hpp
@@ -1,4 +1,5 @@
-// When to ask for the fate of a started dispatch whose connection was lost, and when to give up.
+// Schedules the attempts to learn the fate of a started dispatch from its sidecar after the connection was
+// lost, and decides when to give up.
 #pragma once
 
 #include <chrono>
@@ -6,31 +7,34 @@
 
 namespace borageford::entry {
 
-/// Times are the caller's. Questions come further and further apart, up to a second.
+/// The delay before each request for the fate doubles with every lost connection, up to one second. The class
+/// reads no clock; the current time is passed in.
 class fate_inquiry {
 public:
     using clock = std::chrono::steady_clock;
 
+    /// `limit` is the time after the first lost connection in which the fate is requested.
     explicit fate_inquiry(clock::duration limit) : m_limit(limit) {}
 
-    /// The connection is lost, for the first time or again. Returns false when the fate has been asked for
-    /// long enough.
+    /// Records that the connection was lost, for the first time or once more, and schedules the next request.
+    /// Returns false when the first loss was longer ago than the limit.
     [[nodiscard]] bool note_loss(clock::time_point now);
 
-    /// The question is being asked; until the next loss nothing is due.
+    /// Records that the fate has been requested. No further request is due until the connection is lost
+    /// again.
     void note_question() noexcept { m_ask_at.reset(); }
 
-    /// The fate is known, or another dispatch has begun.
+    /// Ends the inquiry, because the fate is known or another dispatch has been started.
     void settle() noexcept;
 
-    /// When to ask next; nothing while nothing is lost.
+    /// When to request the fate next; nothing when no request is due.
     [[nodiscard]] std::optional<clock::time_point> next_question() const noexcept { return m_ask_at; }
 
 private:
     clock::duration m_limit;
-    std::optional<clock::time_point> m_lost_since;
-    std::optional<clock::time_point> m_ask_at;
-    clock::duration m_delay{};
+    std::optional<clock::time_point> m_lost_since; ///< when the connection was first lost
+    std::optional<clock::time_point> m_ask_at;     ///< when the next request is due
+    clock::duration m_delay{};                     ///< delay before the latest scheduled request
 };
 
 } // namespace borageford::entry
--- a/src/entry/mailbox.hpp
+++ b/src/entry/mailbox.hpp
@@ -1,4 +1,4 @@
-// Hands events from other strands to the one coroutine that handles a request.
+// An unbounded event queue that passes events from other threads to the one coroutine that handles a request.
 #pragma once
 
 #include <boost/asio/any_io_executor.hpp>
@@ -16,7 +16,8 @@
 
 namespace borageford::entry {
 
-/// Invariant: the queue is touched only on the executor, which must be the receiver's strand.
+/// A queue of events with any number of senders and one receiver.
+/// Invariant: the queue is accessed only on the executor, which must be the receiver's strand.
 template <typename Event>
 class mailbox : public std::enable_shared_from_this<mailbox<Event>> {
 public:
@@ -25,7 +26,8 @@
     explicit mailbox(const boost::asio::any_io_executor& executor)
         : m_executor(executor), m_timer(executor) {}
 
-    /// From any thread; events of one sender arrive in its order.
+    /// Appends an event. Thread-safe; the receiver gets the events of one sender in the order they were
+    /// pushed.
     void push(Event event) {
         boost::asio::post(m_executor, [self = this->shared_from_this(), held = std::move(event)]() mutable {
             self->m_events.push_back(std::move(held));
@@ -33,7 +35,8 @@
         });
     }
 
-    /// The next event, or nothing when `until` has come.
+    /// Waits for the next event and removes it from the queue. Returns nothing when no event has arrived by
+    /// `until`.
     boost::asio::awaitable<std::optional<Event>> receive(time_point until) {
         while (m_events.empty() && std::chrono::steady_clock::now() < until) {
             boost::system::error_code ignored;
--- a/src/entry/prefix_book.cpp
+++ b/src/entry/prefix_book.cpp
@@ -1,4 +1,4 @@
-// The lock around the index.
+// Adds a lock and the current time to the functions of policy::prefix_index.
 #include "entry/prefix_book.hpp"
 
 #include <algorithm>
--- a/src/entry/request_claim.cpp
+++ b/src/entry/request_claim.cpp
@@ -1,4 +1,4 @@
-// Taking, adopting and settling the claim of a call.
+// Makes, adopts, finishes and releases the claim of a call.
 #include "entry/request_claim.hpp"
 
 #include "base/request_error.hpp"
--- a/src/entry/server_directory.cpp
+++ b/src/entry/server_directory.cpp
@@ -1,4 +1,4 @@
-// Joining configuration and VM list.
+// Builds the table of candidates from the configuration and the list of VMs.
 #include "entry/server_directory.hpp"
 
 #include "base/hash.hpp"
@@ -43,7 +43,8 @@
         }
         const auto link = link_to(vm);
         in_use.insert(link_key(vm));
-        // Kept for the fates of what runs there, even when no new work may go to it.
+        // The link is kept even when the server may not be offered new requests: the fates of the dispatches
+        // that were started there are requested through it.
         table.by_server[vm.backend_server] = link;
         const auto* server = current.find_backend_server(vm.backend_server);
         if (server == nullptr || server->drained || vm.state == store::vm_state::leaving) {
