--- a/src/entry/offer_round.cpp
+++ b/src/entry/offer_round.cpp
@@ -1,4 +1,4 @@
-// Waves of offers.
+// Sends the offers of one request, and handles the replies, grants and refusals.
 #include "entry/offer_round.hpp"
 
 #include "base/hash.hpp"
@@ -19,11 +19,14 @@
 
 namespace {
 
+/// Retry-After for a refused request when no sidecar sent a time.
 constexpr milliseconds default_retry{1000};
+/// Time between two offers of a request that has crash marks.
 constexpr milliseconds marked_offer_delay{500};
-/// A lookup that takes longer is given up: its sidecar may be gone, and the caller waits.
+/// Timeout of a lookup. Its sidecar may be unreachable, and the caller waits meanwhile.
 constexpr milliseconds lookup_limit{100};
 
+/// The latest load report of a sidecar, with the expected wait for this tier.
 std::optional<policy::reported_load> load_for_policy(const sidecar_link& link, unsigned tier,
                                                      steady_clock::time_point now) {
     const auto load = link.load();
@@ -36,6 +39,8 @@
                                  load->prefill_tokens_per_second, wait, now - load->reported};
 }
 
+/// The candidates as policy::plan_placement() takes them. `holders` are the servers that have a prefix of the
+/// prompt cached.
 std::vector<policy::placement_candidate> describe(const std::vector<candidate>& servers,
                                                   std::span<const policy::prefix_holder> holders,
                                                   unsigned tier) {
@@ -56,7 +61,7 @@
     return described;
 }
 
-/// Of two reasons the one that tells the caller more.
+/// Returns whether the first reason for a refusal is more informative for the caller than the second.
 bool says_more(error_kind first, error_kind second) {
     const auto weight = [](error_kind kind) {
         switch (kind) {
@@ -103,8 +108,9 @@
     }
 }
 
-/// A request that was running when a backend server died may be what killed it: it goes where the fewest
-/// others run, one place after the other, so that it can take little with it.
+/// Changes the plan for a request that was running when a backend server died and may have caused its crash:
+/// it is offered first to the servers with the fewest running requests, one server at a time, so that another
+/// crash would abort few other requests.
 void offer_round::plan_for_marked() {
     const auto running = [this](const policy::planned_offer& offer) {
         const auto load = m_candidates.at(offer.candidate).link->load();
@@ -136,14 +142,14 @@
             co_return *held;
         }
         if (event) {
-            // A deadline that has passed meanwhile is noticed once there are no more events.
+            // Pending events are handled before the deadline is checked.
         } else if (steady_clock::now() >= m_call.deadline) {
             withdraw_all();
             throw request_error(error_kind::deadline_unreachable, {}, m_retry_after.value_or(default_retry));
         }
         send_due_offers();
         while (m_open_offers.empty() && m_next_offer < m_plan.offers.size()) {
-            send_next_group(); // all have refused: no use in waiting for the next group's time
+            send_next_group(); // all offers were refused, so the next group is sent before its time
         }
         if (is_exhausted()) {
             refuse();
@@ -185,7 +191,8 @@
     return wake;
 }
 
-/// Whichever entry a resend comes to, it asks the same backend server as its first copy did.
+/// Sends the lookup. The server is chosen by rendezvous hashing of the resend key, so that all copies of a
+/// request are looked up at the same server whichever entries they are sent to.
 void offer_round::send_lookup() {
     if (m_call.resend_key == 0) {
         return;
@@ -270,7 +277,7 @@
         withdraw_all();
         throw caller_left();
     }
-    return std::nullopt; // the rest belongs to a dispatch that is settled
+    return std::nullopt; // other messages belong to an earlier dispatch of the request and are ignored
 }
 
 std::optional<place> offer_round::take_reply(const wire::offer_reply_message& reply) {
@@ -297,7 +304,7 @@
     return find_running(reply, found->second.link, found->second.backend_server);
 }
 
-/// Where this very request runs already or has run, if the reply says so.
+/// Returns where an earlier copy of the request runs or has run, if the reply says so.
 std::optional<place> offer_round::find_running(const wire::offer_reply_message& reply,
                                                const std::shared_ptr<sidecar_link>& link,
                                                const std::string& backend_server) const {
@@ -310,7 +317,7 @@
     }
     const auto other = m_table->by_server.find(reply.backend_server);
     if (other == m_table->by_server.end()) {
-        return std::nullopt; // the server it ran at is gone; the offers stand as they are
+        return std::nullopt; // the server where it was started has been removed; the offers stay open
     }
     return attachable_place{other->second, reply.backend_server, running, {}};
 }
@@ -343,7 +350,7 @@
     }
     record(audit::event::refused, dispatch, found->second.backend_server, kind);
     if (kind == error_kind::quarantined) {
-        withdraw_all(); // final, wherever it was said
+        withdraw_all(); // a quarantine holds for all servers, so one such refusal is enough
         throw request_error(kind, {}, retry_after);
     }
     found->second.link->forget(dispatch);
@@ -356,11 +363,12 @@
     }
 }
 
-/// A connection that was reset says nothing about its server: the offer, which can't have run, is made once
-/// more on a new one. Without this, one reset would refuse every request that waited on it.
+/// Handles the loss of a connection as a refusal, and sends the offer once more on a new connection. The lost
+/// connection doesn't mean that the server is down, and the offer can't have run. Without the second offer,
+/// one reset connection would cause all requests with offers on it to be refused.
 void offer_round::take_lost_connection(const dispatch_id& dispatch) {
     if (is_lookup(dispatch)) {
-        m_lookup->is_pending = false; // given up: the caller waits
+        m_lookup->is_pending = false; // not sent again, because the caller waits
         return;
     }
     const auto found = m_open_offers.find(dispatch);
--- a/src/entry/offer_round.hpp
+++ b/src/entry/offer_round.hpp
@@ -1,4 +1,5 @@
-// Offers one request to backend servers in waves until one of them grants it, or all have refused.
+// Offers one request to the sidecars of backend servers, group by group, until one of them grants it or all
+// of them have refused it.
 #pragma once
 
 #include "entry/call.hpp"
@@ -18,48 +19,55 @@
 
 namespace borageford::entry {
 
-/// A sidecar has room and waits for our start.
+/// A grant: the sidecar has reserved capacity and waits for a start message with this dispatch.
 struct granted_place {
     std::shared_ptr<sidecar_link> link;
     std::string backend_server;
     dispatch_id dispatch;
-    identifier incarnation;
-    std::uint64_t revision = 0; ///< the sidecar's
+    identifier incarnation;     ///< incarnation of the sidecar process
+    std::uint64_t revision = 0; ///< configuration revision of the sidecar
 };
 
-/// A sidecar runs this very request already, or holds its answer.
+/// A sidecar runs the same request already, or still has its answer. The request was sent before by its
+/// caller with the same idempotency key.
 struct attachable_place {
     std::shared_ptr<sidecar_link> link;
     std::string backend_server;
     dispatch_id dispatch;
-    /// Of the sidecar that got the start; none when only hearsay names the dispatch. A sidecar that was
-    /// restarted since must not judge by its empty ledger that the dispatch never began.
+    /// Incarnation of the sidecar process that received the start; the zero identifier when another sidecar
+    /// reported the dispatch. A sidecar that was restarted since then has an empty ledger, from which it must
+    /// not conclude that the dispatch was never begun.
     identifier incarnation;
 };
 
+/// Where a request can be started, or where its answer can be fetched.
 using place = std::variant<granted_place, attachable_place>;
 
-/// Invariants: nothing has run for any offer of a round; an offer leaves `m_open_offers` when it is
-/// refused, lost, withdrawn or taken.
+/// One search for a place, which follows a plan of policy::plan_placement().
+/// Invariants: no offer of a round has been started. An offer is removed from `m_open_offers` when it is
+/// refused, its connection is lost, it is withdrawn, or its grant is returned by find_place().
 class offer_round {
 public:
     offer_round(entry_context& context, const call& request, std::shared_ptr<event_mailbox> events);
 
-    /// Throws request_error (the request has not run) and caller_left.
+    /// Sends offers and waits for a place. Throws request_error, in which case the request has not run, and
+    /// caller_left.
     boost::asio::awaitable<place> find_place();
 
-    /// Takes back every offer that is still open, naming where the request went instead: a home that knows
-    /// can send a resend there.
+    /// Withdraws all open offers. The withdrawals name the backend server and the dispatch with which the
+    /// request was started, if it was: a sidecar that receives a resend of the request later can say where to
+    /// attach to it.
     void withdraw_all(const std::string& started_at = {}, const dispatch_id& running = {});
 
 private:
     struct open_offer {
         std::shared_ptr<sidecar_link> link;
         std::string backend_server;
-        bool is_repeated = false; ///< the connection of the first offer to this server was lost
+        bool is_repeated = false; ///< second offer to this server, after the connection of the first was lost
     };
 
-    /// The question to the one backend server that the resend key hashes to: is this request known there?
+    /// An offer with `lookup_only`, which asks a sidecar whether it knows of an earlier copy of the request.
+    /// It is sent to the backend server that call::resend_key hashes to.
     struct resend_lookup {
         std::shared_ptr<sidecar_link> link;
         dispatch_id dispatch;
@@ -94,19 +102,19 @@
     entry_context& m_context;
     const call& m_call;
     std::shared_ptr<event_mailbox> m_events;
-    std::shared_ptr<const candidate_table> m_table; ///< kept alive for the candidates in the waves
+    std::shared_ptr<const candidate_table> m_table; ///< the table from which m_candidates was read
 
     std::vector<candidate> m_candidates;
-    policy::placement_plan m_plan; ///< indexes m_candidates; in the order of time
-    std::size_t m_next_offer = 0;  ///< in m_plan
+    policy::placement_plan m_plan; ///< offers to send, sorted by time; they refer to m_candidates by index
+    std::size_t m_next_offer = 0;  ///< index in m_plan of the next offer to send
     std::chrono::steady_clock::time_point m_began = std::chrono::steady_clock::now();
     std::unordered_map<dispatch_id, open_offer> m_open_offers;
     std::optional<resend_lookup> m_lookup;
-    /// The first grant, while the lookup is pending: a request that runs already mustn't run again. Its offer
-    /// is in m_open_offers.
+    /// The first grant that arrived while the lookup is pending. It isn't used yet, because the lookup may
+    /// find that the request runs already, and then it must not run again. Its offer stays in m_open_offers.
     std::optional<granted_place> m_held_grant;
-    std::optional<error_kind> m_refusal;                    ///< the one that says most, of those that came
-    std::optional<std::chrono::milliseconds> m_retry_after; ///< the soonest that any sidecar named
+    std::optional<error_kind> m_refusal;                    ///< the most informative refusal so far
+    std::optional<std::chrono::milliseconds> m_retry_after; ///< the shortest time that a sidecar sent
 };
 
 } // namespace borageford::entry
--- a/src/entry/request_run.cpp
+++ b/src/entry/request_run.cpp
@@ -1,4 +1,4 @@
-// One request from its offers to the end of its answer.
+// Serves one request from its first offer to the end of its answer.
 #include "entry/request_run.hpp"
 
 #include "base/hash.hpp"
@@ -18,26 +18,31 @@
 
 namespace {
 
+/// How often a request is placed at most.
 constexpr int most_attempts = 4;
+/// How often a request is placed at most when grants are refused because of a stale revision.
 constexpr int most_stale_attempts = 50;
+/// How long a request waits for a newer revision before it is placed again.
 constexpr milliseconds revision_wait{50};
-/// Wakes a run that waits for its answer, so that the fate of a lost connection is asked in time.
+/// How long a run waits for an event when no request for a fate is due.
 constexpr std::chrono::hours longest_wait{24};
 
-/// By how much the clocks of two entries may differ: a claim is taken to be older by this.
+/// The assumed maximum difference between the clocks of two entries. A claim counts as older by this time.
 constexpr std::chrono::minutes clock_difference{1};
 
+/// The time since a start, limited to what fits `attach_message::started_ms_ago`.
 milliseconds age_of(steady_clock::time_point started) {
     constexpr milliseconds longest{std::numeric_limits<std::uint32_t>::max()};
     return std::min(std::chrono::duration_cast<milliseconds>(steady_clock::now() - started), longest);
 }
 
+/// A time no later than that at which the call of this claim was started.
 steady_clock::time_point start_of(const claim& held) {
     const std::chrono::seconds age(std::max<std::int64_t>(0, claim_time_now() - held.time));
     return steady_clock::now() - age - clock_difference;
 }
 
-/// Refusals after a grant that another backend server may answer differently.
+/// True for a refusal of a start that another backend server might not repeat.
 bool is_worth_another_place(error_kind kind) {
     return kind == error_kind::draining || kind == error_kind::no_backend_server ||
            kind == error_kind::overloaded;
@@ -77,21 +82,22 @@
             co_return;
         }
         m_context.metrics.placed_again();
-        // Homes may have been told of the dispatch that isn't to be had: they would lead every further offer
-        // back to it, and the request would be refused in the end instead of run.
+        // Sidecars may have been told of the dispatch that has turned out not to exist. They would answer
+        // every further offer with it, so that the request would be refused in the end instead of run.
+        // Without its resend key they don't recognize the request.
         m_call.resend_key = 0;
         if (!may_place_again()) {
             m_claim.release();
             throw m_not_begun.value_or(request_error(error_kind::no_backend_server));
         }
         if (m_not_begun && m_not_begun->kind() == error_kind::stale_revision) {
-            // One of the two is fetching the newer revision now.
+            // Either this entry or the sidecar has an older revision and is fetching the newer one now.
             co_await m_context.configuration.wait_past(m_call.configuration->revision, revision_wait);
         }
     }
 }
 
-/// Brings the request to a start, or to an answer that runs already.
+/// Finds a place for the request and starts it there, or attaches to a dispatch of it that exists already.
 asio::awaitable<void> request_run::place() {
     bool is_placed = false;
     while (!is_placed) {
@@ -119,15 +125,16 @@
         }
         if (is_placed && !m_joined) {
             round.withdraw_all(m_started->backend_server, m_started->dispatch);
-        } else { // of a joined run it isn't known yet whether it ever began
+        } else { // it isn't known yet whether a joined dispatch was ever begun, so sidecars aren't told of it
             round.withdraw_all();
         }
     }
 }
 
-/// This copy of a non-idempotent call is about to be refused as not run. An earlier one, sent through another
-/// entry perhaps, may have run or be running: its caller would believe that it may send a new key, and the
-/// call would run twice. The row of the key says so.
+/// Called when a call is about to be refused as not run. If it is non-idempotent, an earlier copy of it,
+/// perhaps sent through another entry, may have run or may be running. The caller would conclude from "not
+/// run" that it can use a new key, and the call would run twice. The claim's row in the table tells whether
+/// there is an earlier copy; if so, this run attaches to it and the function returns true.
 asio::awaitable<bool> request_run::join_earlier_copy() {
     const auto standing = co_await m_claim.find_earlier();
     if (standing) {
@@ -136,7 +143,8 @@
     co_return standing.has_value();
 }
 
-/// What can't be learned from a sidecar may stand in the row: a call that ran to its end is marked there.
+/// Returns the error to answer. An outcome that no sidecar knows may be recorded in the claim's row, where
+/// calls that ran to their end are marked as finished.
 asio::awaitable<request_error> request_run::judge_unknown(request_error failure) {
     if (failure.kind() != error_kind::outcome_unknown) {
         co_return failure;
@@ -148,7 +156,8 @@
     co_return failure;
 }
 
-/// A decision taken under a revision that is no longer in force is taken again. Returns whether it changed.
+/// Looks the call up in the current configuration if its revision is no longer in force, and returns whether
+/// it did. Throws request_error when the call isn't allowed any more.
 bool request_run::follow_configuration() {
     if (m_context.configuration.revision() == m_call.configuration->revision) {
         return false;
@@ -168,15 +177,16 @@
            m_context.admissions.try_retry();
 }
 
-/// Starts the request and returns true; or gives the grant back, because another run of the request has
-/// been joined (true), or because the grant was for a decision under an older revision (false).
+/// Uses a grant. Returns true when the request was started, or when another run of the request was joined
+/// instead and the grant was withdrawn. Returns false when the grant was withdrawn because it was given under
+/// an older configuration revision; the request then needs a new place.
 asio::awaitable<bool> request_run::take_grant(granted_place place) {
     std::optional<request_error> refusal;
     bool is_placed = false;
     try {
         if (!follow_configuration()) {
             const bool is_ours = co_await claim_before_start(place);
-            // The claim takes a while: what came meanwhile counts too.
+            // A newer revision may have come into force while the claim was being written.
             if (is_ours && !follow_configuration()) {
                 start(place);
                 co_return true;
@@ -196,7 +206,8 @@
     co_return is_placed;
 }
 
-/// Returns whether the start is ours to send; otherwise another run of this request has been joined.
+/// Claims the idempotency key and returns whether this run may send the start. If it may not, the run that
+/// holds the claim has been joined.
 asio::awaitable<bool> request_run::claim_before_start(const granted_place& place) {
     const auto standing = co_await m_claim.take(place);
     if (standing) {
@@ -209,7 +220,8 @@
     co_return true;
 }
 
-/// Another run holds the key: its answer is this caller's answer, if it is still to be had.
+/// Attaches to the dispatch of another run that has claimed the key, so that this caller gets the same answer
+/// if the sidecar still has it.
 void request_run::join_claimed(const claim& standing) {
     m_claim.adopt(standing);
     const auto table = m_context.servers.current();
@@ -279,7 +291,8 @@
     }
 }
 
-/// Late messages of earlier offers may still be in the mailbox; only the started dispatch counts.
+/// True for events of the started dispatch and for caller_gone. The mailbox may still contain messages that
+/// answer earlier offers; they are ignored.
 bool request_run::concerns_current(const dispatch_event& event) const {
     return std::visit(
         [this](const auto& content) {
@@ -323,7 +336,7 @@
     const bool is_first = !m_answer.first_piece();
     const std::string_view bytes(reinterpret_cast<const char*>(chunk.data.data()), chunk.data.size());
     if (!co_await m_answer.take(chunk.offset, bytes)) {
-        attach(); // bytes are missing: ask for the answer from where we are
+        attach(); // bytes are missing: request the answer again from the first missing byte
         co_return;
     }
     if (is_first) {
@@ -349,7 +362,8 @@
         co_return std::nullopt;
     }
     co_await m_answer.finish();
-    // Only now: an answer given up by its sidecar before the caller has it would be lost with this entry.
+    // The acknowledgement lets the sidecar discard the answer, so it is sent only after the caller has the
+    // complete answer. If it were sent earlier and this entry died, the answer would be lost.
     wire::acknowledge_message acknowledge;
     acknowledge.dispatch = wire::to_wire(m_started->dispatch);
     m_started->link->send_if_connected(acknowledge);
@@ -369,21 +383,21 @@
         return std::nullopt;
     case wire::dispatch_fate::not_begun:
         if (m_claim.is_known_finished()) {
-            break; // its row says that it has run
+            break; // the claim's row says that the call has run, so it must not be placed again
         }
         if (!m_answer.has_head()) {
             return place_anew();
         }
-        break; // it had begun: a sidecar that says otherwise knows nothing
+        break; // the answer's head has arrived, so the dispatch was begun and its outcome is unknown
     case wire::dispatch_fate::unknown:
         if (m_joined && m_call.is_idempotent && !m_answer.has_head()) {
-            return place_anew(); // which an idempotent call may be
+            return place_anew(); // an idempotent call may run more than once
         }
         break;
     }
     m_started->link->forget(m_started->dispatch);
     if (m_joined && !m_call.is_idempotent && !m_claim.is_known()) {
-        return place_anew(); // a home led here; what became of the call is said by its claim
+        return place_anew(); // a lookup or offer reply led to this dispatch; the claim decides before a start
     }
     if (m_claim.is_known_finished()) {
         throw request_error(error_kind::already_ran);
@@ -391,8 +405,9 @@
     throw request_error(error_kind::outcome_unknown);
 }
 
-/// Sidecars may go on naming what was to be joined: without its key the next round doesn't ask for it, and
-/// the claim of a call that isn't idempotent still stands before a second run.
+/// Gives up the dispatch, so that the request is placed again. If the dispatch was joined, sidecars might
+/// still name it in their replies; the resend key is cleared so that the next round doesn't look for it. The
+/// claim of a non-idempotent call is still checked before a second run.
 request_run::follow_result request_run::place_anew() {
     if (m_joined) {
         m_call.resend_key = 0;
@@ -419,7 +434,8 @@
     }
 }
 
-/// The sidecar may have come back at another address: the newest one known is asked.
+/// Sends an attach message again if a request for the fate is due. It goes to the sidecar's latest known
+/// address, since the sidecar may have been restarted at another address.
 void request_run::ask_fate_again() {
     if (!m_inquiry.next_question()) {
         return;
--- a/src/entry/request_run.hpp
+++ b/src/entry/request_run.hpp
@@ -1,5 +1,5 @@
-// Serves one request: finds a place for it, starts it there exactly once, and brings the whole answer to
-// its caller (docs/design/dispatch.md).
+// Serves one request: finds a backend server for it, starts it there, and passes the complete answer to its
+// caller. The rules that keep it from being started twice are described in docs/design/dispatch.md.
 #pragma once
 
 #include "base/request_error.hpp"
@@ -21,32 +21,35 @@
 
 namespace borageford::entry {
 
-/// The caller closed its connection; there is nobody to answer.
+/// Thrown when the caller has closed its connection, so that no answer can be written.
 class caller_left : public std::exception {};
 
-/// Where a request was started.
+/// A dispatch of the request that was started, by this run or by another run of the same request.
 struct started_dispatch {
     std::shared_ptr<sidecar_link> link;
     std::string backend_server;
     dispatch_id dispatch;
-    identifier incarnation; ///< of the sidecar that got the start
-    /// When the start was sent, at the latest; long ago where that isn't known. A ledger that has forgotten
-    /// so old an id must not take it for one that never came.
+    identifier incarnation; ///< incarnation of the sidecar process that received the start
+    /// A time no later than that at which the start was sent; the clock's epoch when it isn't known. A
+    /// sidecar needs it because its ledger forgets old dispatches: for a dispatch that is old enough to be
+    /// forgotten, a missing entry doesn't mean that the start never arrived.
     std::chrono::steady_clock::time_point started;
 };
 
-/// Runs on its caller's strand. Invariant: between the start and a `not_begun` for it, no second start of
-/// this request is sent by anyone who holds its claim, and never by this entry.
+/// Serves one request, on the strand of its caller's connection.
+/// Invariant: after a start has been sent, this entry sends no second start of the request until a
+/// `not_begun` message has answered the first one; nor does any other run that holds the request's claim.
 class request_run {
 public:
     request_run(entry_context& context, call& request, caller_answer& answer,
                 std::shared_ptr<event_mailbox> events);
 
-    /// Returns when the caller has its whole answer. Throws request_error with the kind to answer, and
-    /// caller_left.
+    /// Returns when the complete answer has been written to the caller. Throws request_error with the error
+    /// to answer, and caller_left.
     boost::asio::awaitable<void> serve();
 
 private:
+    /// How waiting for an answer ended: the answer is complete, or the dispatch was never begun.
     enum class follow_result : std::uint8_t { whole, not_begun };
 
     boost::asio::awaitable<void> serve_to_end();
@@ -74,20 +77,20 @@
     void record(audit::event what, const started_dispatch& place, std::string detail = {});
 
     entry_context& m_context;
-    call& m_call; ///< renewed when a newer configuration is in force before its start
+    call& m_call; ///< updated when a newer configuration comes into force before the start
     caller_answer& m_answer;
     std::shared_ptr<event_mailbox> m_events;
 
-    std::optional<started_dispatch> m_started;
-    /// What the sidecar said with its last `not_begun`.
+    std::optional<started_dispatch> m_started; ///< the dispatch whose answer is awaited
+    /// The error in the sidecar's last `not_begun` message.
     std::optional<request_error> m_not_begun;
     request_claim m_claim;
     fate_inquiry m_inquiry;
-    int m_attempts = 0;       ///< places tried after the first
-    int m_stale_attempts = 0; ///< of which the revision was the reason
-    bool m_joined = false;    ///< the dispatch belongs to another run of this request
+    int m_attempts = 0;       ///< how often the request was to be placed again, not counting stale revisions
+    int m_stale_attempts = 0; ///< how often it was to be placed again because of a stale revision
+    bool m_joined = false;    ///< m_started belongs to another run of this request
 
-    std::optional<std::chrono::steady_clock::time_point> m_last_piece;
+    std::optional<std::chrono::steady_clock::time_point> m_last_piece; ///< when the last chunk arrived
 };
 
 } // namespace borageford::entry
--- a/src/entry/server_directory.cpp
+++ b/src/entry/server_directory.cpp
@@ -61,7 +61,7 @@
     std::erase_if(m_links, [&in_use](const auto& item) {
         const bool is_gone = !in_use.contains(item.first);
         if (is_gone) {
-            item.second->close("VM is gone");
+            item.second->close("VM removed from the platform's list");
         }
         return is_gone;
     });
--- a/src/entry/sidecar_link.cpp
+++ b/src/entry/sidecar_link.cpp
@@ -1,4 +1,4 @@
-// Connecting to a sidecar, and passing what it says to the requests concerned.
+// Connects to a sidecar and passes its messages to the requests that they concern.
 #include "entry/sidecar_link.hpp"
 
 #include "base/log.hpp"
@@ -17,10 +17,11 @@
 
 namespace {
 
-/// How long a failed connect keeps requests away, so that each doesn't wait for it anew.
+/// How long a sidecar gets no new offers after an attempt to connect to it has failed. Otherwise each new
+/// request would wait for a connection that is likely to fail again.
 constexpr std::chrono::milliseconds unreachable_time{500};
 
-/// Messages about one dispatch, which go to the request that listens for it.
+/// True for the messages that concern one dispatch; they are passed to the listener of that dispatch.
 template <typename Message>
 constexpr bool is_dispatch_event =
     std::is_constructible_v<dispatch_event, Message> && !std::is_same_v<Message, connection_lost> &&
@@ -105,7 +106,8 @@
 
 void sidecar_link::adopt(tcp::socket socket) {
     wire::peer_connection::callbacks calls;
-    // The connection is told of by a weak pointer: a link dropped from the table must not live on in it.
+    // The callbacks hold the link by a weak pointer, so that the connection doesn't keep a link alive that
+    // server_directory has removed.
     const auto with_link = [weak = weak_from_this()](auto action) {
         return [weak, action](auto&&... arguments) {
             if (const auto self = weak.lock()) {
