--- a/tests/failure/test_11_bad_input.cpp
+++ b/tests/failure/test_11_bad_input.cpp
@@ -1,4 +1,5 @@
-// Point 11: bad input at every door gets a clear error, or its connection closed, and harms nobody else.
+// Guarantee 11: invalid input on any port is answered with an error or by closing the connection, and doesn't
+// affect other callers.
 #include "support/checks.hpp"
 #include "support/cluster.hpp"
 #include "support/completion.hpp"
@@ -15,9 +16,10 @@
 
 namespace {
 
-/// How long a raw exchange may last; servers end it far sooner.
+/// Timeout of an exchange of raw bytes. Servers are expected to end it long before.
 constexpr std::chrono::seconds raw_limit{20};
 
+/// The message as an encoded frame of configuration revision 1.
 std::string frame_of(const wire::message& content) {
     const auto bytes = wire::encode(1, content);
     return {reinterpret_cast<const char*>(bytes.data()), bytes.size()};
@@ -46,22 +48,22 @@
 
 } // namespace
 
-// Something that isn't ours, or a damaged line, writes to the port between our processes. The connection is
-// closed; the sidecar goes on with everybody else.
+// A foreign program or a faulty network sends invalid data to the port for other borageford processes. The
+// sidecar must close that connection and continue to serve all others.
 TEST_CASE("11 bad input: frames between our processes") {
     cluster system(small());
     const auto door = system.backend(0).peers_address;
     const auto hello = frame_of(valid_hello());
     const auto offer = frame_of(wire::offer_message{});
     const std::array<std::string, 8> inputs{
-        std::string("\xff\xff\xff\xff rubbish"),                    // far over the limit
-        std::string("\x00\x00\x00\x00", 4),                         // an empty frame
-        std::string("\x00\x00\x00\x08 rubbish", 12),                // no message
+        std::string("\xff\xff\xff\xff rubbish"),                    // frame length above the limit
+        std::string("\x00\x00\x00\x00", 4),                         // empty frame
+        std::string("\x00\x00\x00\x08 rubbish", 12),                // frame without a valid message
         std::string("GET / HTTP/1.1\r\nHost: x\r\n\r\n"),           // another protocol
-        hello.substr(0, hello.size() / 2),                          // truncated
-        offer,                                                      // no hello first
-        hello + offer.substr(0, offer.size() - 3) + "\x01\x02\x03", // damaged after a true hello
-        hello + hello,                                              // hello twice
+        hello.substr(0, hello.size() / 2),                          // truncated frame
+        offer,                                                      // offer without a hello before it
+        hello + offer.substr(0, offer.size() - 3) + "\x01\x02\x03", // corrupted offer after a valid hello
+        hello + hello,                                              // two hello messages
     };
     for (std::size_t index = 0; index < inputs.size(); ++index) {
         static_cast<void>(exchange_raw(door, inputs[index], raw_limit));
@@ -70,8 +72,8 @@
     CHECK(system.backend(0).sidecar->is_running());
 }
 
-// A true frame with single bytes changed, over and over: whatever the decoder takes it for, the sidecar
-// stays.
+// Valid frames in each of which one random byte is changed. Whatever the decoder makes of them, the sidecar
+// must keep running and serving others.
 TEST_CASE("11 bad input: frames with changed bytes") {
     cluster system(small());
     const auto door = system.backend(0).peers_address;
@@ -87,15 +89,16 @@
         auto changed = frame;
         const auto place = wire::frame_header_size + random() % (frame.size() - wire::frame_header_size);
         changed[place] = static_cast<char>(random());
-        // The half frame at the end closes the connection whatever the changed one was taken for.
+        // The invalid frame length at the end makes the sidecar close the connection in any case.
         static_cast<void>(exchange_raw(door, hello + changed + std::string("\xff\xff\xff\xff"), raw_limit));
     }
     check_still_serves(system, "changed bytes");
     CHECK(system.backend(0).sidecar->is_running());
 }
 
-// Callers send what no client should. Each gets the answer that HTTP has for it.
-TEST_CASE("11 bad input: malformed HTTP at the callers' door") {
+// Callers send malformed or oversized HTTP requests. Each must be answered with the HTTP status for its
+// error.
+TEST_CASE("11 bad input: malformed HTTP at the port for callers") {
     cluster system(small());
     const auto door = system.entry(0).callers;
     const auto status_of = [&](const std::string& bytes) {
@@ -115,8 +118,8 @@
     check_still_serves(system, "malformed HTTP");
 }
 
-// A caller sends its request one byte in a long while; it's told so and its connection closed, and the others
-// don't wait for it.
+// A caller doesn't send its request completely within the time limit. It must be answered with status 408,
+// and other callers must not have to wait for it.
 TEST_CASE("11 bad input: slow senders") {
     cluster system(small());
     const auto answer = exchange_raw(
@@ -125,7 +128,7 @@
     check_still_serves(system, "a slow sender");
 }
 
-// A caller that reads nothing of a long answer must not hold the answer of others back.
+// A caller doesn't read its long answer. The answers of other callers must not be delayed by it.
 TEST_CASE("11 bad input: a caller that doesn't read") {
     cluster system(small());
     fault_proxy stopped(system.entry(0).callers, proxy_units::raw);
--- a/tests/failure/test_1_dispatch_at_most_once.cpp
+++ b/tests/failure/test_1_dispatch_at_most_once.cpp
@@ -1,4 +1,5 @@
-// Point 1: a request is dispatched at most once, whatever dies, freezes or goes silent on the way.
+// Guarantee 1: a request runs at most once, even if processes die or freeze, or connections stop delivering
+// data, while it is being served.
 #include "support/checks.hpp"
 #include "support/cluster.hpp"
 #include "support/completion.hpp"
@@ -17,7 +18,8 @@
 
 } // namespace
 
-// Nothing fails. What a caller sends must run once and come back whole, streamed and not.
+// Without any fault, each request must run exactly once and its caller must get the complete answer, both for
+// streamed and for other requests.
 TEST_CASE("1 at most once: without faults each request runs once and is answered whole") {
     cluster system;
     for (const auto* prompt : {"uno", "dos", "tres"}) {
@@ -32,9 +34,9 @@
     CHECK(system.runs_of(whole) == 1);
 }
 
-// The entry's VM is paused after the sidecar granted its request and wakes when the grant has lapsed, still
-// believing that it holds it. Its start comes too late; a sidecar that took it would run a request whose room
-// it has given to others. The caller just sees its answer come late.
+// The entry is frozen after the sidecar granted its request, and continues after the grant has expired
+// without knowing that it has. If the sidecar accepted the late start, it would run a request whose reserved
+// capacity it has given to other requests. The caller must still get its answer, only later.
 TEST_CASE("1 at most once: entry frozen between grant and start") {
     cluster system(one_engine());
     auto& link = *system.backend(0).link;
@@ -45,14 +47,14 @@
     system.entry(0).process->freeze();
     link.arm(direction::down, is_message<wire::not_begun_message>(), fault::pass);
     link.release();
-    link.wait_for_fault(); // the grant has lapsed
+    link.wait_for_fault(); // the sidecar has sent not_begun: the grant has expired
     system.entry(0).process->thaw();
     check_whole_answer(pending.wait(), call, 20);
     CHECK(system.runs_of(call) == 1);
 }
 
-// After the start was sent, something on the way loses track of the connection: neither side hears the other,
-// while new connections work. Sending the request again would run it twice.
+// After the start was sent, the network drops all data on its connection in both directions, while new
+// connections work. If the entry sent the request again, it would run twice.
 TEST_CASE("1 at most once: connection silent after start with a new one working") {
     cluster system(one_engine());
     auto& link = *system.backend(0).link;
@@ -65,27 +67,29 @@
     CHECK(system.runs_of(call) == 1);
 }
 
-// The start itself sits in a connection that went silent. The entry has given that connection up, asked on a
-// new one and placed the request again when the old bytes arrive after all.
+// The network holds the start back on a connection that delivers nothing. The entry abandons that connection,
+// asks for the dispatch's fate on a new one and places the request again. The delayed start, which arrives
+// after that, must not run the request a second time.
 TEST_CASE("1 at most once: late copy of the start arriving on the old connection") {
     auto options = one_engine();
-    options.sidecar_silence = "60s"; // the sidecar must still read the old connection
+    options.sidecar_silence = "60s"; // so that the sidecar doesn't close the old connection
     cluster system(options);
     auto& link = *system.backend(0).link;
     const auto isolated = link.arm(direction::up, is_message<wire::start_message>(), fault::isolate);
-    link.arm(direction::down, is_message<wire::not_begun_message>(), fault::pass); // its grant lapses
-    link.arm(direction::down, is_message<wire::not_begun_message>(), fault::pass); // answers the late start
+    link.arm(direction::down, is_message<wire::not_begun_message>(), fault::pass); // the grant expires
+    link.arm(direction::down, is_message<wire::not_begun_message>(), fault::pass); // answer to the late start
     const auto call = make_completion("copia tardia", {.tokens = 20});
     pending_call pending(system.entry(0).callers, call);
     link.wait_for_fault(isolated);
-    check_whole_answer(pending.wait(), call, 20); // on a new connection
+    check_whole_answer(pending.wait(), call, 20); // arrives on a new connection
     CHECK(system.runs_of(call) == 1);
     link.release();
     link.wait_for_fault();
     CHECK(system.runs_of(call) == 1);
 }
 
-// A frame is delivered twice, as a broken middlebox might. The second start names a dispatch that has begun.
+// The frame with the start is delivered twice, as a faulty network device might do. The second copy names a
+// dispatch that has begun already and must not run the request again.
 TEST_CASE("1 at most once: start delivered twice") {
     cluster system(one_engine());
     auto& link = *system.backend(0).link;
@@ -97,8 +101,9 @@
     CHECK(system.runs_of(call) == 1);
 }
 
-// The sidecar is killed in the middle of a stream and another takes its place; the engine has gone on. The
-// new sidecar knows nothing of the dispatch but can ask the engine, so that the caller misses nothing.
+// The sidecar is killed and restarted in the middle of a stream while the engine continues to run the
+// request. The new sidecar process has no record of the dispatch, so it must fetch the stream from the
+// engine. The caller must get every byte of the answer.
 TEST_CASE("1 at most once: sidecar killed and restarted while the engine goes on") {
     cluster system(one_engine());
     const auto call = make_completion("relevo", {.tokens = 150});
@@ -110,8 +115,8 @@
     CHECK(system.runs_of(call) == 1);
 }
 
-// The end of an answer is lost and its connection reset. The entry can't tell whether the request has run; it
-// must ask, not send again.
+// The head or the end of an answer is lost and its connection is reset, so the entry can't know whether the
+// request has run. It must ask the sidecar for the dispatch's fate instead of sending the request again.
 TEST_CASE("1 at most once: answer lost on the way back") {
     cluster system(one_engine());
     auto& link = *system.backend(0).link;
@@ -127,8 +132,8 @@
     }
 }
 
-// The sidecar's call to the engine went through and the engine's answer is lost. The sidecar must take the
-// stream up again, not call again.
+// The engine receives the sidecar's request, but its answer is lost. The sidecar must resume the stream
+// instead of sending the request again.
 TEST_CASE("1 at most once: engine's answer lost on the way to the sidecar") {
     cluster system(one_engine());
     auto& link = *system.backend(0).server_link;
@@ -140,8 +145,8 @@
     CHECK(system.runs_of(call) == 1);
 }
 
-// Two failures together: the connection goes silent in both directions after the start, and while the entry
-// still believes in it the sidecar is killed and restarted.
+// Two failures together: the connection stops delivering data in both directions after the start, and the
+// sidecar is killed and restarted before the entry has noticed that.
 TEST_CASE("1 at most once: silent connection and killed sidecar together") {
     cluster system(one_engine());
     auto& link = *system.backend(0).link;
@@ -155,8 +160,8 @@
     CHECK(system.runs_of(call) == 1);
 }
 
-// Two failures together: the entry is paused in the middle of a stream and, before it wakes, the sidecar is
-// replaced by a new incarnation.
+// Two failures together: the entry is frozen in the middle of a stream, and the sidecar is killed and
+// restarted before the entry continues.
 TEST_CASE("1 at most once: frozen entry and killed sidecar together") {
     cluster system(one_engine());
     const auto call = make_completion("pausa y relevo", {.tokens = 150});
--- a/tests/failure/test_2_whole_answers.cpp
+++ b/tests/failure/test_2_whole_answers.cpp
@@ -1,4 +1,5 @@
-// Point 2: a caller gets the whole answer to its own request, and never a part as if it were whole.
+// Guarantee 2: a caller gets the complete answer to its own request, and an incomplete answer is never
+// presented as a complete one.
 #include "support/checks.hpp"
 #include "support/cluster.hpp"
 #include "support/completion.hpp"
@@ -18,7 +19,8 @@
     return {.backend_servers = {{.name = "pluma-1"}}};
 }
 
-/// Strikes the answer's frames between sidecar and entry once and expects the caller not to notice.
+/// Applies a fault to the first matching frame from the sidecar to the entry, and checks that the caller
+/// still gets the complete answer of a single run.
 void check_survives(cluster& system, const unit_matcher& where, fault what, const std::string& prompt) {
     INFO(prompt);
     auto& link = *system.backend(0).link;
@@ -32,8 +34,8 @@
 
 } // namespace
 
-// Pieces of the answer are lost, doubled, damaged or cut in half between sidecar and entry. The caller must
-// see every byte once and in order.
+// Pieces of the answer are lost, duplicated, corrupted or truncated between sidecar and entry. The caller
+// must get every byte once and in order.
 TEST_CASE("2 whole answers: pieces lost, doubled, damaged and cut between sidecar and entry") {
     cluster system(one_engine());
     const auto chunk = is_message<wire::chunk_message>();
@@ -46,8 +48,8 @@
     check_survives(system, is_message<wire::answer_end_message>(), fault::truncate, "end cut in half");
 }
 
-// The engine's connection breaks in the middle of a piece. The sidecar must go on from the exact byte; a byte
-// more or less would damage the event that was cut.
+// The connection to the engine breaks in the middle of a piece of the answer. The sidecar must resume at
+// exactly the next byte, because a missing or repeated byte would corrupt the event that was truncated.
 TEST_CASE("2 whole answers: attach resumes at the exact byte") {
     cluster system(one_engine());
     auto& link = *system.backend(0).server_link;
@@ -61,8 +63,8 @@
     }
 }
 
-// Many answers come at once over few connections, slowly, and all connections are reset in the middle. Nobody
-// may be given another's answer.
+// Many slow answers share few connections, and all connections are reset in the middle of them. No caller may
+// get the answer to another caller's request.
 TEST_CASE("2 whole answers: crossed answers of many callers under resets") {
     cluster system;
     std::vector<http::request> calls;
@@ -84,8 +86,8 @@
     }
 }
 
-// The engine dies for good in the middle of an answer. What the caller has is a part: its stream must not end
-// as a whole one does.
+// The engine dies in the middle of an answer and isn't restarted. A streamed answer is incomplete then, so it
+// must not end like a complete one; a buffered answer must be replaced by an error.
 TEST_CASE("2 whole answers: a cut stream is never ended as if whole") {
     cluster system(one_engine());
     const auto streamed = make_completion("muerte", {.tokens = 400});
@@ -106,8 +108,8 @@
     CHECK(refused.header("X-Ran") == "unknown");
 }
 
-// A caller loses its connection and sends the same request again to another entry. It must get the whole
-// answer, without the engine being paid twice.
+// A caller loses its connection and sends the same request, with the same idempotency key, to another entry.
+// It must get the complete answer without a second run at the engine.
 TEST_CASE("2 whole answers: a resend at another entry attaches to the running answer") {
     cluster system;
     const auto call =
@@ -115,12 +117,13 @@
     {
         pending_call first(system.entry(0).callers, call);
         first.wait_for_bytes(500);
-    } // hangs up
+    } // closes the first connection
     check_whole_answer(system.send(1, call), call, 150);
     CHECK(system.runs_of(call) == 1);
 }
 
-// The entry itself dies in the middle of the stream; its caller sends again to another entry.
+// The entry dies in the middle of a stream, and its caller sends the same request to another entry. The
+// caller must get the complete answer without a second run.
 TEST_CASE("2 whole answers: a resend after the entry died attaches to the running answer") {
     cluster system;
     const auto call =
--- a/tests/failure/test_3_not_run_is_true.cpp
+++ b/tests/failure/test_3_not_run_is_true.cpp
@@ -1,4 +1,5 @@
-// Point 3: a refusal that says "not run" is true. Each refusal is checked against what the engines counted.
+// Guarantee 3: if a refusal says that the request did not run, that is true. Each refusal is compared with
+// the number of runs that the engines counted.
 #include "base/sha256.hpp"
 #include "support/checks.hpp"
 #include "support/cluster.hpp"
@@ -15,7 +16,7 @@
 
 namespace {
 
-/// The refusal has this kind and is true.
+/// Checks that the refusal has this error kind and says "not run", and that the call did not run.
 void check_refusal(cluster& system, const caller_result& answer, const http::request& call,
                    const std::string& kind) {
     INFO(kind);
@@ -25,7 +26,7 @@
 
 } // namespace
 
-// What is wrong with the request itself is found before anything is placed.
+// Errors in the request itself must be found before it is offered to any backend server.
 TEST_CASE("3 not run is true: refusals of the request itself") {
     cluster system({.entries = 1, .backend_servers = {{.name = "pluma-1"}}});
     const auto refused = [&](const http::request& call, const std::string& kind) {
@@ -40,8 +41,8 @@
     refused(with_header(make_completion("nivel"), "X-Tier", "emperor"), "bad_request");
 }
 
-// The engine is gone and so is its sidecar; nothing can have run, and the caller is told so and when to come
-// back.
+// The only sidecar is dead, so the request can't have run. The caller must be told so, with a time after
+// which to retry.
 TEST_CASE("3 not run is true: no backend server is reachable") {
     cluster system({.entries = 1, .backend_servers = {{.name = "pluma-1"}}});
     const auto call = make_completion("nadie");
@@ -51,8 +52,8 @@
     CHECK_FALSE(answer.header("Retry-After").empty());
 }
 
-// The connection to the sidecar is reset when the offer arrives, again and again: whatever the entry answers,
-// it must not claim that a request didn't run which did.
+// The connection to the sidecar is reset each time an offer is sent. Whether the entry succeeds or refuses
+// the request in the end, it must not say "not run" for a request that ran.
 TEST_CASE("3 not run is true: offers lost on the way") {
     cluster system({.entries = 1, .backend_servers = {{.name = "pluma-1"}}});
     auto& link = *system.backend(0).link;
@@ -69,7 +70,8 @@
     }
 }
 
-// The only place is taken and the queue is full: what doesn't fit is refused at once, with when to come back.
+// The only slot is in use and the queue is full. Further requests must be refused at once, with a time after
+// which to retry.
 TEST_CASE("3 not run is true: overload") {
     cluster system({.entries = 1,
                     .backend_servers = {{.name = "pluma-1", .slots = "1"}},
@@ -95,7 +97,8 @@
     CHECK(refused > 0);
 }
 
-// A deadline that nobody can meet any more is refused at once instead of being queued until it has passed.
+// A request whose deadline can't be met must be refused at once instead of waiting in a queue until the
+// deadline has passed.
 TEST_CASE("3 not run is true: deadline that can't be met") {
     cluster system({.entries = 1, .backend_servers = {{.name = "pluma-1", .slots = "1"}}});
     const auto running = make_completion("largo", {.tokens = 300});
@@ -106,7 +109,7 @@
     check_refusal(system, answer, call, "deadline_unreachable");
 }
 
-// A workspace that is over its own limits is refused for them.
+// Requests that exceed the limits of their workspace are refused with the error kind of the exceeded limit.
 TEST_CASE("3 not run is true: limits of a workspace") {
     cluster system({.entries = 1,
                     .backend_servers = {{.name = "pluma-1"}},
@@ -125,8 +128,8 @@
     check_refusal(system, system.send(0, fourth), fourth, "rate_limited");
 }
 
-// The connection is reset with the grant on it: the sidecar has set room aside for a request whose entry
-// never hears of it.
+// The connection is reset and the grant is lost, so the sidecar has reserved capacity for a request whose
+// entry doesn't know of the grant. The request must still run once.
 TEST_CASE("3 not run is true: grant lost with its connection") {
     cluster system({.entries = 1, .backend_servers = {{.name = "pluma-1"}}});
     auto& link = *system.backend(0).link;
@@ -140,8 +143,8 @@
     }
 }
 
-// The start is lost with its connection: the sidecar never got it. The entry asks, learns so, and places the
-// request again; it never calls a request "not run" that it can't know of.
+// The connection is reset and the start is lost, so the sidecar never receives it. The entry must ask for the
+// dispatch's fate, learn that it was not begun, and place the request again.
 TEST_CASE("3 not run is true: start lost with its connection") {
     cluster system({.entries = 1, .backend_servers = {{.name = "pluma-1"}}});
     auto& link = *system.backend(0).link;
@@ -153,7 +156,8 @@
     CHECK(system.runs_of(call) == 1);
 }
 
-// The sidecar's call never reaches the engine. Whatever the caller is told agrees with the engine's count.
+// The sidecar's request never reaches the engine. Whatever answer the caller gets must agree with the number
+// of runs that the engine counted.
 TEST_CASE("3 not run is true: call lost between sidecar and engine") {
     cluster system({.entries = 1, .backend_servers = {{.name = "pluma-1"}}});
     auto& link = *system.backend(0).server_link;
--- a/tests/failure/test_4_non_idempotent.cpp
+++ b/tests/failure/test_4_non_idempotent.cpp
@@ -1,4 +1,5 @@
-// Point 4: a call that may not be repeated runs at most once, whichever entry it is sent to again.
+// Guarantee 4: a non-idempotent call runs at most once, even if its caller sends it again with the same
+// idempotency key, to the same or to another entry.
 #include "support/checks.hpp"
 #include "support/cluster.hpp"
 #include "support/completion.hpp"
@@ -21,7 +22,8 @@
 
 } // namespace
 
-// An author's kudos is sent twice because its first sender lost patience; the first is still running.
+// The caller sends a call again to another entry while the first copy is still running. Both copies must get
+// the answer of a single run.
 TEST_CASE("4 non-idempotent: same key at another entry while the first runs") {
     cluster system(one_service("1500"));
     const auto call = make_kudos("capitulo 1", "k1");
@@ -32,7 +34,8 @@
     CHECK(system.runs_of(call) == 1);
 }
 
-// The same, after the first has finished: the resend is told what came of it.
+// The caller sends a call again after the first copy has finished. The resend must get the first copy's
+// answer, or the error that it has run already.
 TEST_CASE("4 non-idempotent: same key at another entry after it finished") {
     cluster system(one_service());
     const auto call = make_kudos("capitulo 2", "k2");
@@ -41,7 +44,8 @@
     CHECK(system.runs_of(call) == 1);
 }
 
-// The entry dies while the call runs; its caller asks another entry.
+// The entry dies while the call runs, and the caller sends the call to another entry. It must get the answer
+// of the first run.
 TEST_CASE("4 non-idempotent: same key after its entry died") {
     cluster system(one_service("1500"));
     const auto call = make_kudos("capitulo 3", "k3");
@@ -52,8 +56,8 @@
     CHECK(system.runs_of(call) == 1);
 }
 
-// The sidecar dies while the call runs; a plain service can't be asked what came of it, so nobody can know.
-// The caller is told just that, and the call isn't run again however often it's sent.
+// The sidecar dies while the call runs. A service, unlike an engine, can't be asked for the outcome, so it
+// stays unknown. The caller must be told so, and the call must not run again however often it is sent.
 TEST_CASE("4 non-idempotent: same key after its sidecar died") {
     auto options = one_service("1500");
     options.entry_settings = "fate_limit = 3s\n";
@@ -74,10 +78,10 @@
     CHECK(system.runs_of(call) == 1);
 }
 
-// The sidecar of a plain service dies while a call runs and comes back while the platform is out, so it
-// doesn't know yet what stands behind it. Asked for the fate, it must not ask the service as if it were an
-// engine: the service would run the question, and its answer would reach the caller as the answer to the
-// kudos.
+// The sidecar of a service dies while a call runs and restarts while the platform can't be reached, so it
+// doesn't know yet whether its backend server is an engine or a service. When an entry asks it for the call's
+// fate, it must not request an engine's stream: a service would run that request as a call, and the caller
+// would get the result as the answer to its own call.
 TEST_CASE("4 non-idempotent: a restarted sidecar doesn't ask a service for streams before it knows it") {
     auto options = one_service("3000");
     options.entry_settings = "fate_limit = 1s\n";
@@ -99,8 +103,8 @@
     CHECK(system.server_count(0, "total") == runs);
 }
 
-// While the table is out, nobody can know whether the key was used: the call is refused, not run. When the
-// table is back, the same key runs once.
+// While the platform's table can't be reached, an entry can't know whether the key has been used, so the call
+// must be refused as not run. Once the table is available again, the same key must run once.
 TEST_CASE("4 non-idempotent: table outage") {
     cluster system(one_service());
     const auto call = make_kudos("capitulo 5", "k5");
@@ -114,8 +118,8 @@
     CHECK(system.runs_of(call) == 1);
 }
 
-// The claim took effect and its answer was lost: the entry must see by reading back that the claim is its
-// own.
+// The table writes the claim, but its response is lost. The entry must read the row back and recognize the
+// claim as its own.
 TEST_CASE("4 non-idempotent: the claim's answer lost after it took effect") {
     cluster system(one_service());
     const auto call = make_kudos("capitulo 6", "k6");
@@ -126,9 +130,9 @@
     CHECK(system.runs_of(call) == 1);
 }
 
-// Two failures together: the claim's answer is lost and the table goes out at that moment, so that the claim
-// can't be read back. The call is refused as not run although its row stands; when the table is back, the
-// same key runs once.
+// Two failures together: the table writes the claim, its response is lost, and then the table can't be
+// reached, so the claim can't be read back. The call must be refused as not run although the row exists. Once
+// the table is available again, the same key must run once.
 TEST_CASE("4 non-idempotent: the claim's answer lost and a table outage together") {
     cluster system(one_service());
     const auto call = make_kudos("capitulo 7", "k7");
@@ -140,8 +144,8 @@
     CHECK(system.runs_of(call) == 1);
 }
 
-// A sidecar's memory is limited: by the time of the resend it has forgotten the dispatch. That it knows
-// nothing must not be taken for "it never began".
+// A sidecar remembers a limited number of dispatches and has forgotten this one when the resend arrives. A
+// missing record must not be taken to mean that the call was never begun.
 TEST_CASE("4 non-idempotent: same key after the sidecar forgot the dispatch") {
     auto options = one_service();
     options.sidecar_settings = "ledger_entries = 1\nanswer_count = 1\n";
@@ -158,7 +162,8 @@
     CHECK(system.runs_of(call) == 1);
 }
 
-// The same key with another body is a caller's mistake; neither call may be taken for the other.
+// The caller uses the key of one call for a call with another body, which is an error. The second call must
+// be refused and must not get the first one's answer.
 TEST_CASE("4 non-idempotent: key used for another request") {
     cluster system(one_service());
     const auto call = make_kudos("capitulo 9", "k9");
@@ -169,8 +174,8 @@
     CHECK(refused.header("X-Error-Kind") == "idempotency_key_reused");
 }
 
-// The start of a claimed call is lost with its connection: the sidecar says that it never began, and only
-// then it's placed again, once.
+// The connection is reset and the start of a claimed call is lost. The call must be placed again, once, after
+// the sidecar has answered that the dispatch was not begun.
 TEST_CASE("4 non-idempotent: start lost after the claim") {
     cluster system(one_service());
     auto& link = *system.backend(0).link;
@@ -182,8 +187,8 @@
     CHECK(system.runs_of(call) == 1);
 }
 
-// Hundreds of kudos arrive together, while the table takes only 200 writes a second: claims of the same
-// moment must share a transaction, or callers would wait or be refused for their rate.
+// 400 calls arrive together while the table accepts only 200 writes a second. Claims that are made at the
+// same time must share a transaction, since otherwise callers would wait or be refused.
 TEST_CASE("4 non-idempotent: several hundred claims fit the table's write rate") {
     auto options = one_service();
     options.backend_servers.front().slots = "400";
--- a/tests/failure/test_7_tiers_under_burst.cpp
+++ b/tests/failure/test_7_tiers_under_burst.cpp
@@ -1,4 +1,5 @@
-// Point 7: a higher tier is never shed before a lower one, judged from what the sidecars recorded.
+// Guarantee 7: under overload, no request is shed while one of a lower tier that waits at the same sidecar is
+// served. The test checks this with the audit records of the sidecars.
 #include "audit/batch.hpp"
 #include "support/checks.hpp"
 #include "support/cluster.hpp"
@@ -25,7 +26,7 @@
 constexpr std::array<const char*, 4> tiers{"urgent", "standard", "batch", "idle"};
 constexpr std::size_t burst_size = 96;
 
-/// All audit batches that lie in the object store.
+/// Reads all audit batches from the platform's object store.
 std::vector<audit::batch> read_batches(const http::endpoint& platform) {
     std::vector<audit::batch> batches;
     const auto listed = boost::json::parse(fetch_text(platform, "/objects?prefix=audit/"));
@@ -36,9 +37,9 @@
     return batches;
 }
 
-/// One offer's way through one sidecar.
+/// When one sidecar queued, granted or shed one offer, as far as these events were recorded.
 struct offer_history {
-    unsigned tier = 0;
+    unsigned tier = 0; ///< rank; a lower rank is a higher tier
     std::optional<std::chrono::system_clock::time_point> queued;
     std::optional<std::chrono::system_clock::time_point> granted;
     std::optional<std::chrono::system_clock::time_point> shed;
@@ -46,7 +47,7 @@
 
 using sidecar_history = std::map<dispatch_id, offer_history>;
 
-/// By backend server.
+/// Collects the offers of each sidecar from the audit records. The key is the backend server's name.
 std::map<std::string, sidecar_history> read_sidecars(const std::vector<audit::batch>& batches) {
     std::map<std::string, sidecar_history> sidecars;
     for (const auto& batch : batches) {
@@ -71,7 +72,7 @@
     return sidecars;
 }
 
-/// Offers of a lower tier that waited when the given one was shed and were served afterwards.
+/// Counts the offers of a lower tier that were waiting when the given offer was shed and were granted later.
 std::size_t count_served_in_its_place(const sidecar_history& offers, const offer_history& shed) {
     return static_cast<std::size_t>(std::ranges::count_if(offers, [&](const auto& item) {
         const auto& other = item.second;
@@ -82,15 +83,16 @@
 
 } // namespace
 
-// A burst of all tiers comes in over both entries, far more than the queues hold. Whoever is shed must not
-// see that somebody of a lower tier, who had come before, was served in its place.
+// A burst of requests of all tiers arrives at both entries, far more than the queues can hold. When an offer
+// is shed, no offer of a lower tier that was already waiting may be granted after it.
 TEST_CASE("7 tiers: no higher tier is shed while a lower one that waited is served") {
     cluster system({.backend_servers = {{.name = "pluma-1", .slots = "2"}, {.name = "pluma-2", .slots = "2"}},
                     .sidecar_settings = "queue_requests = 6\n"});
     std::vector<http::request> calls;
     std::vector<std::unique_ptr<pending_call>> pending;
     for (std::size_t index = 0; index < burst_size; ++index) {
-        // The lowest tiers come first in each group of four: they wait when the higher ones arrive.
+        // In each group of four, the lowest tier is sent first, so that it waits when the higher tiers
+        // arrive.
         const auto* tier = tiers.at(tiers.size() - 1 - index % tiers.size());
         calls.push_back(
             with_header(make_completion("rafaga " + std::to_string(index), {.tokens = 20}), "X-Tier", tier));
--- a/tests/failure/test_operator_commands.cpp
+++ b/tests/failure/test_operator_commands.cpp
@@ -1,5 +1,5 @@
-// The operators' commands as processes of their own, against running entries: what they print, and the exit
-// codes that scripts go by.
+// Runs the operators' commands as separate processes against running entries, and checks their output and the
+// exit codes on which scripts rely.
 #include "support/child_process.hpp"
 #include "support/cluster.hpp"
 #include "support/operator_client.hpp"
@@ -15,7 +15,7 @@
 
 namespace {
 
-/// An operator at a terminal.
+/// Runs commands of the program `borageford` against one entry, as an operator would at a terminal.
 class terminal {
 public:
     terminal(cluster& system, const http::endpoint& entry)
@@ -24,7 +24,8 @@
                   "--token-file=" + system.write_file("token", "operator-token\n").string(),
                   "--operator-name=ana"} {}
 
-    /// Runs a command; `word` begins the line to return, empty when no line is expected.
+    /// Runs a command, checks its exit code, and returns the output line that begins with `word`. With an
+    /// empty `word`, no line is expected and the result is empty.
     std::string run(std::vector<std::string> words, const std::string& word, int expected_exit_code) {
         words.insert(words.end(), m_flags.begin(), m_flags.end());
         child_process command(std::filesystem::path(BORAGEFORD_PROGRAM_FOLDER) / "borageford", words, m_log);
@@ -37,6 +38,7 @@
         return line;
     }
 
+    /// Whether the error output of the last command contains this text.
     [[nodiscard]] bool has_complained(const std::string& text) const {
         return m_last_errors.find(text) != std::string::npos;
     }
@@ -47,7 +49,7 @@
     std::string m_last_errors;
 };
 
-/// "plan ID on revision N"
+/// The plan's id in an output line such as "plan ID on revision N".
 std::string id_in(const std::string& line) {
     const auto begin = line.find(' ') + 1;
     return line.substr(begin, line.find(' ', begin) - begin);
@@ -76,9 +78,9 @@
     CHECK(first.run({"show", "2"}, ";", 0).starts_with("; revision 2 by ana at "));
 }
 
-// Something is wrong with a call. A script that can't tell a conflict from an outage or a mistyped file acts
-// wrongly on it, so each has an exit code of its own and says what to do.
-TEST_CASE("commands: what goes wrong has its exit code, kind and remedy") {
+// Commands fail for various reasons. A script must be able to tell a conflict from an outage or an invalid
+// file, so each kind of failure has its own exit code and an error message.
+TEST_CASE("commands: each kind of failure has its own exit code and message") {
     cluster system;
     terminal first(system, system.entry(0).admin);
     const operator_client bruno(system.entry(1).admin, "bruno");
--- a/tests/failure/test_stand_ins.cpp
+++ b/tests/failure/test_stand_ins.cpp
@@ -1,5 +1,5 @@
-// The tools of the other tests must themselves do what they say: the stand-ins' answers and counts, and the
-// faults of the proxy.
+// Tests the tools that the other tests rely on: the answers and run counts of fake_engine, and the faults
+// that fault_proxy injects.
 #include "support/answer_text.hpp"
 #include "support/child_process.hpp"
 #include "support/completion.hpp"
@@ -17,7 +17,7 @@
 
 const std::filesystem::path program_folder = BORAGEFORD_PROGRAM_FOLDER;
 
-/// An engine with a proxy before it.
+/// A running fake_engine and a fault_proxy that forwards to it.
 struct proxied_engine {
     child_process process{program_folder / "fake_engine", {"--models", "pluma"}, "/dev/null"};
     http::endpoint address = http::parse_endpoint(process.wait_for_line("listening").substr(10));
@@ -26,7 +26,8 @@
 
 } // namespace
 
-// A stream whose reader is lost half-way must be readable from the exact byte on, and count as one run.
+// A client loses the connection in the middle of a stream. It must be able to read the remaining bytes by
+// their offset, and both reads must count as one run.
 TEST_CASE("stand-ins: an engine's stream resumes at any byte and counts one run") {
     proxied_engine engine;
     const auto request = with_header(make_completion("capitulo uno", {.tokens = 30}), "X-Request-Id", "r1");
@@ -44,9 +45,9 @@
     CHECK(runs.find(R"("r1":1)") != std::string::npos);
 }
 
-// Something between two ends loses track of a connection: what was sent on it is never answered, while a new
-// connection through the same proxy works.
-TEST_CASE("stand-ins: the proxy silences open connections while new ones work") {
+// The proxy drops the response on one connection, so that its client waits, while a new connection through
+// the same proxy works.
+TEST_CASE("stand-ins: the proxy drops data on an open connection while new ones work") {
     proxied_engine engine;
     engine.proxy.arm(direction::down, contains("200 OK"), fault::drop);
     pending_call silent(engine.proxy.address(), {"GET", "/health", {}, {}});
@@ -55,8 +56,8 @@
     CHECK_FALSE(silent.is_finished());
 }
 
-// Bytes that were held back must arrive later, in order, on the old connection.
-TEST_CASE("stand-ins: the proxy holds bytes back and lets them go") {
+// Bytes that the proxy held must be delivered on the same connection after their release.
+TEST_CASE("stand-ins: the proxy holds bytes and delivers them when released") {
     proxied_engine engine;
     engine.proxy.arm(direction::up, contains("/health"), fault::hold);
     pending_call held(engine.proxy.address(), {"GET", "/health", {}, {}});
@@ -66,8 +67,9 @@
     CHECK(held.wait().status == 200);
 }
 
-// The request goes through and its answer is lost: the run is counted although its caller got nothing.
-TEST_CASE("stand-ins: the proxy loses an answer after the request went through") {
+// The proxy delivers the request and loses the response. The engine must count the run although the caller
+// got no answer.
+TEST_CASE("stand-ins: the proxy loses the response to a delivered request") {
     proxied_engine engine;
     engine.proxy.arm(direction::down, contains("200 OK"), fault::lose);
     const auto request = make_completion("perdida", {.tokens = 2, .streamed = false});
--- a/tests/unit/test_caller_watch.cpp
+++ b/tests/unit/test_caller_watch.cpp
@@ -1,4 +1,4 @@
-// Watching for a caller's disconnect while its answer is being prepared.
+// Tests http::response_writer::wait_for_disconnect() while the answer is being prepared.
 #include "http/client.hpp"
 #include "http/server.hpp"
 
@@ -26,7 +26,7 @@
     co_await writer.wait_for_disconnect();
 }
 
-/// Answers after a while in which the watch has to wait.
+/// Answers after 3 ms, during which wait_for_disconnect() is pending.
 asio::awaitable<void> answer_later(const http::request& /*call*/, http::response_writer& writer) {
     const auto executor = co_await asio::this_coro::executor;
     asio::co_spawn(executor, watch(writer), asio::detached);
@@ -48,10 +48,10 @@
 
 } // namespace
 
-TEST_CASE("watching a caller holds no thread", "[http]") {
-    // The wait for a caller's disconnect ends although nothing has come, and a read that blocks then holds
-    // the thread until the caller gives up. One request in a hundred stood still, and others on that thread
-    // too.
+// The wait for a caller's disconnect can end although no data has arrived. A blocking read at that point
+// would occupy the thread until the caller closed its connection; one request in a hundred hung that way,
+// together with other requests on the same thread.
+TEST_CASE("waiting for a caller's disconnect blocks no thread", "[http]") {
     asio::io_context context(2);
     http::server server(context.get_executor(), {}, answer_later, [](error_kind, std::string_view) {
         return http::make_response(400, "text/plain", "");
