--- a/src/entry/crash_watch.hpp
+++ b/src/entry/crash_watch.hpp
@@ -28,7 +28,7 @@
     crash_watch(crash_watch&&) = delete;
     crash_watch& operator=(crash_watch&&) = delete;
 
-    /// Reads all marks from the table now and then once per period.
+    /// Reads all marks from the table immediately, and again after every period.
     void start(std::chrono::milliseconds period);
 
     /// Records a mark that a sidecar sent. Returns whether the mark was new; the same mark arrives from
--- a/src/entry/entry_process.hpp
+++ b/src/entry/entry_process.hpp
@@ -1,4 +1,5 @@
-// The process behind `borageford entry`.
+// Runs the process that the command `borageford entry` starts: it accepts requests from callers and serves
+// them.
 #pragma once
 
 #include <string>
--- a/src/entry/fate_inquiry.hpp
+++ b/src/entry/fate_inquiry.hpp
@@ -1,5 +1,5 @@
-// Schedules the attempts to learn the fate of a started dispatch from its sidecar after the connection was
-// lost, and decides when to give up.
+// Schedules the attempts to learn the fate of a started dispatch (whether it was begun, is running or has
+// finished) from its sidecar after the connection was lost, and decides when to give up.
 #pragma once
 
 #include <chrono>
--- a/src/entry/request_run.cpp
+++ b/src/entry/request_run.cpp
@@ -24,7 +24,7 @@
 constexpr int most_stale_attempts = 50;
 /// How long a request waits for a newer revision before it is placed again.
 constexpr milliseconds revision_wait{50};
-/// How long a run waits for an event when no request for a fate is due.
+/// How long a run waits for an event when it has no reason to wake up earlier, such as a request for a fate.
 constexpr std::chrono::hours longest_wait{24};
 
 /// The assumed maximum difference between the clocks of two entries. A claim counts as older by this time.
@@ -397,7 +397,8 @@
     }
     m_started->link->forget(m_started->dispatch);
     if (m_joined && !m_call.is_idempotent && !m_claim.is_known()) {
-        return place_anew(); // a lookup or offer reply led to this dispatch; the claim decides before a start
+        return place_anew(); // a reply, not a claim, named this dispatch; the claim is checked before a new
+                             // start
     }
     if (m_claim.is_known_finished()) {
         throw request_error(error_kind::already_ran);
--- a/src/entry/request_run.hpp
+++ b/src/entry/request_run.hpp
@@ -87,7 +87,7 @@
     request_claim m_claim;
     fate_inquiry m_inquiry;
     int m_attempts = 0;       ///< how often the request was to be placed again, not counting stale revisions
-    int m_stale_attempts = 0; ///< how often it was to be placed again because of a stale revision
+    int m_stale_attempts = 0; ///< how often the request was to be placed again because of a stale revision
     bool m_joined = false;    ///< m_started belongs to another run of this request
 
     std::optional<std::chrono::steady_clock::time_point> m_last_piece; ///< when the last chunk arrived
