--- a/src/entry/fate_inquiry.cpp
+++ b/src/entry/fate_inquiry.cpp
@@ -11,20 +11,20 @@
 
 } // namespace
 
-bool fate_inquiry::note_loss(clock::time_point now) {
+bool fate_inquiry::record_lost_connection(clock::time_point now) {
     if (!m_lost_since) {
         m_lost_since = now;
-        m_delay = first_delay;
+        m_backoff_delay = first_delay;
     } else {
-        m_delay = std::min<clock::duration>(m_delay * 2, longest_delay);
+        m_backoff_delay = std::min<clock::duration>(m_backoff_delay * 2, longest_delay);
     }
-    m_ask_at = now + m_delay;
+    m_next_request_time = now + m_backoff_delay;
     return now - *m_lost_since <= m_limit;
 }
 
-void fate_inquiry::settle() noexcept {
+void fate_inquiry::reset() noexcept {
     m_lost_since.reset();
-    m_ask_at.reset();
+    m_next_request_time.reset();
 }
 
 } // namespace borageford::entry
--- a/src/entry/fate_inquiry.hpp
+++ b/src/entry/fate_inquiry.hpp
@@ -18,23 +18,25 @@
 
     /// Records that the connection was lost, for the first time or once more, and schedules the next request.
     /// Returns false when the first loss was longer ago than the limit.
-    [[nodiscard]] bool note_loss(clock::time_point now);
+    [[nodiscard]] bool record_lost_connection(clock::time_point now);
 
     /// Records that the fate has been requested. No further request is due until the connection is lost
     /// again.
-    void note_question() noexcept { m_ask_at.reset(); }
+    void record_request() noexcept { m_next_request_time.reset(); }
 
     /// Ends the inquiry, because the fate is known or another dispatch has been started.
-    void settle() noexcept;
+    void reset() noexcept;
 
     /// When to request the fate next; nothing when no request is due.
-    [[nodiscard]] std::optional<clock::time_point> next_question() const noexcept { return m_ask_at; }
+    [[nodiscard]] std::optional<clock::time_point> next_request_time() const noexcept {
+        return m_next_request_time;
+    }
 
 private:
     clock::duration m_limit;
-    std::optional<clock::time_point> m_lost_since; ///< when the connection was first lost
-    std::optional<clock::time_point> m_ask_at;     ///< when the next request is due
-    clock::duration m_delay{};                     ///< delay before the latest scheduled request
+    std::optional<clock::time_point> m_lost_since;        ///< when the connection was first lost
+    std::optional<clock::time_point> m_next_request_time; ///< when the next request is due
+    clock::duration m_backoff_delay{};                    ///< delay before the latest scheduled request
 };
 
 } // namespace borageford::entry
--- a/src/entry/request_run.cpp
+++ b/src/entry/request_run.cpp
@@ -57,7 +57,7 @@
       m_answer(answer),
       m_events(std::move(events)),
       m_claim(context.claims, request),
-      m_inquiry(context.settings.fate_limit) {}
+      m_fate_requests(context.settings.fate_limit) {}
 
 asio::awaitable<void> request_run::serve() {
     std::optional<request_error> failure;
@@ -247,7 +247,7 @@
 
 void request_run::start(const granted_place& place) {
     m_joined = false;
-    m_inquiry.settle();
+    m_fate_requests.reset();
     m_started = started_dispatch{place.link, place.backend_server, place.dispatch, place.incarnation,
                                  steady_clock::now()};
     wire::start_message start;
@@ -276,10 +276,10 @@
 
 asio::awaitable<request_run::follow_result> request_run::follow() {
     for (;;) {
-        const auto until = m_inquiry.next_question().value_or(steady_clock::now() + longest_wait);
+        const auto until = m_fate_requests.next_request_time().value_or(steady_clock::now() + longest_wait);
         auto event = co_await m_events->receive(until);
         if (!event) {
-            ask_fate_again();
+            request_fate_again();
             continue;
         }
         if (!concerns_current(*event)) {
@@ -379,7 +379,7 @@
     switch (fate.state) {
     case wire::dispatch_fate::running:
     case wire::dispatch_fate::finished:
-        m_inquiry.settle();
+        m_fate_requests.reset();
         return std::nullopt;
     case wire::dispatch_fate::not_begun:
         if (m_claim.is_known_finished()) {
@@ -430,18 +430,18 @@
 }
 
 void request_run::note_lost_connection() {
-    if (!m_inquiry.note_loss(steady_clock::now())) {
+    if (!m_fate_requests.record_lost_connection(steady_clock::now())) {
         throw request_error(error_kind::outcome_unknown);
     }
 }
 
 /// Sends an attach message again if a request for the fate is due. It goes to the sidecar's latest known
 /// address, since the sidecar may have been restarted at another address.
-void request_run::ask_fate_again() {
-    if (!m_inquiry.next_question()) {
+void request_run::request_fate_again() {
+    if (!m_fate_requests.next_request_time()) {
         return;
     }
-    m_inquiry.note_question();
+    m_fate_requests.record_request();
     const auto table = m_context.servers.current();
     const auto found = table->by_server.find(m_started->backend_server);
     if (found != table->by_server.end()) {
--- a/src/entry/request_run.hpp
+++ b/src/entry/request_run.hpp
@@ -72,7 +72,7 @@
     std::optional<follow_result> take_not_begun(const wire::not_begun_message& refusal);
     follow_result place_anew();
     void note_lost_connection();
-    void ask_fate_again();
+    void request_fate_again();
     [[nodiscard]] bool concerns_current(const dispatch_event& event) const;
     void record(audit::event what, const started_dispatch& place, std::string detail = {});
 
@@ -85,7 +85,7 @@
     /// The error in the sidecar's last `not_begun` message.
     std::optional<request_error> m_not_begun;
     request_claim m_claim;
-    fate_inquiry m_inquiry;
+    fate_inquiry m_fate_requests;
     int m_attempts = 0;       ///< how often the request was to be placed again, not counting stale revisions
     int m_stale_attempts = 0; ///< how often the request was to be placed again because of a stale revision
     bool m_joined = false;    ///< m_started belongs to another run of this request
