--- a/src/entry/request_claim.cpp
+++ b/src/entry/request_claim.cpp
@@ -41,15 +41,15 @@
     if (m_call.is_idempotent) {
         co_return false;
     }
-    const auto standing = co_await m_store.read(m_call.workspace->name, m_call.idempotency_key);
-    co_return standing && standing->state == claim_state::finished;
+    const auto existing = co_await m_store.read(m_call.workspace->name, m_call.idempotency_key);
+    co_return existing && existing->state == claim_state::finished;
 }
 
-void request_claim::adopt(const claim& standing) {
-    if (standing.fingerprint != m_call.fingerprint) {
+void request_claim::adopt(const claim& existing) {
+    if (existing.fingerprint != m_call.fingerprint) {
         throw request_error(error_kind::idempotency_key_reused);
     }
-    m_claim = standing;
+    m_claim = existing;
     m_is_adopted = true;
 }
 
--- a/src/entry/request_claim.hpp
+++ b/src/entry/request_claim.hpp
@@ -34,7 +34,7 @@
 
     /// Makes this run use another run's claim, so that its caller is answered with that run's outcome.
     /// Throws request_error(idempotency_key_reused) when the claim was made for a different request.
-    void adopt(const claim& standing);
+    void adopt(const claim& existing);
 
     /// Marks the claim as finished after the call was answered completely.
     void finish();
--- a/src/entry/request_run.cpp
+++ b/src/entry/request_run.cpp
@@ -19,16 +19,16 @@
 namespace {
 
 /// How often a request is placed at most.
-constexpr int most_attempts = 4;
+constexpr int max_attempts = 4;
 /// How often a request is placed at most when grants are refused because of a stale revision.
-constexpr int most_stale_attempts = 50;
+constexpr int max_stale_attempts = 50;
 /// How long a request waits for a newer revision before it is placed again.
 constexpr milliseconds revision_wait{50};
 /// How long a run waits for an event when it has no reason to wake up earlier, such as a request for a fate.
 constexpr std::chrono::hours longest_wait{24};
 
 /// The assumed maximum difference between the clocks of two entries. A claim counts as older by this time.
-constexpr std::chrono::minutes clock_difference{1};
+constexpr std::chrono::minutes max_clock_difference{1};
 
 /// The time since a start, limited to what fits `attach_message::started_ms_ago`.
 milliseconds age_of(steady_clock::time_point started) {
@@ -37,13 +37,13 @@
 }
 
 /// A time no later than that at which the call of this claim was started.
-steady_clock::time_point start_of(const claim& held) {
-    const std::chrono::seconds age(std::max<std::int64_t>(0, claim_time_now() - held.time));
-    return steady_clock::now() - age - clock_difference;
+steady_clock::time_point start_of(const claim& claimed) {
+    const std::chrono::seconds age(std::max<std::int64_t>(0, claim_time_now() - claimed.time));
+    return steady_clock::now() - age - max_clock_difference;
 }
 
 /// True for a refusal of a start that another backend server might not repeat.
-bool is_worth_another_place(error_kind kind) {
+bool is_retryable_elsewhere(error_kind kind) {
     return kind == error_kind::draining || kind == error_kind::no_backend_server ||
            kind == error_kind::overloaded;
 }
@@ -67,8 +67,8 @@
         failure = error;
     }
     if (failure) {
-        const auto judged = co_await judge_unknown(*failure);
-        throw judged;
+        const auto resolved = co_await resolve_unknown_outcome(*failure);
+        throw resolved;
     }
 }
 
@@ -78,7 +78,7 @@
     }
     for (;;) {
         co_await place();
-        if (co_await follow() == follow_result::whole) {
+        if (co_await wait_for_answer() == wait_result::complete) {
             co_return;
         }
         m_context.metrics.placed_again();
@@ -86,7 +86,7 @@
         // every further offer with it, so that the request would be refused in the end instead of run.
         // Without its resend key they don't recognize the request.
         m_call.resend_key = 0;
-        if (!may_place_again()) {
+        if (!try_place_again()) {
             m_claim.release();
             throw m_not_begun.value_or(request_error(error_kind::no_backend_server));
         }
@@ -104,13 +104,13 @@
         std::optional<request_error> refusal;
         offer_round round(m_context, m_call, m_events);
         try {
-            follow_configuration();
+            update_configuration();
             const auto found = co_await round.find_place();
             if (const auto* running = std::get_if<attachable_place>(&found)) {
                 join(*running);
                 is_placed = true;
             } else {
-                is_placed = co_await take_grant(std::get<granted_place>(found));
+                is_placed = co_await use_grant(std::get<granted_place>(found));
             }
         } catch (const request_error& error) {
             refusal = error;
@@ -123,7 +123,7 @@
             m_claim.release();
             throw *refusal;
         }
-        if (is_placed && !m_joined) {
+        if (is_placed && !m_is_joined) {
             round.withdraw_all(m_started->backend_server, m_started->dispatch);
         } else { // it isn't known yet whether a joined dispatch was ever begun, so sidecars aren't told of it
             round.withdraw_all();
@@ -136,16 +136,16 @@
 /// run" that it can use a new key, and the call would run twice. The claim's row in the table tells whether
 /// there is an earlier copy; if so, this run attaches to it and the function returns true.
 asio::awaitable<bool> request_run::join_earlier_copy() {
-    const auto standing = co_await m_claim.find_earlier();
-    if (standing) {
-        join_claimed(*standing);
+    const auto existing = co_await m_claim.find_earlier();
+    if (existing) {
+        join_claimed_run(*existing);
     }
-    co_return standing.has_value();
+    co_return existing.has_value();
 }
 
 /// Returns the error to answer. An outcome that no sidecar knows may be recorded in the claim's row, where
 /// calls that ran to their end are marked as finished.
-asio::awaitable<request_error> request_run::judge_unknown(request_error failure) {
+asio::awaitable<request_error> request_run::resolve_unknown_outcome(request_error failure) {
     if (failure.kind() != error_kind::outcome_unknown) {
         co_return failure;
     }
@@ -158,7 +158,7 @@
 
 /// Looks the call up in the current configuration if its revision is no longer in force, and returns whether
 /// it did. Throws request_error when the call isn't allowed any more.
-bool request_run::follow_configuration() {
+bool request_run::update_configuration() {
     if (m_context.configuration.revision() == m_call.configuration->revision) {
         return false;
     }
@@ -166,28 +166,28 @@
     return true;
 }
 
-bool request_run::may_place_again() {
+bool request_run::try_place_again() {
     if (!m_not_begun) {
-        return ++m_attempts < most_attempts && m_context.admissions.try_retry();
+        return ++m_attempts < max_attempts && m_context.admissions.try_retry();
     }
     if (m_not_begun->kind() == error_kind::stale_revision) {
-        return ++m_stale_attempts < most_stale_attempts && steady_clock::now() < m_call.deadline;
+        return ++m_stale_attempts < max_stale_attempts && steady_clock::now() < m_call.deadline;
     }
-    return is_worth_another_place(m_not_begun->kind()) && ++m_attempts < most_attempts &&
+    return is_retryable_elsewhere(m_not_begun->kind()) && ++m_attempts < max_attempts &&
            m_context.admissions.try_retry();
 }
 
 /// Uses a grant. Returns true when the request was started, or when another run of the request was joined
 /// instead and the grant was withdrawn. Returns false when the grant was withdrawn because it was given under
 /// an older configuration revision; the request then needs a new place.
-asio::awaitable<bool> request_run::take_grant(granted_place place) {
+asio::awaitable<bool> request_run::use_grant(granted_place place) {
     std::optional<request_error> refusal;
     bool is_placed = false;
     try {
-        if (!follow_configuration()) {
+        if (!update_configuration()) {
             const bool is_ours = co_await claim_before_start(place);
             // A newer revision may have come into force while the claim was being written.
-            if (is_ours && !follow_configuration()) {
+            if (is_ours && !update_configuration()) {
                 start(place);
                 co_return true;
             }
@@ -209,9 +209,9 @@
 /// Claims the idempotency key and returns whether this run may send the start. If it may not, the run that
 /// holds the claim has been joined.
 asio::awaitable<bool> request_run::claim_before_start(const granted_place& place) {
-    const auto standing = co_await m_claim.take(place);
-    if (standing) {
-        join_claimed(*standing);
+    const auto existing = co_await m_claim.take(place);
+    if (existing) {
+        join_claimed_run(*existing);
         co_return false;
     }
     if (!m_call.is_idempotent) {
@@ -222,23 +222,23 @@
 
 /// Attaches to the dispatch of another run that has claimed the key, so that this caller gets the same answer
 /// if the sidecar still has it.
-void request_run::join_claimed(const claim& standing) {
-    m_claim.adopt(standing);
+void request_run::join_claimed_run(const claim& existing) {
+    m_claim.adopt(existing);
     const auto table = m_context.servers.current();
-    const auto found = table->by_server.find(standing.backend_server);
+    const auto found = table->by_server.find(existing.backend_server);
     if (found == table->by_server.end()) {
         throw request_error(m_claim.is_known_finished() ? error_kind::already_ran
                                                         : error_kind::outcome_unknown);
     }
-    m_joined = true;
-    m_started = started_dispatch{found->second, standing.backend_server, standing.dispatch,
-                                 standing.incarnation, start_of(standing)};
+    m_is_joined = true;
+    m_started = started_dispatch{found->second, existing.backend_server, existing.dispatch,
+                                 existing.incarnation, start_of(existing)};
     m_context.metrics.attached();
     attach();
 }
 
 void request_run::join(const attachable_place& place) {
-    m_joined = true;
+    m_is_joined = true;
     m_started = started_dispatch{place.link, place.backend_server, place.dispatch, place.incarnation, {}};
     m_context.metrics.attached();
     record(audit::event::attached, *m_started);
@@ -246,7 +246,7 @@
 }
 
 void request_run::start(const granted_place& place) {
-    m_joined = false;
+    m_is_joined = false;
     m_fate_requests.reset();
     m_started = started_dispatch{place.link, place.backend_server, place.dispatch, place.incarnation,
                                  steady_clock::now()};
@@ -274,7 +274,7 @@
     m_started->link->send_for(m_started->dispatch, m_events, attach);
 }
 
-asio::awaitable<request_run::follow_result> request_run::follow() {
+asio::awaitable<request_run::wait_result> request_run::wait_for_answer() {
     for (;;) {
         const auto until = m_fate_requests.next_request_time().value_or(steady_clock::now() + longest_wait);
         auto event = co_await m_events->receive(until);
@@ -282,7 +282,7 @@
             request_fate_again();
             continue;
         }
-        if (!concerns_current(*event)) {
+        if (!is_relevant(*event)) {
             continue;
         }
         if (const auto result = co_await handle(std::move(*event))) {
@@ -293,7 +293,7 @@
 
 /// True for events of the started dispatch and for caller_gone. The mailbox may still contain messages that
 /// answer earlier offers; they are ignored.
-bool request_run::concerns_current(const dispatch_event& event) const {
+bool request_run::is_relevant(const dispatch_event& event) const {
     return std::visit(
         [this](const auto& content) {
             using content_type = std::decay_t<decltype(content)>;
@@ -308,19 +308,19 @@
         event);
 }
 
-asio::awaitable<std::optional<request_run::follow_result>> request_run::handle(dispatch_event event) {
+asio::awaitable<std::optional<request_run::wait_result>> request_run::handle(dispatch_event event) {
     if (const auto* chunk = std::get_if<wire::chunk_message>(&event)) {
-        co_await take_chunk(*chunk);
+        co_await handle_chunk(*chunk);
     } else if (auto* head = std::get_if<wire::answer_head_message>(&event)) {
         co_await m_answer.take_head(head->status, std::move(head->content_type));
     } else if (const auto* end = std::get_if<wire::answer_end_message>(&event)) {
-        co_return co_await take_end(*end);
+        co_return co_await handle_end(*end);
     } else if (const auto* fate = std::get_if<wire::fate_message>(&event)) {
-        co_return take_fate(*fate);
+        co_return handle_fate(*fate);
     } else if (const auto* refusal = std::get_if<wire::not_begun_message>(&event)) {
-        co_return take_not_begun(*refusal);
+        co_return handle_not_begun(*refusal);
     } else if (std::holds_alternative<connection_lost>(event)) {
-        note_lost_connection();
+        handle_lost_connection();
     } else if (std::holds_alternative<caller_gone>(event)) {
         wire::abandon_message abandon;
         abandon.dispatch = wire::to_wire(m_started->dispatch);
@@ -331,7 +331,7 @@
     co_return std::nullopt;
 }
 
-asio::awaitable<void> request_run::take_chunk(const wire::chunk_message& chunk) {
+asio::awaitable<void> request_run::handle_chunk(const wire::chunk_message& chunk) {
     const auto now = steady_clock::now();
     const bool is_first = !m_answer.first_piece();
     const std::string_view bytes(reinterpret_cast<const char*>(chunk.data.data()), chunk.data.size());
@@ -347,8 +347,8 @@
     m_last_piece = now;
 }
 
-asio::awaitable<std::optional<request_run::follow_result>>
-request_run::take_end(const wire::answer_end_message& end) {
+asio::awaitable<std::optional<request_run::wait_result>>
+request_run::handle_end(const wire::answer_end_message& end) {
     if (end.failed) {
         m_started->link->forget(m_started->dispatch);
         std::optional<milliseconds> retry_after;
@@ -372,10 +372,10 @@
     m_context.metrics.answered();
     m_context.metrics.total(m_call, steady_clock::now() - m_call.received);
     record(audit::event::answered, *m_started);
-    co_return follow_result::whole;
+    co_return wait_result::complete;
 }
 
-std::optional<request_run::follow_result> request_run::take_fate(const wire::fate_message& fate) {
+std::optional<request_run::wait_result> request_run::handle_fate(const wire::fate_message& fate) {
     switch (fate.state) {
     case wire::dispatch_fate::running:
     case wire::dispatch_fate::finished:
@@ -386,19 +386,19 @@
             break; // the claim's row says that the call has run, so it must not be placed again
         }
         if (!m_answer.has_head()) {
-            return place_anew();
+            return give_up_dispatch();
         }
         break; // the answer's head has arrived, so the dispatch was begun and its outcome is unknown
     case wire::dispatch_fate::unknown:
-        if (m_joined && m_call.is_idempotent && !m_answer.has_head()) {
-            return place_anew(); // an idempotent call may run more than once
+        if (m_is_joined && m_call.is_idempotent && !m_answer.has_head()) {
+            return give_up_dispatch(); // an idempotent call may run more than once
         }
         break;
     }
     m_started->link->forget(m_started->dispatch);
-    if (m_joined && !m_call.is_idempotent && !m_claim.is_known()) {
-        return place_anew(); // a reply, not a claim, named this dispatch; the claim is checked before a new
-                             // start
+    if (m_is_joined && !m_call.is_idempotent && !m_claim.is_known()) {
+        return give_up_dispatch(); // a reply, not a claim, named this dispatch; the claim is checked before a
+                                   // new start
     }
     if (m_claim.is_known_finished()) {
         throw request_error(error_kind::already_ran);
@@ -409,27 +409,27 @@
 /// Gives up the dispatch, so that the request is placed again. If the dispatch was joined, sidecars might
 /// still name it in their replies; the resend key is cleared so that the next round doesn't look for it. The
 /// claim of a non-idempotent call is still checked before a second run.
-request_run::follow_result request_run::place_anew() {
-    if (m_joined) {
+request_run::wait_result request_run::give_up_dispatch() {
+    if (m_is_joined) {
         m_call.resend_key = 0;
     }
     m_not_begun.reset();
     m_started->link->forget(m_started->dispatch);
-    return follow_result::not_begun;
+    return wait_result::not_begun;
 }
 
-std::optional<request_run::follow_result>
-request_run::take_not_begun(const wire::not_begun_message& refusal) {
+std::optional<request_run::wait_result>
+request_run::handle_not_begun(const wire::not_begun_message& refusal) {
     if (m_answer.has_head()) {
         throw request_error(error_kind::outcome_unknown);
     }
     m_started->link->forget(m_started->dispatch);
     m_not_begun = request_error(wire::error_kind_from_wire(refusal.error_kind), {},
                                 milliseconds(refusal.retry_after_ms));
-    return follow_result::not_begun;
+    return wait_result::not_begun;
 }
 
-void request_run::note_lost_connection() {
+void request_run::handle_lost_connection() {
     if (!m_fate_requests.record_lost_connection(steady_clock::now())) {
         throw request_error(error_kind::outcome_unknown);
     }
--- a/src/entry/request_run.hpp
+++ b/src/entry/request_run.hpp
@@ -50,30 +50,30 @@
 
 private:
     /// How waiting for an answer ended: the answer is complete, or the dispatch was never begun.
-    enum class follow_result : std::uint8_t { whole, not_begun };
+    enum class wait_result : std::uint8_t { complete, not_begun };
 
     boost::asio::awaitable<void> serve_to_end();
     boost::asio::awaitable<void> place();
     boost::asio::awaitable<bool> join_earlier_copy();
-    boost::asio::awaitable<request_error> judge_unknown(request_error failure);
-    bool follow_configuration();
-    [[nodiscard]] bool may_place_again();
-    boost::asio::awaitable<bool> take_grant(granted_place place);
+    boost::asio::awaitable<request_error> resolve_unknown_outcome(request_error failure);
+    bool update_configuration();
+    [[nodiscard]] bool try_place_again();
+    boost::asio::awaitable<bool> use_grant(granted_place place);
     boost::asio::awaitable<bool> claim_before_start(const granted_place& place);
-    void join_claimed(const claim& standing);
+    void join_claimed_run(const claim& existing);
     void start(const granted_place& place);
     void attach();
     void join(const attachable_place& place);
-    boost::asio::awaitable<follow_result> follow();
-    boost::asio::awaitable<std::optional<follow_result>> handle(dispatch_event event);
-    boost::asio::awaitable<std::optional<follow_result>> take_end(const wire::answer_end_message& end);
-    boost::asio::awaitable<void> take_chunk(const wire::chunk_message& chunk);
-    std::optional<follow_result> take_fate(const wire::fate_message& fate);
-    std::optional<follow_result> take_not_begun(const wire::not_begun_message& refusal);
-    follow_result place_anew();
-    void note_lost_connection();
+    boost::asio::awaitable<wait_result> wait_for_answer();
+    boost::asio::awaitable<std::optional<wait_result>> handle(dispatch_event event);
+    boost::asio::awaitable<std::optional<wait_result>> handle_end(const wire::answer_end_message& end);
+    boost::asio::awaitable<void> handle_chunk(const wire::chunk_message& chunk);
+    std::optional<wait_result> handle_fate(const wire::fate_message& fate);
+    std::optional<wait_result> handle_not_begun(const wire::not_begun_message& refusal);
+    wait_result give_up_dispatch();
+    void handle_lost_connection();
     void request_fate_again();
-    [[nodiscard]] bool concerns_current(const dispatch_event& event) const;
+    [[nodiscard]] bool is_relevant(const dispatch_event& event) const;
     void record(audit::event what, const started_dispatch& place, std::string detail = {});
 
     entry_context& m_context;
@@ -88,7 +88,7 @@
     fate_inquiry m_fate_requests;
     int m_attempts = 0;       ///< how often the request was to be placed again, not counting stale revisions
     int m_stale_attempts = 0; ///< how often the request was to be placed again because of a stale revision
-    bool m_joined = false;    ///< m_started belongs to another run of this request
+    bool m_is_joined = false; ///< m_started belongs to another run of this request
 
     std::optional<std::chrono::steady_clock::time_point> m_last_piece; ///< when the last chunk arrived
 };
