--- a/src/entry/offer_round.cpp
+++ b/src/entry/offer_round.cpp
@@ -20,9 +20,9 @@
 namespace {
 
 /// Retry-After for a refused request when no sidecar sent a time.
-constexpr milliseconds default_retry{1000};
+constexpr milliseconds default_retry_after{1000};
 /// Time between two offers of a request that has crash marks.
-constexpr milliseconds marked_offer_delay{500};
+constexpr milliseconds marked_request_delay{500};
 /// Timeout of a lookup. Its sidecar may be unreachable, and the caller waits meanwhile.
 constexpr milliseconds lookup_limit{100};
 
@@ -41,12 +41,12 @@
 
 /// The candidates as policy::plan_placement() takes them. `holders` are the servers that have a prefix of the
 /// prompt cached.
-std::vector<policy::placement_candidate> describe(const std::vector<candidate>& servers,
-                                                  std::span<const policy::prefix_holder> holders,
-                                                  unsigned tier) {
+std::vector<policy::placement_candidate>
+make_placement_candidates(const std::vector<candidate>& servers,
+                          std::span<const policy::prefix_holder> holders, unsigned tier) {
     const auto now = steady_clock::now();
-    std::vector<policy::placement_candidate> described;
-    described.reserve(servers.size());
+    std::vector<policy::placement_candidate> result;
+    result.reserve(servers.size());
     for (const auto& server : servers) {
         policy::placement_candidate entry;
         entry.name_hash = server.name_hash;
@@ -56,13 +56,13 @@
         entry.own_requests_since = server.link->sent_since_report();
         const auto holder = std::ranges::find(holders, server.name_hash, &policy::prefix_holder::server);
         entry.cached_tokens = holder == holders.end() ? 0 : holder->tokens;
-        described.push_back(entry);
+        result.push_back(entry);
     }
-    return described;
+    return result;
 }
 
 /// Returns whether the first reason for a refusal is more informative for the caller than the second.
-bool says_more(error_kind first, error_kind second) {
+bool is_more_informative(error_kind first, error_kind second) {
     const auto weight = [](error_kind kind) {
         switch (kind) {
         case error_kind::quarantined:
@@ -101,17 +101,17 @@
     request.sequence = m_context.placement_count++;
     request.seed = m_call.id.low;
     const auto holders = m_context.prefixes.find_holders(m_call.prefix_hashes);
-    const auto described = describe(m_candidates, holders, m_call.tier->rank);
-    m_plan = policy::plan_placement(m_context.settings.placement, request, described);
+    const auto placement_candidates = make_placement_candidates(m_candidates, holders, m_call.tier->rank);
+    m_plan = policy::plan_placement(m_context.settings.placement, request, placement_candidates);
     if (m_context.crashes.marks(m_call.fingerprint) > 0) {
-        plan_for_marked();
+        plan_for_marked_request();
     }
 }
 
 /// Changes the plan for a request that was running when a backend server died and may have caused its crash:
 /// it is offered first to the servers with the fewest running requests, one server at a time, so that another
 /// crash would abort few other requests.
-void offer_round::plan_for_marked() {
+void offer_round::plan_for_marked_request() {
     const auto running = [this](const policy::planned_offer& offer) {
         const auto load = m_candidates.at(offer.candidate).link->load();
         return load ? load->running_sequences : 0;
@@ -120,7 +120,7 @@
     policy::duration after{};
     for (auto& offer : m_plan.offers) {
         offer.after = after;
-        after += marked_offer_delay;
+        after += marked_request_delay;
     }
 }
 
@@ -145,7 +145,8 @@
             // Pending events are handled before the deadline is checked.
         } else if (steady_clock::now() >= m_call.deadline) {
             withdraw_all();
-            throw request_error(error_kind::deadline_unreachable, {}, m_retry_after.value_or(default_retry));
+            throw request_error(error_kind::deadline_unreachable, {},
+                                m_retry_after.value_or(default_retry_after));
         }
         send_due_offers();
         while (m_open_offers.empty() && m_next_offer < m_plan.offers.size()) {
@@ -161,7 +162,7 @@
     if (m_next_offer == m_plan.offers.size()) {
         return std::nullopt;
     }
-    return m_began + m_plan.offers.at(m_next_offer).after;
+    return m_start_time + m_plan.offers.at(m_next_offer).after;
 }
 
 void offer_round::send_due_offers() {
@@ -186,7 +187,7 @@
 steady_clock::time_point offer_round::next_wake_time() const {
     auto wake = std::min(m_call.deadline, next_offer_time().value_or(m_call.deadline));
     if (must_wait_for_lookup()) {
-        wake = std::min(wake, m_began + lookup_limit);
+        wake = std::min(wake, m_start_time + lookup_limit);
     }
     return wake;
 }
@@ -202,10 +203,10 @@
     };
     const auto chosen = std::ranges::max_element(m_candidates, {}, score);
     m_lookup = resend_lookup{chosen->link, identifier::random()};
-    auto question = make_offer(m_lookup->dispatch);
-    question.lookup_only = true;
-    question.prefix_hashes.clear();
-    chosen->link->send_for(m_lookup->dispatch, m_events, std::move(question));
+    auto lookup_offer = make_offer(m_lookup->dispatch);
+    lookup_offer.lookup_only = true;
+    lookup_offer.prefix_hashes.clear();
+    chosen->link->send_for(m_lookup->dispatch, m_events, std::move(lookup_offer));
 }
 
 bool offer_round::is_lookup(const dispatch_id& dispatch) const noexcept {
@@ -213,7 +214,7 @@
 }
 
 bool offer_round::must_wait_for_lookup() const noexcept {
-    return m_lookup && m_lookup->is_pending && steady_clock::now() < m_began + lookup_limit;
+    return m_lookup && m_lookup->is_pending && steady_clock::now() < m_start_time + lookup_limit;
 }
 
 std::optional<place> offer_round::take_held_grant() {
@@ -226,7 +227,7 @@
 
 void offer_round::refuse() const {
     throw request_error(m_refusal.value_or(error_kind::no_backend_server), {},
-                        m_retry_after.value_or(default_retry));
+                        m_retry_after.value_or(default_retry_after));
 }
 
 wire::offer_message offer_round::make_offer(const dispatch_id& dispatch) const {
@@ -263,16 +264,16 @@
 
 std::optional<place> offer_round::handle(const dispatch_event& event) {
     if (const auto* reply = std::get_if<wire::offer_reply_message>(&event)) {
-        return take_reply(*reply);
+        return handle_reply(*reply);
     }
     if (const auto* grant = std::get_if<wire::grant_message>(&event)) {
-        return take_grant(*grant);
+        return handle_grant(*grant);
     }
     if (const auto* refusal = std::get_if<wire::not_begun_message>(&event)) {
-        take_refusal(wire::from_wire(refusal->dispatch), wire::error_kind_from_wire(refusal->error_kind),
-                     milliseconds(refusal->retry_after_ms));
+        handle_refusal(wire::from_wire(refusal->dispatch), wire::error_kind_from_wire(refusal->error_kind),
+                       milliseconds(refusal->retry_after_ms));
     } else if (const auto* lost = std::get_if<connection_lost>(&event)) {
-        take_lost_connection(lost->dispatch);
+        handle_lost_connection(lost->dispatch);
     } else if (std::holds_alternative<caller_gone>(event)) {
         withdraw_all();
         throw caller_left();
@@ -280,7 +281,7 @@
     return std::nullopt; // other messages belong to an earlier dispatch of the request and are ignored
 }
 
-std::optional<place> offer_round::take_reply(const wire::offer_reply_message& reply) {
+std::optional<place> offer_round::handle_reply(const wire::offer_reply_message& reply) {
     const auto dispatch = wire::from_wire(reply.dispatch);
     const auto found = m_open_offers.find(dispatch);
     if (found != m_open_offers.end() && reply.load != nullptr) {
@@ -291,23 +292,23 @@
     }
     if (is_lookup(dispatch)) {
         m_lookup->is_pending = false;
-        return find_running(reply, m_lookup->link, m_lookup->link->vm().backend_server);
+        return find_earlier_copy(reply, m_lookup->link, m_lookup->link->vm().backend_server);
     }
     if (found == m_open_offers.end()) {
         return std::nullopt;
     }
     if (reply.verdict == wire::offer_verdict::refused) {
-        take_refusal(dispatch, wire::error_kind_from_wire(reply.error_kind),
-                     milliseconds(reply.retry_after_ms));
+        handle_refusal(dispatch, wire::error_kind_from_wire(reply.error_kind),
+                       milliseconds(reply.retry_after_ms));
         return std::nullopt;
     }
-    return find_running(reply, found->second.link, found->second.backend_server);
+    return find_earlier_copy(reply, found->second.link, found->second.backend_server);
 }
 
 /// Returns where an earlier copy of the request runs or has run, if the reply says so.
-std::optional<place> offer_round::find_running(const wire::offer_reply_message& reply,
-                                               const std::shared_ptr<sidecar_link>& link,
-                                               const std::string& backend_server) const {
+std::optional<place> offer_round::find_earlier_copy(const wire::offer_reply_message& reply,
+                                                    const std::shared_ptr<sidecar_link>& link,
+                                                    const std::string& backend_server) const {
     const auto running = wire::from_wire(reply.running_dispatch);
     if (reply.verdict == wire::offer_verdict::attachable) {
         return attachable_place{link, backend_server, running, link->incarnation()};
@@ -322,7 +323,7 @@
     return attachable_place{other->second, reply.backend_server, running, {}};
 }
 
-std::optional<place> offer_round::take_grant(const wire::grant_message& grant) {
+std::optional<place> offer_round::handle_grant(const wire::grant_message& grant) {
     const auto dispatch = wire::from_wire(grant.dispatch);
     const auto found = m_open_offers.find(dispatch);
     if (found == m_open_offers.end()) {
@@ -340,7 +341,7 @@
     return where;
 }
 
-void offer_round::take_refusal(const dispatch_id& dispatch, error_kind kind, milliseconds retry_after) {
+void offer_round::handle_refusal(const dispatch_id& dispatch, error_kind kind, milliseconds retry_after) {
     const auto found = m_open_offers.find(dispatch);
     if (found == m_open_offers.end()) {
         return;
@@ -355,7 +356,7 @@
     }
     found->second.link->forget(dispatch);
     m_open_offers.erase(found);
-    if (!m_refusal || says_more(kind, *m_refusal)) {
+    if (!m_refusal || is_more_informative(kind, *m_refusal)) {
         m_refusal = kind;
     }
     if (retry_after.count() > 0) {
@@ -366,7 +367,7 @@
 /// Handles the loss of a connection as a refusal, and sends the offer once more on a new connection. The lost
 /// connection doesn't mean that the server is down, and the offer can't have run. Without the second offer,
 /// one reset connection would cause all requests with offers on it to be refused.
-void offer_round::take_lost_connection(const dispatch_id& dispatch) {
+void offer_round::handle_lost_connection(const dispatch_id& dispatch) {
     if (is_lookup(dispatch)) {
         m_lookup->is_pending = false; // not sent again, because the caller waits
         return;
@@ -376,9 +377,9 @@
         return;
     }
     auto place = found->second;
-    take_refusal(dispatch, error_kind::no_backend_server, milliseconds(0));
-    if (!place.is_repeated && !place.link->is_unreachable()) {
-        place.is_repeated = true;
+    handle_refusal(dispatch, error_kind::no_backend_server, milliseconds(0));
+    if (!place.is_retry && !place.link->is_unreachable()) {
+        place.is_retry = true;
         send_offer(std::move(place));
     }
 }
@@ -393,13 +394,13 @@
         offer.link->send_if_connected(withdrawal);
         m_context.metrics.withdrawn();
     }
-    if (const auto asked = std::exchange(m_lookup, std::nullopt)) {
+    if (const auto lookup = std::exchange(m_lookup, std::nullopt)) {
         wire::withdraw_message withdrawal;
-        withdrawal.dispatch = wire::to_wire(asked->dispatch);
+        withdrawal.dispatch = wire::to_wire(lookup->dispatch);
         withdrawal.started_at = started_at;
         withdrawal.running_dispatch = wire::to_wire(running);
-        asked->link->forget(asked->dispatch);
-        asked->link->send_if_connected(withdrawal);
+        lookup->link->forget(lookup->dispatch);
+        lookup->link->send_if_connected(withdrawal);
     }
 }
 
--- a/src/entry/offer_round.hpp
+++ b/src/entry/offer_round.hpp
@@ -63,7 +63,7 @@
     struct open_offer {
         std::shared_ptr<sidecar_link> link;
         std::string backend_server;
-        bool is_repeated = false; ///< second offer to this server, after the connection of the first was lost
+        bool is_retry = false; ///< second offer to this server, after the connection of the first was lost
     };
 
     /// An offer with `lookup_only`, which asks a sidecar whether it knows of an earlier copy of the request.
@@ -75,25 +75,25 @@
     };
 
     void plan();
-    void plan_for_marked();
+    void plan_for_marked_request();
     void send_lookup();
     [[nodiscard]] wire::offer_message make_offer(const dispatch_id& dispatch) const;
     [[nodiscard]] bool is_lookup(const dispatch_id& dispatch) const noexcept;
     [[nodiscard]] bool must_wait_for_lookup() const noexcept;
     [[nodiscard]] std::chrono::steady_clock::time_point next_wake_time() const;
     [[nodiscard]] std::optional<place> take_held_grant();
-    [[nodiscard]] std::optional<place> find_running(const wire::offer_reply_message& reply,
-                                                    const std::shared_ptr<sidecar_link>& link,
-                                                    const std::string& backend_server) const;
+    [[nodiscard]] std::optional<place> find_earlier_copy(const wire::offer_reply_message& reply,
+                                                         const std::shared_ptr<sidecar_link>& link,
+                                                         const std::string& backend_server) const;
     void send_due_offers();
     void send_next_group();
     [[nodiscard]] std::optional<std::chrono::steady_clock::time_point> next_offer_time() const;
     void send_offer(open_offer place);
-    void take_lost_connection(const dispatch_id& dispatch);
+    void handle_lost_connection(const dispatch_id& dispatch);
     [[nodiscard]] std::optional<place> handle(const dispatch_event& event);
-    [[nodiscard]] std::optional<place> take_reply(const wire::offer_reply_message& reply);
-    [[nodiscard]] std::optional<place> take_grant(const wire::grant_message& grant);
-    void take_refusal(const dispatch_id& dispatch, error_kind kind, std::chrono::milliseconds retry_after);
+    [[nodiscard]] std::optional<place> handle_reply(const wire::offer_reply_message& reply);
+    [[nodiscard]] std::optional<place> handle_grant(const wire::grant_message& grant);
+    void handle_refusal(const dispatch_id& dispatch, error_kind kind, std::chrono::milliseconds retry_after);
     [[nodiscard]] bool is_exhausted() const noexcept;
     [[noreturn]] void refuse() const;
     void record(audit::event what, const dispatch_id& dispatch, const std::string& backend_server,
@@ -107,7 +107,7 @@
     std::vector<candidate> m_candidates;
     policy::placement_plan m_plan; ///< offers to send, sorted by time; they refer to m_candidates by index
     std::size_t m_next_offer = 0;  ///< index in m_plan of the next offer to send
-    std::chrono::steady_clock::time_point m_began = std::chrono::steady_clock::now();
+    std::chrono::steady_clock::time_point m_start_time = std::chrono::steady_clock::now();
     std::unordered_map<dispatch_id, open_offer> m_open_offers;
     std::optional<resend_lookup> m_lookup;
     /// The first grant that arrived while the lookup is pending. It isn't used yet, because the lookup may
