--- a/src/entry/caller_answer.cpp
+++ b/src/entry/caller_answer.cpp
@@ -13,7 +13,7 @@
 caller_answer::caller_answer(const call& request, http::response_writer& writer, std::size_t size_limit)
     : m_call(request), m_writer(writer), m_size_limit(size_limit) {}
 
-asio::awaitable<void> caller_answer::take_head(unsigned status, std::string content_type) {
+asio::awaitable<void> caller_answer::set_head(unsigned status, std::string content_type) {
     if (has_head()) {
         co_return;
     }
@@ -23,7 +23,7 @@
     if (!m_call.is_streamed || !is_success) {
         co_return;
     }
-    m_begun = true;
+    m_has_begun = true;
     const http::response_head head{m_status,
                                    {{"Content-Type", m_content_type},
                                     {"Cache-Control", "no-cache"},
@@ -31,37 +31,37 @@
     co_await m_writer.begin(head);
 }
 
-asio::awaitable<bool> caller_answer::take(std::uint64_t offset, std::string_view bytes) {
+asio::awaitable<bool> caller_answer::append(std::uint64_t offset, std::string_view bytes) {
     if (offset > m_received) {
         co_return false;
     }
-    const auto known = m_received - offset;
-    if (known >= bytes.size()) {
+    const auto already_received = m_received - offset;
+    if (already_received >= bytes.size()) {
         co_return true; // a repeated piece: all of its bytes were accepted before
     }
-    bytes.remove_prefix(static_cast<std::size_t>(known));
-    if (!m_first_piece) {
-        m_first_piece = std::chrono::steady_clock::now();
+    bytes.remove_prefix(static_cast<std::size_t>(already_received));
+    if (!m_first_piece_time) {
+        m_first_piece_time = std::chrono::steady_clock::now();
     }
     m_received += bytes.size();
-    if (m_begun) {
+    if (m_has_begun) {
         co_await m_writer.write_piece(bytes);
         co_return true;
     }
-    if (m_whole.size() + bytes.size() > m_size_limit) {
+    if (m_buffer.size() + bytes.size() > m_size_limit) {
         throw request_error(error_kind::backend_garbled, "The answer is over this entry's limit.");
     }
-    m_whole.append(bytes);
+    m_buffer.append(bytes);
     co_return true;
 }
 
 asio::awaitable<void> caller_answer::finish() {
-    if (m_begun) {
+    if (m_has_begun) {
         co_await m_writer.finish();
         co_return;
     }
-    m_begun = true;
-    auto answer = http::make_response(m_status, m_content_type, std::move(m_whole));
+    m_has_begun = true;
+    auto answer = http::make_response(m_status, m_content_type, std::move(m_buffer));
     answer.head.headers.push_back({std::string(request_id_header), m_call.id.to_string()});
     co_await m_writer.write(answer);
 }
--- a/src/entry/caller_answer.hpp
+++ b/src/entry/caller_answer.hpp
@@ -25,12 +25,12 @@
 
     /// Sets the status and content type of the backend server's answer. Only the first call has an effect:
     /// a sidecar sends the head again after each attach message.
-    boost::asio::awaitable<void> take_head(unsigned status, std::string content_type);
+    boost::asio::awaitable<void> set_head(unsigned status, std::string content_type);
 
     /// Accepts bytes of the answer that begin at `offset`; bytes that were accepted before are dropped.
     /// Returns false when bytes before `offset` are missing: the answer must then be requested again from
     /// received() on. Throws request_error(backend_garbled) when a buffered answer exceeds the size limit.
-    boost::asio::awaitable<bool> take(std::uint64_t offset, std::string_view bytes);
+    boost::asio::awaitable<bool> append(std::uint64_t offset, std::string_view bytes);
 
     /// Ends the answer. Must only be called once all bytes of the answer have been accepted.
     boost::asio::awaitable<void> finish();
@@ -39,10 +39,10 @@
     [[nodiscard]] std::uint64_t received() const noexcept { return m_received; }
     [[nodiscard]] bool has_head() const noexcept { return m_status != 0; }
     /// True once anything has been sent to the caller; from then on an error response is no longer possible.
-    [[nodiscard]] bool has_begun() const noexcept { return m_begun; }
+    [[nodiscard]] bool has_begun() const noexcept { return m_has_begun; }
     /// When the first bytes were accepted; nothing before that.
-    [[nodiscard]] std::optional<std::chrono::steady_clock::time_point> first_piece() const noexcept {
-        return m_first_piece;
+    [[nodiscard]] std::optional<std::chrono::steady_clock::time_point> first_piece_time() const noexcept {
+        return m_first_piece_time;
     }
 
 private:
@@ -51,10 +51,10 @@
     std::size_t m_size_limit;
     unsigned m_status = 0; ///< HTTP status; 0 until the head has arrived
     std::string m_content_type;
-    std::string m_whole; ///< bytes of a buffered answer
+    std::string m_buffer; ///< bytes of a buffered answer
     std::uint64_t m_received = 0;
-    bool m_begun = false;
-    std::optional<std::chrono::steady_clock::time_point> m_first_piece;
+    bool m_has_begun = false;
+    std::optional<std::chrono::steady_clock::time_point> m_first_piece_time;
 };
 
 } // namespace borageford::entry
--- a/src/entry/request_run.cpp
+++ b/src/entry/request_run.cpp
@@ -312,7 +312,7 @@
     if (const auto* chunk = std::get_if<wire::chunk_message>(&event)) {
         co_await handle_chunk(*chunk);
     } else if (auto* head = std::get_if<wire::answer_head_message>(&event)) {
-        co_await m_answer.take_head(head->status, std::move(head->content_type));
+        co_await m_answer.set_head(head->status, std::move(head->content_type));
     } else if (const auto* end = std::get_if<wire::answer_end_message>(&event)) {
         co_return co_await handle_end(*end);
     } else if (const auto* fate = std::get_if<wire::fate_message>(&event)) {
@@ -333,18 +333,18 @@
 
 asio::awaitable<void> request_run::handle_chunk(const wire::chunk_message& chunk) {
     const auto now = steady_clock::now();
-    const bool is_first = !m_answer.first_piece();
+    const bool is_first = !m_answer.first_piece_time();
     const std::string_view bytes(reinterpret_cast<const char*>(chunk.data.data()), chunk.data.size());
-    if (!co_await m_answer.take(chunk.offset, bytes)) {
+    if (!co_await m_answer.append(chunk.offset, bytes)) {
         attach(); // bytes are missing: request the answer again from the first missing byte
         co_return;
     }
     if (is_first) {
         m_context.metrics.first_token(m_call, now - m_call.received);
-    } else if (m_last_piece) {
-        m_context.metrics.between_tokens(m_call, now - *m_last_piece);
+    } else if (m_last_piece_time) {
+        m_context.metrics.between_tokens(m_call, now - *m_last_piece_time);
     }
-    m_last_piece = now;
+    m_last_piece_time = now;
 }
 
 asio::awaitable<std::optional<request_run::wait_result>>
--- a/src/entry/request_run.hpp
+++ b/src/entry/request_run.hpp
@@ -90,7 +90,7 @@
     int m_stale_attempts = 0; ///< how often the request was to be placed again because of a stale revision
     bool m_is_joined = false; ///< m_started belongs to another run of this request
 
-    std::optional<std::chrono::steady_clock::time_point> m_last_piece; ///< when the last chunk arrived
+    std::optional<std::chrono::steady_clock::time_point> m_last_piece_time; ///< when the last chunk arrived
 };
 
 } // namespace borageford::entry
