--- a/src/entry/call.hpp
+++ b/src/entry/call.hpp
@@ -12,7 +12,7 @@
 
 namespace borageford::entry {
 
-/// One request of a caller. parse_call() creates it, and renew_call() updates it for a newer configuration.
+/// One request of a caller. parse_call() creates it, and update_call() updates it for a newer configuration.
 /// Invariant: `workspace`, `tier` and `route` point into `configuration`, which the call keeps alive.
 struct call {
     request_id id;
@@ -23,8 +23,8 @@
 
     std::string target; ///< name of the model, or of the service when `is_service` is set
     bool is_service = false;
-    bool is_idempotent = true;          ///< true only if both the route and the caller allow repeated runs
-    bool caller_says_idempotent = true; ///< false when the caller sent "X-Idempotent: no"
+    bool is_idempotent = true;            ///< true only if both the route and the caller allow repeated runs
+    bool is_idempotent_for_caller = true; ///< false when the caller sent "X-Idempotent: no"
     bool is_streamed = false;
 
     std::string method;
--- a/src/entry/call_parser.cpp
+++ b/src/entry/call_parser.cpp
@@ -22,13 +22,13 @@
 constexpr std::string_view completion_path = "/v1/completions";
 constexpr std::string_view services_path = "/services/";
 constexpr std::string_view bearer = "Bearer ";
-constexpr std::size_t longest_key = 256;
+constexpr std::size_t max_key_length = 256;
 /// Retry-After while no configuration is known. A process that has just started requests the configuration
 /// from the platform and its peers at once, so it usually has one within this time.
-constexpr std::chrono::milliseconds no_configuration_retry{2000};
+constexpr std::chrono::milliseconds no_configuration_retry_after{2000};
 /// How many blocks of a prompt are hashed at most. Prompts that are longer and agree in these blocks count as
 /// having the same prefix.
-constexpr std::size_t most_blocks = 64;
+constexpr std::size_t max_hashed_blocks = 64;
 
 json::object parse_body(const std::string& body) {
     json::error_code error;
@@ -113,8 +113,8 @@
             throw request_error(error_kind::bad_request,
                                 "\"" + std::string(name) + "\" must be a positive number.");
         }
-        const auto asked = value->to_number<double>();
-        return static_cast<std::uint32_t>(std::min<double>(asked, model.expected_output_tokens));
+        const auto requested = value->to_number<double>();
+        return static_cast<std::uint32_t>(std::min<double>(requested, model.expected_output_tokens));
     }
     return model.expected_output_tokens;
 }
@@ -138,14 +138,14 @@
                             "The prompt has about " + std::to_string(parsed.prompt_tokens) +
                                 " tokens; the model takes " + std::to_string(model->context_tokens) + ".");
     }
-    parsed.prefix_hashes = policy::hash_prefix_blocks(prompt, most_blocks);
+    parsed.prefix_hashes = policy::hash_prefix_blocks(prompt, max_hashed_blocks);
     parsed.expected_output_tokens = expected_output(body, *model);
     parsed.is_streamed = read_flag(body, "stream");
 }
 
 void read_service_call(call& parsed, std::string_view path) {
-    const auto rest = path.substr(services_path.size());
-    parsed.target = std::string(rest.substr(0, rest.find('/')));
+    const auto target_and_path = path.substr(services_path.size());
+    parsed.target = std::string(target_and_path.substr(0, target_and_path.find('/')));
     parsed.is_service = true;
     if (parsed.configuration->find_service(parsed.target) == nullptr) {
         throw request_error(error_kind::unknown_service,
@@ -159,18 +159,18 @@
 }
 
 void choose_tier(call& parsed, const http::request& received) {
-    const auto* own = parsed.configuration->find_tier(parsed.workspace->tier);
-    parsed.tier = own;
-    const auto asked = http::find_header(received.headers, tier_header);
-    if (!asked) {
+    const auto* default_tier = parsed.configuration->find_tier(parsed.workspace->tier);
+    parsed.tier = default_tier;
+    const auto requested = http::find_header(received.headers, tier_header);
+    if (!requested) {
         return;
     }
-    const auto* tier = parsed.configuration->find_tier(*asked);
+    const auto* tier = parsed.configuration->find_tier(*requested);
     if (tier == nullptr) {
-        throw request_error(error_kind::bad_request, "There is no tier \"" + std::string(*asked) + "\".");
+        throw request_error(error_kind::bad_request, "There is no tier \"" + std::string(*requested) + "\".");
     }
     // The X-Tier header may lower the workspace's tier (a higher rank) but never raise it.
-    if (own == nullptr || tier->rank > own->rank) {
+    if (default_tier == nullptr || tier->rank > default_tier->rank) {
         parsed.tier = tier;
     }
 }
@@ -183,19 +183,19 @@
                                                        "\" use \"" + parsed.target + "\" in tier \"" +
                                                        parsed.tier->name + "\".");
     }
-    parsed.is_idempotent = parsed.route->idempotent && parsed.caller_says_idempotent;
+    parsed.is_idempotent = parsed.route->idempotent && parsed.is_idempotent_for_caller;
     if (!parsed.is_idempotent && parsed.idempotency_key.empty()) {
         throw request_error(error_kind::idempotency_key_required);
     }
 }
 
 void read_key(call& parsed, const http::request& received) {
-    parsed.caller_says_idempotent = http::find_header(received.headers, idempotent_header) != "no";
+    parsed.is_idempotent_for_caller = http::find_header(received.headers, idempotent_header) != "no";
     const auto key = http::find_header(received.headers, idempotency_key_header);
     if (!key) {
         return;
     }
-    if (key->empty() || key->size() > longest_key) {
+    if (key->empty() || key->size() > max_key_length) {
         throw request_error(error_kind::bad_request, "Idempotency-Key must have 1 to 256 characters.");
     }
     parsed.idempotency_key = *key;
@@ -205,12 +205,12 @@
 void read_deadline(call& parsed, const http::request& received, std::chrono::milliseconds fallback) {
     auto allowed = fallback;
     if (const auto text = http::find_header(received.headers, deadline_header)) {
-        const auto asked = settings::parse_duration(*text);
-        if (!asked || asked->count() == 0) {
+        const auto requested = settings::parse_duration(*text);
+        if (!requested || requested->count() == 0) {
             throw request_error(error_kind::bad_request,
                                 "X-Deadline must be a duration with its unit, for example 1500ms.");
         }
-        allowed = std::min(*asked, std::chrono::milliseconds(std::chrono::hours(1)));
+        allowed = std::min(*requested, std::chrono::milliseconds(std::chrono::hours(1)));
     }
     parsed.deadline = parsed.received + allowed;
 }
@@ -220,7 +220,7 @@
 const configuration::workspace& find_workspace(const configuration::configuration& current,
                                                const http::request& received) {
     if (current.is_empty()) {
-        throw request_error(error_kind::no_configuration, {}, no_configuration_retry);
+        throw request_error(error_kind::no_configuration, {}, no_configuration_retry_after);
     }
     const auto header = http::find_header(received.headers, "Authorization");
     if (!header || !header->starts_with(bearer)) {
@@ -264,7 +264,7 @@
     return parsed;
 }
 
-void renew_call(call& request, std::shared_ptr<const configuration::configuration> current) {
+void update_call(call& request, std::shared_ptr<const configuration::configuration> current) {
     const auto* workspace = current->find_workspace(request.workspace->name);
     if (workspace == nullptr) {
         throw request_error(error_kind::unauthorized, "The workspace is no longer in the configuration.");
--- a/src/entry/call_parser.hpp
+++ b/src/entry/call_parser.hpp
@@ -31,6 +31,6 @@
 
 /// Looks up the call's workspace, tier and route again in a newer configuration.
 /// Throws request_error when that configuration no longer allows the call.
-void renew_call(call& request, std::shared_ptr<const configuration::configuration> current);
+void update_call(call& request, std::shared_ptr<const configuration::configuration> current);
 
 } // namespace borageford::entry
--- a/src/entry/caller_api.cpp
+++ b/src/entry/caller_api.cpp
@@ -25,9 +25,9 @@
 namespace {
 
 /// Retry-After for a caller that is refused while this entry drains; another entry can serve it.
-constexpr std::chrono::milliseconds retry_elsewhere{1000};
+constexpr std::chrono::milliseconds draining_retry_after{1000};
 
-http::response plain(unsigned status, std::string text) {
+http::response make_text_response(unsigned status, std::string text) {
     return http::make_response(status, "text/plain", std::move(text));
 }
 
@@ -51,11 +51,12 @@
 asio::awaitable<void> caller_api::handle(const http::request& received, http::response_writer& writer) {
     const auto path = http::path_of(received.target);
     if (path == "/healthz") {
-        co_await writer.write(plain(200, "alive\n"));
+        co_await writer.write(make_text_response(200, "alive\n"));
     } else if (path == "/readyz") {
         // The response needs a variable of its own: the compiler destroys the temporaries of a conditional
         // expression twice when it stands inside a co_await expression.
-        const auto answer = is_ready() ? plain(200, "ready\n") : plain(503, "not ready\n");
+        const auto answer =
+            is_ready() ? make_text_response(200, "ready\n") : make_text_response(503, "not ready\n");
         co_await writer.write(answer);
     } else {
         co_await handle_call(received, writer);
@@ -70,7 +71,7 @@
     std::optional<http::response> models;
     try {
         if (is_draining()) {
-            throw request_error(error_kind::draining, {}, retry_elsewhere);
+            throw request_error(error_kind::draining, {}, draining_retry_after);
         }
         if (http::path_of(received.target) == "/v1/models") {
             models = list_models(received);
@@ -98,11 +99,11 @@
     asio::co_spawn(executor, watch_caller(writer, events), asio::detached);
 
     caller_answer answer(request, writer, m_context.settings.answer_limit);
-    request_run serving(m_context, request, answer, events);
+    request_run run_in_progress(m_context, request, answer, events);
     std::optional<request_error> failure;
     try {
         const auto permit = m_context.admissions.admit(request);
-        co_await serving.serve();
+        co_await run_in_progress.serve();
     } catch (const request_error& error) {
         failure = error;
     } catch (const caller_left&) {
@@ -115,12 +116,12 @@
                answer_for(failure->kind()).ran == run_state::no ? audit::event::refused
                                                                 : audit::event::failed,
                &*failure);
-        co_await answer_error(request, answer, *failure, writer);
+        co_await write_error(request, answer, *failure, writer);
     }
 }
 
-asio::awaitable<void> caller_api::answer_error(const call& request, const caller_answer& answer,
-                                               const request_error& error, http::response_writer& writer) {
+asio::awaitable<void> caller_api::write_error(const call& request, const caller_answer& answer,
+                                              const request_error& error, http::response_writer& writer) {
     m_context.metrics.failed(error.kind());
     if (!answer.has_begun()) {
         co_await writer.write(error_response(error, request.id));
--- a/src/entry/caller_api.hpp
+++ b/src/entry/caller_api.hpp
@@ -31,8 +31,8 @@
 private:
     boost::asio::awaitable<void> handle_call(const http::request& received, http::response_writer& writer);
     boost::asio::awaitable<void> run(call& request, http::response_writer& writer);
-    boost::asio::awaitable<void> answer_error(const call& request, const caller_answer& answer,
-                                              const request_error& error, http::response_writer& writer);
+    boost::asio::awaitable<void> write_error(const call& request, const caller_answer& answer,
+                                             const request_error& error, http::response_writer& writer);
     [[nodiscard]] http::response list_models(const http::request& received) const;
     void record(const call& request, audit::event what, const request_error* error);
 
--- a/src/entry/request_run.cpp
+++ b/src/entry/request_run.cpp
@@ -162,7 +162,7 @@
     if (m_context.configuration.revision() == m_call.configuration->revision) {
         return false;
     }
-    renew_call(m_call, m_context.configuration.current());
+    update_call(m_call, m_context.configuration.current());
     return true;
 }
 
