--- a/src/entry/claim_store.cpp
+++ b/src/entry/claim_store.cpp
@@ -28,7 +28,7 @@
 
 namespace {
 
-constexpr std::size_t most_in_transaction = 100;
+constexpr std::size_t max_transaction_changes = 100;
 /// Changes that no request waits for are written together with the next claim, or after this time.
 constexpr std::chrono::milliseconds background_window{200};
 
@@ -61,20 +61,24 @@
 /// Invariants: `waiting` and the changes in it are accessed only on the strand. Only one transaction is in
 /// progress at a time; changes that are requested during it share the next transaction.
 struct claim_store::state : std::enable_shared_from_this<claim_store::state> {
-    state(const asio::any_io_executor& executor, store::table& given, std::chrono::milliseconds wait,
-          std::chrono::milliseconds most)
-        : strand(asio::make_strand(executor)), table(given), window(wait), limit(most), pause(strand) {}
+    state(const asio::any_io_executor& executor, store::table& platform_table,
+          std::chrono::milliseconds collect_window, std::chrono::milliseconds write_limit)
+        : strand(asio::make_strand(executor)),
+          table(platform_table),
+          window(collect_window),
+          limit(write_limit),
+          collect_timer(strand) {}
 
     asio::awaitable<change_pointer> submit(std::string key, std::uint64_t expected,
                                            std::optional<std::string> value);
     void submit_in_background(std::string key, std::uint64_t expected, std::optional<std::string> value);
     void enqueue(change_pointer change);
     asio::awaitable<void> flush();
-    asio::awaitable<void> gather();
+    asio::awaitable<void> wait_for_changes();
     [[nodiscard]] bool has_urgent() const;
     std::vector<change_pointer> take_batch();
     asio::awaitable<void> commit(const std::vector<change_pointer>& batch);
-    void settle(const std::vector<change_pointer>& batch, const store::transaction_result& result);
+    void set_outcomes(const std::vector<change_pointer>& batch, const store::transaction_result& result);
     asio::awaitable<claim_result> resolve(std::string key, const claim& wanted, bool effect_unknown);
     static void finish(row_change& change, change_outcome outcome);
 
@@ -83,9 +87,9 @@
     std::chrono::milliseconds window;
     std::chrono::milliseconds limit;
     std::deque<change_pointer> waiting;
-    asio::steady_timer pause;
-    bool can_be_hurried = false;        ///< `pause` is running and an urgent change may cancel it
-    std::atomic<bool> flushing = false; ///< the coroutine flush() is running
+    asio::steady_timer collect_timer;
+    bool is_background_wait = false;       ///< `collect_timer` is running and an urgent change may cancel it
+    std::atomic<bool> is_flushing = false; ///< the coroutine flush() is running
 };
 
 void claim_store::state::finish(row_change& change, change_outcome outcome) {
@@ -96,10 +100,10 @@
 void claim_store::state::enqueue(change_pointer change) {
     const bool is_urgent = change->is_urgent;
     waiting.push_back(std::move(change));
-    if (!flushing.exchange(true)) {
+    if (!is_flushing.exchange(true)) {
         asio::co_spawn(strand, flush(), asio::detached);
-    } else if (is_urgent && can_be_hurried) {
-        pause.cancel();
+    } else if (is_urgent && is_background_wait) {
+        collect_timer.cancel();
     }
 }
 
@@ -109,17 +113,17 @@
 
 /// Waits so that several changes can share a transaction: `background_window` as long as no request waits for
 /// one of them, and then `window`, which is a few milliseconds, once a request does.
-asio::awaitable<void> claim_store::state::gather() {
+asio::awaitable<void> claim_store::state::wait_for_changes() {
     boost::system::error_code ignored;
     if (!has_urgent()) {
-        can_be_hurried = true;
-        pause.expires_after(background_window);
-        co_await pause.async_wait(asio::redirect_error(asio::use_awaitable, ignored));
-        can_be_hurried = false;
+        is_background_wait = true;
+        collect_timer.expires_after(background_window);
+        co_await collect_timer.async_wait(asio::redirect_error(asio::use_awaitable, ignored));
+        is_background_wait = false;
     }
     if (has_urgent()) {
-        pause.expires_after(window);
-        co_await pause.async_wait(asio::redirect_error(asio::use_awaitable, ignored));
+        collect_timer.expires_after(window);
+        co_await collect_timer.async_wait(asio::redirect_error(asio::use_awaitable, ignored));
     }
 }
 
@@ -127,10 +131,10 @@
 asio::awaitable<void> claim_store::state::flush() {
     const auto self = shared_from_this();
     while (!waiting.empty()) {
-        co_await gather();
+        co_await wait_for_changes();
         co_await commit(take_batch());
     }
-    flushing.store(false);
+    is_flushing.store(false);
 }
 
 /// Removes the changes of the next transaction from `waiting`, urgent ones first. Two changes of one row
@@ -141,7 +145,7 @@
     std::set<std::string_view> keys;
     std::ranges::partition(waiting, [](const change_pointer& change) { return change->is_urgent; });
     for (auto& change : waiting) {
-        const bool fits = batch.size() < most_in_transaction && keys.insert(change->key).second;
+        const bool fits = batch.size() < max_transaction_changes && keys.insert(change->key).second;
         if (fits) {
             batch.push_back(std::move(change));
         } else {
@@ -171,7 +175,7 @@
                                                                  : change_outcome::unknown;
     }
     if (!failure) {
-        settle(batch, result);
+        set_outcomes(batch, result);
         co_return;
     }
     for (const auto& change : batch) {
@@ -181,8 +185,8 @@
 
 /// Sets the outcome of each change of a transaction. A transaction is applied completely or not at all: when
 /// rows had another version than expected, the remaining changes are queued again without them.
-void claim_store::state::settle(const std::vector<change_pointer>& batch,
-                                const store::transaction_result& result) {
+void claim_store::state::set_outcomes(const std::vector<change_pointer>& batch,
+                                      const store::transaction_result& result) {
     for (const auto& change : batch | std::views::reverse) {
         if (result.committed) {
             change->version = result.version;
@@ -240,9 +244,9 @@
     }
     auto current = decode_claim(*row);
     if (current.dispatch == wanted.dispatch && effect_unknown) {
-        co_return claim_taken{current.version};
+        co_return claim_written{current.version};
     }
-    co_return claim_held{std::move(current)};
+    co_return claim_conflict{std::move(current)};
 }
 
 claim_store::claim_store(asio::any_io_executor executor, store::table& table,
@@ -251,38 +255,38 @@
 
 claim_store::~claim_store() = default;
 
-asio::awaitable<claim_result> claim_store::take(std::string workspace, std::string key, claim wanted) {
-    const auto shared = m_state;
+asio::awaitable<claim_result> claim_store::try_claim(std::string workspace, std::string key, claim wanted) {
+    const auto shared_state = m_state;
     const auto name = claim_key(workspace, key);
-    const auto change = co_await shared->submit(name, wanted.version, encode_claim(wanted));
+    const auto change = co_await shared_state->submit(name, wanted.version, encode_claim(wanted));
     switch (change->outcome) {
     case change_outcome::committed:
-        co_return claim_taken{change->version};
+        co_return claim_written{change->version};
     case change_outcome::conflict:
-        co_return co_await shared->resolve(name, wanted, false);
+        co_return co_await shared_state->resolve(name, wanted, false);
     case change_outcome::unknown:
     case change_outcome::waiting: // the time limit has passed and the transaction is still in progress
-        co_return co_await shared->resolve(name, wanted, true);
+        co_return co_await shared_state->resolve(name, wanted, true);
     case change_outcome::refused:
         break;
     }
-    throw request_error(error_kind::platform_unavailable, {}, shared->limit);
+    throw request_error(error_kind::platform_unavailable, {}, shared_state->limit);
 }
 
 asio::awaitable<std::optional<claim>> claim_store::read(std::string workspace, std::string key) {
-    std::optional<claim> standing;
+    std::optional<claim> existing;
     try {
         const auto row = co_await m_state->table.read(claim_key(workspace, key));
         if (row) {
-            standing = decode_claim(*row);
+            existing = decode_claim(*row);
         }
     } catch (const store::store_error&) {
         // The table can't be read, so whether there is a claim stays unknown.
     }
-    co_return standing;
+    co_return existing;
 }
 
-void claim_store::note_finished(std::string workspace, std::string key, claim finished) {
+void claim_store::record_finished(std::string workspace, std::string key, claim finished) {
     finished.state = claim_state::finished;
     m_state->submit_in_background(claim_key(workspace, key), finished.version, encode_claim(finished));
 }
@@ -292,7 +296,7 @@
 }
 
 bool claim_store::is_idle() const noexcept {
-    return !m_state->flushing.load();
+    return !m_state->is_flushing.load();
 }
 
 } // namespace borageford::entry
--- a/src/entry/request_claim.cpp
+++ b/src/entry/request_claim.cpp
@@ -10,7 +10,7 @@
 
 namespace asio = boost::asio;
 
-asio::awaitable<std::optional<claim>> request_claim::take(const granted_place& place) {
+asio::awaitable<std::optional<claim>> request_claim::try_claim(const granted_place& place) {
     if (m_call.is_idempotent) {
         co_return std::nullopt;
     }
@@ -21,13 +21,13 @@
     m_claim.incarnation = place.incarnation;
     m_claim.state = claim_state::claimed;
     m_claim.time = claim_time_now();
-    auto result = co_await m_store.take(m_call.workspace->name, m_call.idempotency_key, m_claim);
-    if (const auto* taken = std::get_if<claim_taken>(&result)) {
-        m_claim.version = taken->version;
+    auto result = co_await m_store.try_claim(m_call.workspace->name, m_call.idempotency_key, m_claim);
+    if (const auto* written = std::get_if<claim_written>(&result)) {
+        m_claim.version = written->version;
         m_is_adopted = false;
         co_return std::nullopt;
     }
-    co_return std::move(std::get<claim_held>(result).current);
+    co_return std::move(std::get<claim_conflict>(result).current);
 }
 
 asio::awaitable<std::optional<claim>> request_claim::find_earlier() {
@@ -55,7 +55,7 @@
 
 void request_claim::finish() {
     if (m_claim.version != 0 && m_claim.state != claim_state::finished) {
-        m_store.note_finished(m_call.workspace->name, m_call.idempotency_key, m_claim);
+        m_store.record_finished(m_call.workspace->name, m_call.idempotency_key, m_claim);
     }
     m_claim.version = 0;
 }
--- a/src/entry/request_claim.hpp
+++ b/src/entry/request_claim.hpp
@@ -22,7 +22,7 @@
     /// Claims the key for a start at this place. Returns nothing when the start may be sent, and otherwise
     /// the other claim that already holds the key. Throws request_error(platform_unavailable) when the table
     /// can't be reached.
-    boost::asio::awaitable<std::optional<claim>> take(const granted_place& place);
+    boost::asio::awaitable<std::optional<claim>> try_claim(const granted_place& place);
 
     /// Reads the claim of the key from the table. Returns nothing if there is none, or if this run knows of
     /// one already.
--- a/src/entry/request_run.cpp
+++ b/src/entry/request_run.cpp
@@ -209,7 +209,7 @@
 /// Claims the idempotency key and returns whether this run may send the start. If it may not, the run that
 /// holds the claim has been joined.
 asio::awaitable<bool> request_run::claim_before_start(const granted_place& place) {
-    const auto existing = co_await m_claim.take(place);
+    const auto existing = co_await m_claim.try_claim(place);
     if (existing) {
         join_claimed_run(*existing);
         co_return false;
