--- a/src/entry/claim_sweeper.cpp
+++ b/src/entry/claim_sweeper.cpp
@@ -13,12 +13,15 @@
 namespace asio = boost::asio;
 
 struct claim_sweeper::state : std::enable_shared_from_this<claim_sweeper::state> {
-    state(asio::any_io_executor given, timer_service& service, store::table& rows,
-          claim_sweeper_settings chosen)
-        : executor(std::move(given)), timers(service), table(rows), settings(chosen) {}
+    state(asio::any_io_executor sweep_executor, timer_service& timer_provider, store::table& claim_table,
+          claim_sweeper_settings sweep_settings)
+        : executor(std::move(sweep_executor)),
+          timers(timer_provider),
+          table(claim_table),
+          settings(sweep_settings) {}
 
     asio::awaitable<void> sweep();
-    [[nodiscard]] bool is_over(const store::row& row) const;
+    [[nodiscard]] bool is_expired(const store::row& row) const;
 
     asio::any_io_executor executor;
     timer_service& timers;
@@ -27,7 +30,7 @@
     timer_subscription timer;
 };
 
-bool claim_sweeper::state::is_over(const store::row& row) const {
+bool claim_sweeper::state::is_expired(const store::row& row) const {
     try {
         const auto retention = std::chrono::duration_cast<std::chrono::seconds>(settings.retention);
         return claim_time_now() - decode_claim(row).time > retention.count();
@@ -41,10 +44,10 @@
 asio::awaitable<void> claim_sweeper::state::sweep() {
     const auto self = shared_from_this();
     try {
-        const auto rows = co_await table.scan(claim_prefix, random_claim_position(), settings.page);
+        const auto rows = co_await table.scan(claim_prefix, random_claim_position(), settings.page_size);
         store::transaction changes;
         for (const auto& row : rows) {
-            if (is_over(row)) {
+            if (is_expired(row)) {
                 // If a row has been rewritten in the meantime, its version differs and the whole transaction
                 // has no effect.
                 changes.conditions.push_back({row.key, row.version});
--- a/src/entry/claim_sweeper.hpp
+++ b/src/entry/claim_sweeper.hpp
@@ -15,7 +15,7 @@
 struct claim_sweeper_settings {
     std::chrono::milliseconds retention{std::chrono::hours(24)}; ///< claims older than this are removed
     std::chrono::milliseconds period{std::chrono::minutes(1)};   ///< time between two sweeps
-    std::size_t page = 200;                                      ///< rows read in one sweep
+    std::size_t page_size = 200;                                 ///< rows read in one sweep
 };
 
 /// Periodically reads one page of claims from a random position and removes the old ones. Claims are removed
--- a/src/entry/crash_watch.cpp
+++ b/src/entry/crash_watch.cpp
@@ -23,12 +23,12 @@
 } // namespace
 
 struct crash_watch::state : std::enable_shared_from_this<crash_watch::state> {
-    state(asio::any_io_executor given, timer_service& service, store::table& rows)
-        : executor(std::move(given)), timers(service), table(rows) {}
+    state(asio::any_io_executor reader_executor, timer_service& timer_provider, store::table& mark_table)
+        : executor(std::move(reader_executor)), timers(timer_provider), table(mark_table) {}
 
     asio::awaitable<void> read_all();
-    void take_row(const store::row& row, std::set<std::uint64_t>& standing);
-    void drop_released(const std::set<std::uint64_t>& standing);
+    void record_row(const store::row& row, std::set<std::uint64_t>& current_rows);
+    void release_missing(const std::set<std::uint64_t>& current_rows);
 
     asio::any_io_executor executor;
     timer_service& timers;
@@ -38,16 +38,16 @@
 
     mutable std::mutex mutex;
     policy::quarantine quarantine; ///< guarded by mutex
-    std::set<std::uint64_t>
-        at_table; ///< fingerprints with a row when the table was last read; guarded by mutex
+    /// Fingerprints with a row when the table was last read. Guarded by mutex.
+    std::set<std::uint64_t> known_rows;
 };
 
-void crash_watch::state::take_row(const store::row& row, std::set<std::uint64_t>& standing) {
+void crash_watch::state::record_row(const store::row& row, std::set<std::uint64_t>& current_rows) {
     std::uint64_t fingerprint = 0;
     if (!marks::parse_key(row.key, fingerprint)) {
         return;
     }
-    standing.insert(fingerprint);
+    current_rows.insert(fingerprint);
     const auto now = steady_clock::now();
     const std::scoped_lock lock(mutex);
     for (const auto& mark : marks::decode_row(row.value)) {
@@ -56,31 +56,31 @@
 }
 
 /// Ends the quarantine of requests whose row has disappeared from the table, which means that an operator
-/// released them. `standing` holds the fingerprints that have a row now.
-void crash_watch::state::drop_released(const std::set<std::uint64_t>& standing) {
+/// released them. `current_rows` holds the fingerprints that have a row now.
+void crash_watch::state::release_missing(const std::set<std::uint64_t>& current_rows) {
     const std::scoped_lock lock(mutex);
-    for (const auto fingerprint : at_table) {
-        if (!standing.contains(fingerprint)) {
+    for (const auto fingerprint : known_rows) {
+        if (!current_rows.contains(fingerprint)) {
             quarantine.release(fingerprint);
         }
     }
-    at_table = standing;
+    known_rows = current_rows;
 }
 
 asio::awaitable<void> crash_watch::state::read_all() {
     const auto self = shared_from_this();
     try {
-        std::set<std::uint64_t> standing;
+        std::set<std::uint64_t> current_rows;
         std::string after;
-        for (bool is_last = false; !is_last;) {
+        for (bool is_last_page = false; !is_last_page;) {
             const auto rows = co_await table.scan(marks::key_prefix, after, scan_limit);
             for (const auto& row : rows) {
-                take_row(row, standing);
+                record_row(row, current_rows);
                 after = row.key;
             }
-            is_last = rows.size() < scan_limit;
+            is_last_page = rows.size() < scan_limit;
         }
-        drop_released(standing);
+        release_missing(current_rows);
     } catch (const std::exception&) {
         // The platform can't be reached, or another version of this program wrote a row: the marks known so
         // far stay in force.
@@ -106,7 +106,7 @@
     read();
 }
 
-bool crash_watch::take(const wire::crash_mark_message& mark) {
+bool crash_watch::record(const wire::crash_mark_message& mark) {
     const std::scoped_lock lock(m_state->mutex);
     return m_state->quarantine.record_mark(mark.fingerprint, mark.backend_server, wire::from_wire(mark.mark),
                                            steady_clock::now());
--- a/src/entry/crash_watch.hpp
+++ b/src/entry/crash_watch.hpp
@@ -33,7 +33,7 @@
 
     /// Records a mark that a sidecar sent. Returns whether the mark was new; the same mark arrives from
     /// several peers.
-    bool take(const wire::crash_mark_message& mark);
+    bool record(const wire::crash_mark_message& mark);
 
     /// How many times a backend server is known to have died while the request with this fingerprint ran.
     [[nodiscard]] std::size_t marks(std::uint64_t fingerprint) const;
--- a/src/entry/entry_process.cpp
+++ b/src/entry/entry_process.cpp
@@ -246,7 +246,7 @@
 void entry_process::take_peer_message(const std::string& backend_server, wire::envelope& received,
                                       wire::peer_connection& connection) {
     if (const auto* mark = std::get_if<wire::crash_mark_message>(&received.content)) {
-        if (m_crashes.take(*mark)) {
+        if (m_crashes.record(*mark)) {
             pass_mark_on(*mark);
         }
         m_context.prefixes.forget_server(hash_bytes(backend_server));
