--- a/src/entry/entry_process.cpp
+++ b/src/entry/entry_process.cpp
@@ -187,7 +187,7 @@
         admin::backend_server_state state;
         state.name = name;
         state.is_connected = link->is_connected();
-        state.is_leaving = link->is_leaving();
+        state.is_leaving = link->is_shutting_down();
         if (const auto load = link->load()) {
             state.report_age = std::chrono::duration_cast<milliseconds>(now - load->reported);
             state.queued_requests = load->queued_requests;
--- a/src/entry/offer_round.cpp
+++ b/src/entry/offer_round.cpp
@@ -88,7 +88,7 @@
 void offer_round::plan() {
     m_candidates = server_directory::find(*m_table, m_call.target, m_call.is_service);
     std::erase_if(m_candidates, [](const candidate& server) {
-        return server.link->is_leaving() || server.link->is_unreachable();
+        return server.link->is_shutting_down() || server.link->is_unreachable();
     });
     const auto& common = m_context.settings.common;
     policy::placement_request request;
@@ -206,7 +206,7 @@
     auto lookup_offer = make_offer(m_lookup->dispatch);
     lookup_offer.lookup_only = true;
     lookup_offer.prefix_hashes.clear();
-    chosen->link->send_for(m_lookup->dispatch, m_events, std::move(lookup_offer));
+    chosen->link->send_for_dispatch(m_lookup->dispatch, m_events, std::move(lookup_offer));
 }
 
 bool offer_round::is_lookup(const dispatch_id& dispatch) const noexcept {
@@ -259,7 +259,7 @@
     record(audit::event::offered, dispatch, place.backend_server);
     const auto link = place.link;
     m_open_offers.emplace(dispatch, std::move(place));
-    link->send_for(dispatch, m_events, make_offer(dispatch));
+    link->send_for_dispatch(dispatch, m_events, make_offer(dispatch));
 }
 
 std::optional<place> offer_round::handle(const dispatch_event& event) {
@@ -354,7 +354,7 @@
         withdraw_all(); // a quarantine holds for all servers, so one such refusal is enough
         throw request_error(kind, {}, retry_after);
     }
-    found->second.link->forget(dispatch);
+    found->second.link->remove_listener(dispatch);
     m_open_offers.erase(found);
     if (!m_refusal || is_more_informative(kind, *m_refusal)) {
         m_refusal = kind;
@@ -390,7 +390,7 @@
         withdrawal.dispatch = wire::to_wire(dispatch);
         withdrawal.started_at = started_at;
         withdrawal.running_dispatch = wire::to_wire(running);
-        offer.link->forget(dispatch);
+        offer.link->remove_listener(dispatch);
         offer.link->send_if_connected(withdrawal);
         m_context.metrics.withdrawn();
     }
@@ -399,7 +399,7 @@
         withdrawal.dispatch = wire::to_wire(lookup->dispatch);
         withdrawal.started_at = started_at;
         withdrawal.running_dispatch = wire::to_wire(running);
-        lookup->link->forget(lookup->dispatch);
+        lookup->link->remove_listener(lookup->dispatch);
         lookup->link->send_if_connected(withdrawal);
     }
 }
--- a/src/entry/request_run.cpp
+++ b/src/entry/request_run.cpp
@@ -198,7 +198,7 @@
     }
     wire::withdraw_message withdrawal;
     withdrawal.dispatch = wire::to_wire(place.dispatch);
-    place.link->forget(place.dispatch);
+    place.link->remove_listener(place.dispatch);
     place.link->send_if_connected(withdrawal);
     if (refusal) {
         throw *refusal;
@@ -262,7 +262,7 @@
     m_context.metrics.started();
     m_context.metrics.queue_wait(m_call, steady_clock::now() - m_call.received);
     record(audit::event::started, *m_started);
-    place.link->send_for(place.dispatch, m_events, std::move(start));
+    place.link->send_for_dispatch(place.dispatch, m_events, std::move(start));
 }
 
 void request_run::attach() {
@@ -271,7 +271,7 @@
     attach.incarnation = wire::to_wire(m_started->incarnation);
     attach.offset = m_answer.received();
     attach.started_ms_ago = static_cast<std::uint32_t>(age_of(m_started->started).count());
-    m_started->link->send_for(m_started->dispatch, m_events, attach);
+    m_started->link->send_for_dispatch(m_started->dispatch, m_events, attach);
 }
 
 asio::awaitable<request_run::wait_result> request_run::wait_for_answer() {
@@ -325,7 +325,7 @@
         wire::abandon_message abandon;
         abandon.dispatch = wire::to_wire(m_started->dispatch);
         m_started->link->send_if_connected(abandon);
-        m_started->link->forget(m_started->dispatch);
+        m_started->link->remove_listener(m_started->dispatch);
         throw caller_left();
     }
     co_return std::nullopt;
@@ -350,7 +350,7 @@
 asio::awaitable<std::optional<request_run::wait_result>>
 request_run::handle_end(const wire::answer_end_message& end) {
     if (end.failed) {
-        m_started->link->forget(m_started->dispatch);
+        m_started->link->remove_listener(m_started->dispatch);
         std::optional<milliseconds> retry_after;
         if (end.retry_after_ms > 0) {
             retry_after = milliseconds(end.retry_after_ms);
@@ -367,7 +367,7 @@
     wire::acknowledge_message acknowledge;
     acknowledge.dispatch = wire::to_wire(m_started->dispatch);
     m_started->link->send_if_connected(acknowledge);
-    m_started->link->forget(m_started->dispatch);
+    m_started->link->remove_listener(m_started->dispatch);
     m_claim.finish();
     m_context.metrics.answered();
     m_context.metrics.total(m_call, steady_clock::now() - m_call.received);
@@ -395,7 +395,7 @@
         }
         break;
     }
-    m_started->link->forget(m_started->dispatch);
+    m_started->link->remove_listener(m_started->dispatch);
     if (m_is_joined && !m_call.is_idempotent && !m_claim.is_known()) {
         return give_up_dispatch(); // a reply, not a claim, named this dispatch; the claim is checked before a
                                    // new start
@@ -414,7 +414,7 @@
         m_call.resend_key = 0;
     }
     m_not_begun.reset();
-    m_started->link->forget(m_started->dispatch);
+    m_started->link->remove_listener(m_started->dispatch);
     return wait_result::not_begun;
 }
 
@@ -423,7 +423,7 @@
     if (m_answer.has_head()) {
         throw request_error(error_kind::outcome_unknown);
     }
-    m_started->link->forget(m_started->dispatch);
+    m_started->link->remove_listener(m_started->dispatch);
     m_not_begun = request_error(wire::error_kind_from_wire(refusal.error_kind), {},
                                 milliseconds(refusal.retry_after_ms));
     return wait_result::not_begun;
--- a/src/entry/sidecar_link.cpp
+++ b/src/entry/sidecar_link.cpp
@@ -19,7 +19,7 @@
 
 /// How long a sidecar gets no new offers after an attempt to connect to it has failed. Otherwise each new
 /// request would wait for a connection that is likely to fail again.
-constexpr std::chrono::milliseconds unreachable_time{500};
+constexpr std::chrono::milliseconds unreachable_duration{500};
 
 /// True for the messages that concern one dispatch; they are passed to the listener of that dispatch.
 template <typename Message>
@@ -33,10 +33,10 @@
     : m_context(context),
       m_vm(std::move(vm)),
       m_strand(asio::make_strand(context.executor)),
-      m_last_work(steady_clock::now()) {}
+      m_last_message_time(steady_clock::now()) {}
 
-void sidecar_link::send_for(const dispatch_id& dispatch, const std::shared_ptr<event_mailbox>& listener,
-                            wire::message content) {
+void sidecar_link::send_for_dispatch(const dispatch_id& dispatch,
+                                     const std::shared_ptr<event_mailbox>& listener, wire::message content) {
     ++m_sent_since_report;
     asio::dispatch(m_strand,
                    [self = shared_from_this(), dispatch, listener, held = std::move(content)]() mutable {
@@ -52,24 +52,24 @@
 }
 
 void sidecar_link::send_or_connect(wire::message content) {
-    m_last_work = steady_clock::now();
-    if (m_open) {
+    m_last_message_time = steady_clock::now();
+    if (m_is_open) {
         m_connection->send(std::move(content));
         return;
     }
-    m_waiting.push_back(std::move(content));
+    m_unsent_messages.push_back(std::move(content));
     connect();
 }
 
 void sidecar_link::send_if_connected(wire::message content) {
     asio::dispatch(m_strand, [self = shared_from_this(), held = std::move(content)]() mutable {
-        if (self->m_open) {
+        if (self->m_is_open) {
             self->m_connection->send(std::move(held));
         }
     });
 }
 
-void sidecar_link::forget(const dispatch_id& dispatch) {
+void sidecar_link::remove_listener(const dispatch_id& dispatch) {
     asio::dispatch(m_strand, [self = shared_from_this(), dispatch] { self->m_listeners.erase(dispatch); });
 }
 
@@ -82,10 +82,10 @@
 }
 
 void sidecar_link::connect() {
-    if (m_connecting || m_connection != nullptr) {
+    if (m_is_connecting || m_connection != nullptr) {
         return;
     }
-    m_connecting = true;
+    m_is_connecting = true;
     const auto socket = std::make_shared<tcp::socket>(m_strand);
     m_connect_timer = m_context.timers.after(m_strand, m_context.connect_limit, [socket] {
         boost::system::error_code ignored;
@@ -94,34 +94,36 @@
     socket->async_connect(m_vm.address,
                           asio::bind_executor(m_strand, [self = shared_from_this(),
                                                          socket](const boost::system::error_code& error) {
-                              self->m_connecting = false;
+                              self->m_is_connecting = false;
                               self->m_connect_timer.cancel();
                               if (error) {
-                                  self->lost("connect: " + error.message());
+                                  self->on_closed("connect: " + error.message());
                                   return;
                               }
-                              self->adopt(std::move(*socket));
+                              self->start_connection(std::move(*socket));
                           }));
 }
 
-void sidecar_link::adopt(tcp::socket socket) {
-    wire::peer_connection::callbacks calls;
+void sidecar_link::start_connection(tcp::socket socket) {
+    wire::peer_connection::callbacks callbacks;
     // The callbacks hold the link by a weak pointer, so that the connection doesn't keep a link alive that
     // server_directory has removed.
-    const auto with_link = [weak = weak_from_this()](auto action) {
+    const auto make_callback = [weak = weak_from_this()](auto action) {
         return [weak, action](auto&&... arguments) {
             if (const auto self = weak.lock()) {
                 action(*self, std::forward<decltype(arguments)>(arguments)...);
             }
         };
     };
-    calls.opened =
-        with_link([](sidecar_link& self, const wire::hello_message& hello) { self.opened(hello); });
-    calls.received = with_link([](sidecar_link& self, wire::envelope got) { self.deliver(std::move(got)); });
-    calls.closed = with_link([](sidecar_link& self, const std::string& reason) { self.lost(reason); });
-    calls.load_received =
-        with_link([](sidecar_link& self, const wire::load_report_message& load) { self.note_load(load); });
-    calls.has_work = [weak = weak_from_this()] {
+    callbacks.opened =
+        make_callback([](sidecar_link& self, const wire::hello_message& hello) { self.on_opened(hello); });
+    callbacks.received = make_callback(
+        [](sidecar_link& self, wire::envelope received) { self.handle_message(std::move(received)); });
+    callbacks.closed =
+        make_callback([](sidecar_link& self, const std::string& reason) { self.on_closed(reason); });
+    callbacks.load_received = make_callback(
+        [](sidecar_link& self, const wire::load_report_message& load) { self.record_load(load); });
+    callbacks.has_work = [weak = weak_from_this()] {
         const auto self = weak.lock();
         return self != nullptr && !self->m_listeners.empty();
     };
@@ -129,46 +131,46 @@
     hello.revision = m_context.revision();
     m_connection = std::make_shared<wire::peer_connection>(std::move(socket), m_strand, m_context.timers,
                                                            m_context.heartbeat, std::move(hello),
-                                                           m_context.revision, std::move(calls));
+                                                           m_context.revision, std::move(callbacks));
     m_connection->start();
 }
 
-void sidecar_link::opened(const wire::hello_message& hello) {
+void sidecar_link::on_opened(const wire::hello_message& hello) {
     {
         const std::scoped_lock lock(m_report_mutex);
         m_incarnation = wire::from_wire(hello.incarnation);
     }
-    m_leaving.store(hello.leaving);
+    m_is_shutting_down.store(hello.leaving);
     m_peer_revision.store(hello.revision);
-    m_failed_at.store(0);
-    m_open = true;
-    m_connected.store(true);
-    for (auto& content : std::exchange(m_waiting, {})) {
+    m_connect_failure_time.store(0);
+    m_is_open = true;
+    m_is_connected.store(true);
+    for (auto& content : std::exchange(m_unsent_messages, {})) {
         m_connection->send(std::move(content));
     }
     m_idle_timer = m_context.timers.every(m_strand, m_context.idle_limit / 2, [weak = weak_from_this()] {
         if (const auto self = weak.lock()) {
-            self->close_when_idle();
+            self->close_if_idle();
         }
     });
 }
 
-void sidecar_link::close_when_idle() {
+void sidecar_link::close_if_idle() {
     if (m_connection != nullptr && m_listeners.empty() &&
-        steady_clock::now() - m_last_work > m_context.idle_limit) {
+        steady_clock::now() - m_last_message_time > m_context.idle_limit) {
         m_connection->close("idle");
     }
 }
 
-void sidecar_link::lost(const std::string& reason) {
-    const bool was_open = std::exchange(m_open, false);
+void sidecar_link::on_closed(const std::string& reason) {
+    const bool was_open = std::exchange(m_is_open, false);
     m_connection.reset();
-    m_connected.store(false);
-    m_leaving.store(false);
+    m_is_connected.store(false);
+    m_is_shutting_down.store(false);
     m_idle_timer.cancel();
-    m_waiting.clear();
+    m_unsent_messages.clear();
     if (!was_open) {
-        m_failed_at.store(steady_clock::now().time_since_epoch().count());
+        m_connect_failure_time.store(steady_clock::now().time_since_epoch().count());
     }
     if (reason != "idle") {
         log::info("sidecar_connection_ended",
@@ -179,30 +181,30 @@
     }
 }
 
-void sidecar_link::pass_to_listener(const dispatch_id& dispatch, dispatch_event event) {
-    m_last_work = steady_clock::now();
+void sidecar_link::notify_listener(const dispatch_id& dispatch, dispatch_event event) {
+    m_last_message_time = steady_clock::now();
     const auto found = m_listeners.find(dispatch);
     if (found != m_listeners.end()) {
         found->second->push(std::move(event));
     }
 }
 
-void sidecar_link::deliver(wire::envelope received) {
+void sidecar_link::handle_message(wire::envelope received) {
     m_peer_revision.store(received.revision);
     std::visit(
         [this](auto& content) {
             using content_type = std::decay_t<decltype(content)>;
             if constexpr (std::is_same_v<content_type, wire::offer_reply_message>) {
                 if (content.load != nullptr) {
-                    note_load(*content.load);
+                    record_load(*content.load);
                 }
             }
             if constexpr (std::is_same_v<content_type, wire::leaving_message>) {
-                m_leaving.store(true);
+                m_is_shutting_down.store(true);
             }
             if constexpr (is_dispatch_event<content_type>) {
                 const auto dispatch = wire::from_wire(content.dispatch);
-                pass_to_listener(dispatch, std::move(content));
+                notify_listener(dispatch, std::move(content));
             }
         },
         received.content);
@@ -211,7 +213,7 @@
     }
 }
 
-void sidecar_link::note_load(const wire::load_report_message& report) {
+void sidecar_link::record_load(const wire::load_report_message& report) {
     m_sent_since_report.store(0);
     const std::scoped_lock lock(m_report_mutex);
     m_load = server_load{steady_clock::now(),
@@ -237,10 +239,10 @@
 }
 
 bool sidecar_link::is_unreachable() const noexcept {
-    const auto failed_at = m_failed_at.load();
+    const auto failed_at = m_connect_failure_time.load();
     return failed_at != 0 &&
            steady_clock::now() - steady_clock::time_point(steady_clock::duration(failed_at)) <
-               unreachable_time;
+               unreachable_duration;
 }
 
 } // namespace borageford::entry
