--- a/src/entry/caller_api.cpp
+++ b/src/entry/caller_api.cpp
@@ -31,12 +31,12 @@
     return http::make_response(status, "text/plain", std::move(text));
 }
 
-/// Waits until the caller closes its connection and then pushes caller_gone to the request's mailbox, unless
-/// the request has ended by then.
+/// Waits until the caller closes its connection and then pushes caller_disconnected to the request's mailbox,
+/// unless the request has ended by then.
 asio::awaitable<void> watch_caller(http::response_writer writer, std::weak_ptr<event_mailbox> events) {
     co_await writer.wait_for_disconnect();
     if (const auto still_waiting = events.lock()) {
-        still_waiting->push(caller_gone{});
+        still_waiting->push(caller_disconnected{});
     }
 }
 
@@ -106,7 +106,7 @@
         co_await run_in_progress.serve();
     } catch (const request_error& error) {
         failure = error;
-    } catch (const caller_left&) {
+    } catch (const caller_disconnected_error&) {
         m_context.metrics.caller_left();
         record(request, audit::event::cancelled, nullptr);
         writer.cut();
--- a/src/entry/dispatch_event.hpp
+++ b/src/entry/dispatch_event.hpp
@@ -17,12 +17,12 @@
 };
 
 /// The caller has closed its connection.
-struct caller_gone {};
+struct caller_disconnected {};
 
 /// An event for the coroutine of one request.
 using dispatch_event = std::variant<wire::offer_reply_message, wire::grant_message, wire::not_begun_message,
                                     wire::answer_head_message, wire::chunk_message, wire::answer_end_message,
-                                    wire::fate_message, connection_lost, caller_gone>;
+                                    wire::fate_message, connection_lost, caller_disconnected>;
 
 using event_mailbox = mailbox<dispatch_event>;
 
--- a/src/entry/entry_process.cpp
+++ b/src/entry/entry_process.cpp
@@ -39,7 +39,7 @@
 /// How often a stopping entry checks whether it is idle.
 constexpr milliseconds stop_check_period{20};
 /// How long a stopping entry waits until its last audit records have been written.
-constexpr milliseconds last_flush_limit{2000};
+constexpr milliseconds last_flush_timeout{2000};
 
 wire::hello_message make_hello(const entry_settings& settings, const identifier& incarnation) {
     wire::hello_message hello;
@@ -53,7 +53,7 @@
 }
 
 /// The response to a request that http::server refuses before it reaches a handler.
-http::response refuse_without_call(error_kind kind, std::string_view detail) {
+http::response make_refusal(error_kind kind, std::string_view detail) {
     return error_response(request_error(kind, std::string(detail)), identifier::random());
 }
 
@@ -69,16 +69,16 @@
     link_context make_link_context();
     admin::administration_context make_administration_context();
     admin::node_view make_node_view();
-    std::vector<admin::backend_server_state> show_servers();
+    std::vector<admin::backend_server_state> describe_servers();
     asio::awaitable<std::optional<admin::explanation>> explain(request_id request);
     asio::awaitable<admin::explanation> find_requests(admin::request_query query);
-    void take_peer_message(const std::string& backend_server, wire::envelope& received,
-                           wire::peer_connection& connection);
-    void pass_mark_on(const wire::crash_mark_message& mark);
+    void handle_peer_message(const std::string& backend_server, wire::envelope& received,
+                             wire::peer_connection& connection);
+    void forward_mark(const wire::crash_mark_message& mark);
     void rebuild_servers();
     boost::asio::awaitable<void> handle_admin(const http::request& received, http::response_writer& writer);
     void stop_gracefully();
-    void finish_when_idle();
+    void stop_if_idle();
 
     entry_settings m_settings;
     process::runtime m_runtime;
@@ -103,7 +103,7 @@
     http::server m_caller_server;
     http::server m_admin_server;
     timer_subscription m_stop_timer;
-    std::optional<steady_clock::time_point> m_stop_by;
+    std::optional<steady_clock::time_point> m_stop_deadline;
 };
 
 entry_process::entry_process(entry_settings settings)
@@ -136,13 +136,13 @@
           [this](const http::request& received, http::response_writer& writer) {
               return m_callers.handle(received, writer);
           },
-          refuse_without_call),
+          make_refusal),
       m_admin_server(
           m_runtime.executor(), {},
           [this](const http::request& received, http::response_writer& writer) {
               return handle_admin(received, writer);
           },
-          refuse_without_call) {}
+          make_refusal) {}
 
 link_context entry_process::make_link_context() {
     return {m_runtime.executor(),
@@ -154,7 +154,7 @@
             [this] { return m_configuration.revision(); },
             [this](const std::string& backend_server, wire::envelope& received,
                    wire::peer_connection& connection) {
-                take_peer_message(backend_server, received, connection);
+                handle_peer_message(backend_server, received, connection);
             }};
 }
 
@@ -166,7 +166,7 @@
 admin::node_view entry_process::make_node_view() {
     admin::node_view view;
     view.backend_servers = [this] {
-        return show_servers();
+        return describe_servers();
     };
     view.limits_in_use = [this] {
         return m_admissions.use();
@@ -180,7 +180,7 @@
     return view;
 }
 
-std::vector<admin::backend_server_state> entry_process::show_servers() {
+std::vector<admin::backend_server_state> entry_process::describe_servers() {
     const auto now = steady_clock::now();
     std::vector<admin::backend_server_state> states;
     for (const auto& [name, link] : m_servers.current()->by_server) {
@@ -243,11 +243,11 @@
     m_runtime.run([this] { stop_gracefully(); });
 }
 
-void entry_process::take_peer_message(const std::string& backend_server, wire::envelope& received,
-                                      wire::peer_connection& connection) {
+void entry_process::handle_peer_message(const std::string& backend_server, wire::envelope& received,
+                                        wire::peer_connection& connection) {
     if (const auto* mark = std::get_if<wire::crash_mark_message>(&received.content)) {
         if (m_crashes.record(*mark)) {
-            pass_mark_on(*mark);
+            forward_mark(*mark);
         }
         m_context.prefixes.forget_server(hash_bytes(backend_server));
         return;
@@ -259,7 +259,7 @@
 /// While the platform's table can't be reached, only the entries that are connected to the reporting sidecar
 /// learn of the mark; any other entry might place the request once more and cause a third backend server to
 /// crash. Marks are rare, so links without a connection are connected for them.
-void entry_process::pass_mark_on(const wire::crash_mark_message& mark) {
+void entry_process::forward_mark(const wire::crash_mark_message& mark) {
     for (const auto& [name, link] : m_servers.current()->by_server) {
         if (name != mark.backend_server) {
             link->send(mark);
@@ -294,19 +294,19 @@
 void entry_process::stop_gracefully() {
     m_callers.drain();
     m_caller_server.drain();
-    m_stop_by = steady_clock::now() + m_settings.stop_limit;
+    m_stop_deadline = steady_clock::now() + m_settings.stop_limit;
     m_stop_timer =
-        m_runtime.timers().every(m_runtime.executor(), stop_check_period, [this] { finish_when_idle(); });
+        m_runtime.timers().every(m_runtime.executor(), stop_check_period, [this] { stop_if_idle(); });
 }
 
-void entry_process::finish_when_idle() {
+void entry_process::stop_if_idle() {
     const bool is_idle = m_caller_server.requests_in_progress() == 0 && m_claims.is_idle();
-    if (!is_idle && steady_clock::now() < *m_stop_by) {
+    if (!is_idle && steady_clock::now() < *m_stop_deadline) {
         return;
     }
     m_stop_timer.cancel();
     log::info("entry_stopping", {{"in_progress", std::to_string(m_caller_server.requests_in_progress())}});
-    m_audit.flush(last_flush_limit, [this] { m_runtime.finish(); });
+    m_audit.flush(last_flush_timeout, [this] { m_runtime.finish(); });
 }
 
 } // namespace
--- a/src/entry/entry_settings.cpp
+++ b/src/entry/entry_settings.cpp
@@ -12,27 +12,27 @@
 
 constexpr std::array<std::string_view, 3> placements{"late_binding", "power_of_two", "round_robin"};
 constexpr std::array<std::string_view, 3> sections{"process", "platform", "entry"};
-constexpr milliseconds shortest{1};
-constexpr milliseconds longest{3'600'000};
-constexpr milliseconds longest_retention{std::chrono::hours(24 * 30)};
-constexpr std::uint64_t smallest_size = 1024;
-constexpr std::uint64_t largest_size = 64ULL * 1024 * 1024;
-constexpr std::int64_t most_connections = 1'000'000;
+constexpr milliseconds min_duration{1};
+constexpr milliseconds max_duration{3'600'000};
+constexpr milliseconds max_retention{std::chrono::hours(24 * 30)};
+constexpr std::uint64_t min_size = 1024;
+constexpr std::uint64_t max_size = 64ULL * 1024 * 1024;
+constexpr std::int64_t max_connections = 1'000'000;
 constexpr std::size_t hash_digits = 64;
 
-bool is_hash(std::string_view text) {
+bool is_sha256(std::string_view text) {
     return text.size() == hash_digits &&
            std::ranges::all_of(text, [](unsigned char c) { return std::isxdigit(c) != 0; });
 }
 
 void read_caller_limits(settings::section_reader& reader, http::server_limits& limits) {
-    limits.header_bytes = reader.size("header_limit", limits.header_bytes, smallest_size, largest_size);
-    limits.body_bytes = reader.size("body_limit", limits.body_bytes, smallest_size, largest_size);
-    limits.request_time = reader.duration("request_time", limits.request_time, shortest, longest);
-    limits.idle_time = reader.duration("caller_idle_time", limits.idle_time, shortest, longest);
-    limits.write_time = reader.duration("write_time", limits.write_time, shortest, longest);
+    limits.header_bytes = reader.size("header_limit", limits.header_bytes, min_size, max_size);
+    limits.body_bytes = reader.size("body_limit", limits.body_bytes, min_size, max_size);
+    limits.request_time = reader.duration("request_time", limits.request_time, min_duration, max_duration);
+    limits.idle_time = reader.duration("caller_idle_time", limits.idle_time, min_duration, max_duration);
+    limits.write_time = reader.duration("write_time", limits.write_time, min_duration, max_duration);
     limits.connections = static_cast<std::size_t>(
-        reader.number("connections", static_cast<std::int64_t>(limits.connections), 1, most_connections));
+        reader.number("connections", static_cast<std::int64_t>(limits.connections), 1, max_connections));
 }
 
 } // namespace
@@ -48,24 +48,26 @@
     result.admin_listen = reader.address("admin_listen");
     result.peers_listen = reader.address("peers_listen");
     result.admin_token_hash = reader.text("admin_token_sha256");
-    if (!result.admin_token_hash.empty() && !is_hash(result.admin_token_hash)) {
+    if (!result.admin_token_hash.empty() && !is_sha256(result.admin_token_hash)) {
         reader.complain("admin_token_sha256", "64 hexadecimal digits");
     }
     read_caller_limits(reader, result.callers);
     const auto placement = placements.at(reader.choice("placement", placements, 0));
     result.placement = policy::find_placement_policy(placement).value_or(policy::late_binding());
-    result.default_deadline = reader.duration("default_deadline", result.default_deadline, shortest, longest);
-    result.fate_limit = reader.duration("fate_limit", result.fate_limit, shortest, longest);
-    result.connect_limit = reader.duration("connect_limit", result.connect_limit, shortest, longest);
-    result.idle_connection = reader.duration("idle_connection", result.idle_connection, shortest, longest);
-    result.claim_window = reader.duration("claim_window", result.claim_window, milliseconds(0), longest);
-    result.claim_limit = reader.duration("claim_limit", result.claim_limit, shortest, longest);
-    result.claim_retention = reader.duration("claim_retention", result.claim_retention,
-                                             std::chrono::seconds(1), longest_retention);
+    result.default_deadline =
+        reader.duration("default_deadline", result.default_deadline, min_duration, max_duration);
+    result.fate_limit = reader.duration("fate_limit", result.fate_limit, min_duration, max_duration);
+    result.connect_limit = reader.duration("connect_limit", result.connect_limit, min_duration, max_duration);
+    result.idle_connection =
+        reader.duration("idle_connection", result.idle_connection, min_duration, max_duration);
+    result.claim_window = reader.duration("claim_window", result.claim_window, milliseconds(0), max_duration);
+    result.claim_limit = reader.duration("claim_limit", result.claim_limit, min_duration, max_duration);
+    result.claim_retention =
+        reader.duration("claim_retention", result.claim_retention, std::chrono::seconds(1), max_retention);
     result.claim_sweep_period =
-        reader.duration("claim_sweep_period", result.claim_sweep_period, shortest, longest);
-    result.stop_limit = reader.duration("stop_limit", result.stop_limit, shortest, longest);
-    result.answer_limit = reader.size("answer_limit", result.answer_limit, smallest_size, largest_size);
+        reader.duration("claim_sweep_period", result.claim_sweep_period, min_duration, max_duration);
+    result.stop_limit = reader.duration("stop_limit", result.stop_limit, min_duration, max_duration);
+    result.answer_limit = reader.size("answer_limit", result.answer_limit, min_size, max_size);
     reader.finish();
     return result;
 }
--- a/src/entry/fate_inquiry.cpp
+++ b/src/entry/fate_inquiry.cpp
@@ -7,7 +7,7 @@
 namespace {
 
 constexpr std::chrono::milliseconds first_delay{20};
-constexpr std::chrono::milliseconds longest_delay{1000};
+constexpr std::chrono::milliseconds max_delay{1000};
 
 } // namespace
 
@@ -16,7 +16,7 @@
         m_lost_since = now;
         m_backoff_delay = first_delay;
     } else {
-        m_backoff_delay = std::min<clock::duration>(m_backoff_delay * 2, longest_delay);
+        m_backoff_delay = std::min<clock::duration>(m_backoff_delay * 2, max_delay);
     }
     m_next_request_time = now + m_backoff_delay;
     return now - *m_lost_since <= m_limit;
--- a/src/entry/offer_round.cpp
+++ b/src/entry/offer_round.cpp
@@ -274,9 +274,9 @@
                        milliseconds(refusal->retry_after_ms));
     } else if (const auto* lost = std::get_if<connection_lost>(&event)) {
         handle_lost_connection(lost->dispatch);
-    } else if (std::holds_alternative<caller_gone>(event)) {
+    } else if (std::holds_alternative<caller_disconnected>(event)) {
         withdraw_all();
-        throw caller_left();
+        throw caller_disconnected_error();
     }
     return std::nullopt; // other messages belong to an earlier dispatch of the request and are ignored
 }
--- a/src/entry/offer_round.hpp
+++ b/src/entry/offer_round.hpp
@@ -51,7 +51,7 @@
     offer_round(entry_context& context, const call& request, std::shared_ptr<event_mailbox> events);
 
     /// Sends offers and waits for a place. Throws request_error, in which case the request has not run, and
-    /// caller_left.
+    /// caller_disconnected_error.
     boost::asio::awaitable<place> find_place();
 
     /// Withdraws all open offers. The withdrawals name the backend server and the dispatch with which the
--- a/src/entry/request_run.cpp
+++ b/src/entry/request_run.cpp
@@ -25,7 +25,7 @@
 /// How long a request waits for a newer revision before it is placed again.
 constexpr milliseconds revision_wait{50};
 /// How long a run waits for an event when it has no reason to wake up earlier, such as a request for a fate.
-constexpr std::chrono::hours longest_wait{24};
+constexpr std::chrono::hours max_event_wait{24};
 
 /// The assumed maximum difference between the clocks of two entries. A claim counts as older by this time.
 constexpr std::chrono::minutes max_clock_difference{1};
@@ -276,7 +276,7 @@
 
 asio::awaitable<request_run::wait_result> request_run::wait_for_answer() {
     for (;;) {
-        const auto until = m_fate_requests.next_request_time().value_or(steady_clock::now() + longest_wait);
+        const auto until = m_fate_requests.next_request_time().value_or(steady_clock::now() + max_event_wait);
         auto event = co_await m_events->receive(until);
         if (!event) {
             request_fate_again();
@@ -291,13 +291,13 @@
     }
 }
 
-/// True for events of the started dispatch and for caller_gone. The mailbox may still contain messages that
-/// answer earlier offers; they are ignored.
+/// True for events of the started dispatch and for caller_disconnected. The mailbox may still contain
+/// messages that answer earlier offers; they are ignored.
 bool request_run::is_relevant(const dispatch_event& event) const {
     return std::visit(
         [this](const auto& content) {
             using content_type = std::decay_t<decltype(content)>;
-            if constexpr (std::is_same_v<content_type, caller_gone>) {
+            if constexpr (std::is_same_v<content_type, caller_disconnected>) {
                 return true;
             } else if constexpr (std::is_same_v<content_type, connection_lost>) {
                 return content.dispatch == m_started->dispatch;
@@ -321,12 +321,12 @@
         co_return handle_not_begun(*refusal);
     } else if (std::holds_alternative<connection_lost>(event)) {
         handle_lost_connection();
-    } else if (std::holds_alternative<caller_gone>(event)) {
+    } else if (std::holds_alternative<caller_disconnected>(event)) {
         wire::abandon_message abandon;
         abandon.dispatch = wire::to_wire(m_started->dispatch);
         m_started->link->send_if_connected(abandon);
         m_started->link->remove_listener(m_started->dispatch);
-        throw caller_left();
+        throw caller_disconnected_error();
     }
     co_return std::nullopt;
 }
--- a/src/entry/request_run.hpp
+++ b/src/entry/request_run.hpp
@@ -22,7 +22,7 @@
 namespace borageford::entry {
 
 /// Thrown when the caller has closed its connection, so that no answer can be written.
-class caller_left : public std::exception {};
+class caller_disconnected_error : public std::exception {};
 
 /// A dispatch of the request that was started, by this run or by another run of the same request.
 struct started_dispatch {
@@ -45,7 +45,7 @@
                 std::shared_ptr<event_mailbox> events);
 
     /// Returns when the complete answer has been written to the caller. Throws request_error with the error
-    /// to answer, and caller_left.
+    /// to answer, and caller_disconnected_error.
     boost::asio::awaitable<void> serve();
 
 private:
--- a/src/entry/sidecar_link.cpp
+++ b/src/entry/sidecar_link.cpp
@@ -25,7 +25,7 @@
 template <typename Message>
 constexpr bool is_dispatch_event =
     std::is_constructible_v<dispatch_event, Message> && !std::is_same_v<Message, connection_lost> &&
-    !std::is_same_v<Message, caller_gone>;
+    !std::is_same_v<Message, caller_disconnected>;
 
 } // namespace
 
