--- a/tests/failure/test_2_whole_answers.cpp
+++ b/tests/failure/test_2_whole_answers.cpp
@@ -21,7 +21,8 @@
 
 /// Applies a fault to the first matching frame from the sidecar to the entry, and checks that the caller
 /// still gets the complete answer of a single run.
-void check_survives(cluster& system, const unit_matcher& where, fault what, const std::string& prompt) {
+void check_answer_survives(cluster& system, const unit_matcher& where, fault what,
+                           const std::string& prompt) {
     INFO(prompt);
     auto& link = *system.backend(0).link;
     link.arm(direction::down, where, what);
@@ -39,13 +40,13 @@
 TEST_CASE("2 whole answers: pieces lost, doubled, damaged and cut between sidecar and entry") {
     cluster system(one_engine());
     const auto chunk = is_message<wire::chunk_message>();
-    check_survives(system, chunk, fault::lose, "lost");
-    check_survives(system, chunk, fault::duplicate, "doubled");
-    check_survives(system, chunk, fault::corrupt, "damaged");
-    check_survives(system, chunk, fault::truncate, "cut in half");
-    check_survives(system, is_message<wire::answer_head_message>(), fault::duplicate, "head doubled");
-    check_survives(system, is_message<wire::answer_end_message>(), fault::duplicate, "end doubled");
-    check_survives(system, is_message<wire::answer_end_message>(), fault::truncate, "end cut in half");
+    check_answer_survives(system, chunk, fault::lose, "lost");
+    check_answer_survives(system, chunk, fault::duplicate, "doubled");
+    check_answer_survives(system, chunk, fault::corrupt, "damaged");
+    check_answer_survives(system, chunk, fault::truncate, "cut in half");
+    check_answer_survives(system, is_message<wire::answer_head_message>(), fault::duplicate, "head doubled");
+    check_answer_survives(system, is_message<wire::answer_end_message>(), fault::duplicate, "end doubled");
+    check_answer_survives(system, is_message<wire::answer_end_message>(), fault::truncate, "end cut in half");
 }
 
 // The connection to the engine breaks in the middle of a piece of the answer. The sidecar must resume at
@@ -97,11 +98,11 @@
     stream.wait_for_bytes(500);
     static_cast<void>(system.wait_for_run(whole));
     system.backend(0).server->kill();
-    const auto cut = stream.wait();
-    CHECK(cut.status == 200);
-    CHECK_FALSE(cut.is_whole);
-    CHECK_FALSE(has_done_mark(cut.body));
-    CHECK(cut.body.find("backend_failed") != std::string::npos);
+    const auto incomplete = stream.wait();
+    CHECK(incomplete.status == 200);
+    CHECK_FALSE(incomplete.is_whole);
+    CHECK_FALSE(has_done_mark(incomplete.body));
+    CHECK(incomplete.body.find("backend_failed") != std::string::npos);
     const auto refused = plain.wait();
     INFO(refused.body);
     CHECK(refused.status == 502);
@@ -131,8 +132,8 @@
     pending_call first(system.entry(0).callers, call);
     first.wait_for_bytes(500);
     system.entry(0).process->kill();
-    const auto cut = first.wait();
-    CHECK_FALSE(cut.is_whole);
+    const auto incomplete = first.wait();
+    CHECK_FALSE(incomplete.is_whole);
     check_whole_answer(system.send(1, call), call, 150);
     CHECK(system.runs_of(call) == 1);
 }
--- a/tests/failure/test_4_non_idempotent.cpp
+++ b/tests/failure/test_4_non_idempotent.cpp
@@ -67,13 +67,13 @@
     static_cast<void>(system.wait_for_run(call));
     system.backend(0).sidecar->kill();
     system.start_sidecar(0);
-    const auto told = first.wait();
-    INFO(told.status << ' ' << told.body);
-    CHECK(told.header("X-Ran") == "unknown");
+    const auto first_answer = first.wait();
+    INFO(first_answer.status << ' ' << first_answer.body);
+    CHECK(first_answer.header("X-Ran") == "unknown");
     for (std::size_t entry = 0; entry < 2; ++entry) {
-        const auto again = system.send(entry, call);
-        INFO(again.status << ' ' << again.body);
-        CHECK(again.header("X-Ran") == "unknown");
+        const auto resend_answer = system.send(entry, call);
+        INFO(resend_answer.status << ' ' << resend_answer.body);
+        CHECK(resend_answer.header("X-Ran") == "unknown");
     }
     CHECK(system.runs_of(call) == 1);
 }
@@ -97,9 +97,9 @@
     system.start_sidecar(0);
     system.entry(0).process->thaw();
     system.entry(1).process->thaw();
-    const auto told = first.wait();
-    INFO(told.status << ' ' << told.body);
-    CHECK(told.header("X-Ran") == "unknown");
+    const auto first_answer = first.wait();
+    INFO(first_answer.status << ' ' << first_answer.body);
+    CHECK(first_answer.header("X-Ran") == "unknown");
     CHECK(system.server_count(0, "total") == runs);
 }
 
--- a/tests/failure/test_operator_commands.cpp
+++ b/tests/failure/test_operator_commands.cpp
@@ -39,7 +39,7 @@
     }
 
     /// Whether the error output of the last command contains this text.
-    [[nodiscard]] bool has_complained(const std::string& text) const {
+    [[nodiscard]] bool has_printed_error(const std::string& text) const {
         return m_last_errors.find(text) != std::string::npos;
     }
 
@@ -89,13 +89,13 @@
     const auto plan = id_in(first.run({"plan", file}, "plan", 0));
     REQUIRE(bruno.confirm(bruno.plan(text + "[service otro]\n")).state == "accepted");
     static_cast<void>(first.run({"confirm", plan}, "", 3));
-    CHECK(first.has_complained("plan_conflict: revision 2 by bruno"));
+    CHECK(first.has_printed_error("plan_conflict: revision 2 by bruno"));
 
     const auto wrong = system.write_file("wrong.ini", "[tier high]\nrank = top\n").string();
     static_cast<void>(first.run({"check", wrong}, "", 2));
-    CHECK(first.has_complained("wrong.ini:2: tier high.rank: expected"));
+    CHECK(first.has_printed_error("wrong.ini:2: tier high.rank: expected"));
     static_cast<void>(first.run({"plan", wrong}, "", 2));
-    CHECK(first.has_complained("plan_invalid"));
+    CHECK(first.has_printed_error("plan_invalid"));
     static_cast<void>(first.run({"drain", "nadie"}, "", 2));
     static_cast<void>(first.run({"nonsense"}, "", 2));
 
@@ -105,8 +105,8 @@
 
     system.control_platform(R"({"outage": true})");
     static_cast<void>(first.run({"plan", file}, "", 1));
-    CHECK(first.has_complained("platform_unavailable"));
-    terminal nowhere(system, {boost::asio::ip::address_v4::loopback(), 1});
-    static_cast<void>(nowhere.run({"status"}, "", 1));
-    CHECK(nowhere.has_complained("Nothing was sent"));
+    CHECK(first.has_printed_error("platform_unavailable"));
+    terminal unreachable(system, {boost::asio::ip::address_v4::loopback(), 1});
+    static_cast<void>(unreachable.run({"status"}, "", 1));
+    CHECK(unreachable.has_printed_error("Nothing was sent"));
 }
--- a/tests/failure/test_stand_ins.cpp
+++ b/tests/failure/test_stand_ins.cpp
@@ -32,15 +32,15 @@
     proxied_engine engine;
     const auto request = with_header(make_completion("capitulo uno", {.tokens = 30}), "X-Request-Id", "r1");
     engine.proxy.arm(direction::down, contains("delta"), fault::truncate);
-    const auto cut = call(engine.proxy.address(), request);
+    const auto truncated = call(engine.proxy.address(), request);
     engine.proxy.wait_for_fault();
-    REQUIRE_FALSE(cut.is_whole);
-    const auto rest =
-        call(engine.address, {"GET", "/v1/streams/r1?offset=" + std::to_string(cut.body.size()), {}, {}});
-    REQUIRE(rest.is_whole);
-    const auto whole = cut.body + rest.body;
-    CHECK(text_of_stream(whole) == expected_text(request, 30));
-    CHECK(has_done_mark(whole));
+    REQUIRE_FALSE(truncated.is_whole);
+    const auto remainder = call(
+        engine.address, {"GET", "/v1/streams/r1?offset=" + std::to_string(truncated.body.size()), {}, {}});
+    REQUIRE(remainder.is_whole);
+    const auto joined = truncated.body + remainder.body;
+    CHECK(text_of_stream(joined) == expected_text(request, 30));
+    CHECK(has_done_mark(joined));
     const auto runs = fetch_text(engine.address, "/control/runs");
     CHECK(runs.find(R"("r1":1)") != std::string::npos);
 }
@@ -50,10 +50,10 @@
 TEST_CASE("stand-ins: the proxy drops data on an open connection while new ones work") {
     proxied_engine engine;
     engine.proxy.arm(direction::down, contains("200 OK"), fault::drop);
-    pending_call silent(engine.proxy.address(), {"GET", "/health", {}, {}});
+    pending_call unanswered(engine.proxy.address(), {"GET", "/health", {}, {}});
     engine.proxy.wait_for_fault();
     CHECK(call(engine.proxy.address(), {"GET", "/health", {}, {}}).status == 200);
-    CHECK_FALSE(silent.is_finished());
+    CHECK_FALSE(unanswered.is_finished());
 }
 
 // Bytes that the proxy held must be delivered on the same connection after their release.
