--- a/src/entry/entry_process.cpp
+++ b/src/entry/entry_process.cpp
@@ -94,7 +94,7 @@
     claim_store m_claims;
     claim_sweeper m_claim_sweeper;
     admission m_admissions;
-    crash_watch m_crashes;
+    crash_watch m_crash_marks;
     audit::recorder m_audit;
     entry_context m_context;
     caller_api m_callers;
@@ -123,11 +123,11 @@
       m_claims(m_runtime.executor(), m_table, m_settings.claim_window, m_settings.claim_limit),
       m_claim_sweeper(m_runtime.executor(), m_runtime.timers(), m_table,
                       {m_settings.claim_retention, m_settings.claim_sweep_period}),
-      m_crashes(m_runtime.executor(), m_runtime.timers(), m_table),
+      m_crash_marks(m_runtime.executor(), m_runtime.timers(), m_table),
       m_audit(m_runtime.executor(), m_runtime.timers(), m_objects,
               {.vm = m_settings.common.vm, .role = "entry", .flush_period = m_settings.common.audit_period}),
       m_context{m_settings,   m_configuration, m_servers, m_claims,
-                m_admissions, m_crashes,       m_metrics, m_audit},
+                m_admissions, m_crash_marks,   m_metrics, m_audit},
       m_callers(m_context),
       m_peer_listener(m_runtime.executor(), m_runtime.timers(), m_configuration, m_peer_identity),
       m_administration(make_administration_context(), make_node_view()),
@@ -230,7 +230,7 @@
     m_vms.start([this](const auto&) { rebuild_servers(); });
     m_audit.start();
     m_claim_sweeper.start();
-    m_crashes.start(m_settings.common.poll_period);
+    m_crash_marks.start(m_settings.common.poll_period);
     const auto callers = m_caller_server.listen(m_settings.callers_listen);
     const auto admin = m_admin_server.listen(m_settings.admin_listen);
     const auto peers = m_peer_listener.listen(m_settings.peers_listen);
@@ -246,7 +246,7 @@
 void entry_process::handle_peer_message(const std::string& backend_server, wire::envelope& received,
                                         wire::peer_connection& connection) {
     if (const auto* mark = std::get_if<wire::crash_mark_message>(&received.content)) {
-        if (m_crashes.record(*mark)) {
+        if (m_crash_marks.record(*mark)) {
             forward_mark(*mark);
         }
         m_context.prefixes.forget_server(hash_bytes(backend_server));
--- a/src/entry/offer_round.cpp
+++ b/src/entry/offer_round.cpp
@@ -103,7 +103,7 @@
     const auto holders = m_context.prefixes.find_holders(m_call.prefix_hashes);
     const auto placement_candidates = make_placement_candidates(m_candidates, holders, m_call.tier->rank);
     m_plan = policy::plan_placement(m_context.settings.placement, request, placement_candidates);
-    if (m_context.crashes.marks(m_call.fingerprint) > 0) {
+    if (m_context.crash_marks.marks(m_call.fingerprint) > 0) {
         plan_for_marked_request();
     }
 }
--- a/src/entry/request_run.cpp
+++ b/src/entry/request_run.cpp
@@ -73,7 +73,7 @@
 }
 
 asio::awaitable<void> request_run::serve_to_end() {
-    if (const auto left = m_context.crashes.quarantine_left(m_call.fingerprint)) {
+    if (const auto left = m_context.crash_marks.quarantine_left(m_call.fingerprint)) {
         throw request_error(error_kind::quarantined, {}, left);
     }
     for (;;) {
