--- a/src/entry/caller_api.cpp
+++ b/src/entry/caller_api.cpp
@@ -1,4 +1,4 @@
-// The callers' side of an entry.
+// Routes the HTTP requests of callers and writes the answers or errors.
 #include "entry/caller_api.hpp"
 
 #include "audit/request_identifier.hpp"
@@ -24,17 +24,19 @@
 
 namespace {
 
-constexpr std::chrono::milliseconds retry_elsewhere{1000};
+/// Retry-After for a caller that is refused while this entry drains; another entry can serve it.
+constexpr std::chrono::milliseconds draining_retry_after{1000};
 
-http::response plain(unsigned status, std::string text) {
+http::response make_text_response(unsigned status, std::string text) {
     return http::make_response(status, "text/plain", std::move(text));
 }
 
-/// Tells the run when its caller closes the connection, for as long as the run lives.
+/// Waits until the caller closes its connection and then pushes caller_disconnected to the request's mailbox,
+/// unless the request has ended by then.
 asio::awaitable<void> watch_caller(http::response_writer writer, std::weak_ptr<event_mailbox> events) {
     co_await writer.wait_for_disconnect();
     if (const auto still_waiting = events.lock()) {
-        still_waiting->push(caller_gone{});
+        still_waiting->push(caller_disconnected{});
     }
 }
 
@@ -49,10 +51,12 @@
 asio::awaitable<void> caller_api::handle(const http::request& received, http::response_writer& writer) {
     const auto path = http::path_of(received.target);
     if (path == "/healthz") {
-        co_await writer.write(plain(200, "alive\n"));
+        co_await writer.write(make_text_response(200, "alive\n"));
     } else if (path == "/readyz") {
-        // Named first: this compiler destroys the temporaries of a conditional twice within a co_await.
-        const auto answer = is_ready() ? plain(200, "ready\n") : plain(503, "not ready\n");
+        // The response needs a variable of its own: the compiler destroys the temporaries of a conditional
+        // expression twice when it stands inside a co_await expression.
+        const auto answer =
+            is_ready() ? make_text_response(200, "ready\n") : make_text_response(503, "not ready\n");
         co_await writer.write(answer);
     } else {
         co_await handle_call(received, writer);
@@ -60,14 +64,14 @@
 }
 
 asio::awaitable<void> caller_api::handle_call(const http::request& received, http::response_writer& writer) {
-    m_context.metrics.received();
+    m_context.metrics.count_received();
     const auto id = audit::make_request_identifier(m_context.settings.common.vm);
     std::optional<request_error> refusal;
     std::optional<call> request;
     std::optional<http::response> models;
     try {
         if (is_draining()) {
-            throw request_error(error_kind::draining, {}, retry_elsewhere);
+            throw request_error(error_kind::draining, {}, draining_retry_after);
         }
         if (http::path_of(received.target) == "/v1/models") {
             models = list_models(received);
@@ -79,7 +83,7 @@
         refusal = error;
     }
     if (refusal) {
-        m_context.metrics.failed(refusal->kind());
+        m_context.metrics.count_failed(refusal->kind());
         co_await writer.write(error_response(*refusal, id));
     } else if (models) {
         co_await writer.write(*models);
@@ -95,15 +99,15 @@
     asio::co_spawn(executor, watch_caller(writer, events), asio::detached);
 
     caller_answer answer(request, writer, m_context.settings.answer_limit);
-    request_run serving(m_context, request, answer, events);
+    request_run run_in_progress(m_context, request, answer, events);
     std::optional<request_error> failure;
     try {
         const auto permit = m_context.admissions.admit(request);
-        co_await serving.serve();
+        co_await run_in_progress.serve();
     } catch (const request_error& error) {
         failure = error;
-    } catch (const caller_left&) {
-        m_context.metrics.caller_left();
+    } catch (const caller_disconnected_error&) {
+        m_context.metrics.count_caller_left();
         record(request, audit::event::cancelled, nullptr);
         writer.cut();
     }
@@ -112,18 +116,19 @@
                answer_for(failure->kind()).ran == run_state::no ? audit::event::refused
                                                                 : audit::event::failed,
                &*failure);
-        co_await answer_error(request, answer, *failure, writer);
+        co_await write_error(request, answer, *failure, writer);
     }
 }
 
-asio::awaitable<void> caller_api::answer_error(const call& request, const caller_answer& answer,
-                                               const request_error& error, http::response_writer& writer) {
-    m_context.metrics.failed(error.kind());
+asio::awaitable<void> caller_api::write_error(const call& request, const caller_answer& answer,
+                                              const request_error& error, http::response_writer& writer) {
+    m_context.metrics.count_failed(error.kind());
     if (!answer.has_begun()) {
         co_await writer.write(error_response(error, request.id));
         co_return;
     }
-    // The stream has begun: its last event says why it ends, and the missing end marker that it isn't whole.
+    // The stream has begun, so no error response is possible. Its last event states the error, and the
+    // connection is aborted without an end marker so that the caller sees that the answer is incomplete.
     co_await writer.write_piece(error_event(error, request.id));
     writer.cut();
 }
--- a/src/entry/claim_sweeper.cpp
+++ b/src/entry/claim_sweeper.cpp
@@ -1,4 +1,4 @@
-// Reading pages of claims and removing the old ones.
+// Reads pages of claims and removes the old ones.
 #include "entry/claim_sweeper.hpp"
 
 #include "entry/claim_row.hpp"
@@ -13,12 +13,15 @@
 namespace asio = boost::asio;
 
 struct claim_sweeper::state : std::enable_shared_from_this<claim_sweeper::state> {
-    state(asio::any_io_executor given, timer_service& service, store::table& rows,
-          claim_sweeper_settings chosen)
-        : executor(std::move(given)), timers(service), table(rows), settings(chosen) {}
+    state(asio::any_io_executor sweep_executor, timer_service& timer_provider, store::table& claim_table,
+          claim_sweeper_settings sweep_settings)
+        : executor(std::move(sweep_executor)),
+          timers(timer_provider),
+          table(claim_table),
+          settings(sweep_settings) {}
 
     asio::awaitable<void> sweep();
-    [[nodiscard]] bool is_over(const store::row& row) const;
+    [[nodiscard]] bool is_expired(const store::row& row) const;
 
     asio::any_io_executor executor;
     timer_service& timers;
@@ -27,24 +30,26 @@
     timer_subscription timer;
 };
 
-bool claim_sweeper::state::is_over(const store::row& row) const {
+bool claim_sweeper::state::is_expired(const store::row& row) const {
     try {
         const auto retention = std::chrono::duration_cast<std::chrono::seconds>(settings.retention);
         return claim_time_now() - decode_claim(row).time > retention.count();
     } catch (const std::exception&) {
-        return false; // another version's row: not ours to judge
+        return false; // the row was written by a version of this program with another format
     }
 }
 
-/// Random places need no memory of where one was, and no agreement between entries on who reads what.
+/// Reads and cleans one page of claims. Since the position is random, an entry needn't remember where its
+/// last sweep ended, and entries needn't agree on who reads which rows.
 asio::awaitable<void> claim_sweeper::state::sweep() {
     const auto self = shared_from_this();
     try {
-        const auto rows = co_await table.scan(claim_prefix, random_claim_position(), settings.page);
+        const auto rows = co_await table.scan(claim_prefix, random_claim_position(), settings.page_size);
         store::transaction changes;
         for (const auto& row : rows) {
-            if (is_over(row)) {
-                // A row that was renewed meanwhile has another version, and nothing is removed.
+            if (is_expired(row)) {
+                // If a row has been rewritten in the meantime, its version differs and the whole transaction
+                // has no effect.
                 changes.conditions.push_back({row.key, row.version});
                 changes.deletes.push_back(row.key);
             }
@@ -54,7 +59,7 @@
         }
         co_await table.transact(changes);
     } catch (const store::store_error&) {
-        // The next sweep finds them again.
+        // A later sweep removes the rows.
     }
 }
 
--- a/src/entry/entry_process.cpp
+++ b/src/entry/entry_process.cpp
@@ -1,4 +1,4 @@
-// Putting an entry together, and its graceful stop.
+// Creates the parts of an entry process, connects them with each other and stops them gracefully.
 #include "entry/entry_process.hpp"
 
 #include "admin/administration.hpp"
@@ -36,8 +36,10 @@
 namespace {
 
 constexpr int wrong_settings_exit_code = 2;
+/// How often a stopping entry checks whether it is idle.
 constexpr milliseconds stop_check_period{20};
-constexpr milliseconds last_flush_limit{2000};
+/// How long a stopping entry waits until its last audit records have been written.
+constexpr milliseconds last_flush_timeout{2000};
 
 wire::hello_message make_hello(const entry_settings& settings, const identifier& incarnation) {
     wire::hello_message hello;
@@ -50,11 +52,13 @@
     return hello;
 }
 
-http::response refuse_without_call(error_kind kind, std::string_view detail) {
+/// The response to a request that http::server refuses before it reaches a handler.
+http::response make_refusal(error_kind kind, std::string_view detail) {
     return error_response(request_error(kind, std::string(detail)), identifier::random());
 }
 
-/// All parts of an entry, in the order in which they depend on each other.
+/// All parts of an entry. Members are declared in the order of their dependencies: each part uses only parts
+/// that are declared before it.
 class entry_process {
 public:
     explicit entry_process(entry_settings settings);
@@ -65,16 +69,16 @@
     link_context make_link_context();
     admin::administration_context make_administration_context();
     admin::node_view make_node_view();
-    std::vector<admin::backend_server_state> show_servers();
+    std::vector<admin::backend_server_state> describe_servers();
     asio::awaitable<std::optional<admin::explanation>> explain(request_id request);
     asio::awaitable<admin::explanation> find_requests(admin::request_query query);
-    void take_peer_message(const std::string& backend_server, wire::envelope& received,
-                           wire::peer_connection& connection);
-    void pass_mark_on(const wire::crash_mark_message& mark);
+    void handle_peer_message(const std::string& backend_server, wire::envelope& received,
+                             wire::peer_connection& connection);
+    void forward_mark(const wire::crash_mark_message& mark);
     void rebuild_servers();
     boost::asio::awaitable<void> handle_admin(const http::request& received, http::response_writer& writer);
     void stop_gracefully();
-    void finish_when_idle();
+    void stop_if_idle();
 
     entry_settings m_settings;
     process::runtime m_runtime;
@@ -90,7 +94,7 @@
     claim_store m_claims;
     claim_sweeper m_claim_sweeper;
     admission m_admissions;
-    crash_watch m_crashes;
+    crash_watch m_crash_marks;
     audit::recorder m_audit;
     entry_context m_context;
     caller_api m_callers;
@@ -99,7 +103,7 @@
     http::server m_caller_server;
     http::server m_admin_server;
     timer_subscription m_stop_timer;
-    std::optional<steady_clock::time_point> m_stop_by;
+    std::optional<steady_clock::time_point> m_stop_deadline;
 };
 
 entry_process::entry_process(entry_settings settings)
@@ -119,11 +123,11 @@
       m_claims(m_runtime.executor(), m_table, m_settings.claim_window, m_settings.claim_limit),
       m_claim_sweeper(m_runtime.executor(), m_runtime.timers(), m_table,
                       {m_settings.claim_retention, m_settings.claim_sweep_period}),
-      m_crashes(m_runtime.executor(), m_runtime.timers(), m_table),
+      m_crash_marks(m_runtime.executor(), m_runtime.timers(), m_table),
       m_audit(m_runtime.executor(), m_runtime.timers(), m_objects,
               {.vm = m_settings.common.vm, .role = "entry", .flush_period = m_settings.common.audit_period}),
       m_context{m_settings,   m_configuration, m_servers, m_claims,
-                m_admissions, m_crashes,       m_metrics, m_audit},
+                m_admissions, m_crash_marks,   m_metrics, m_audit},
       m_callers(m_context),
       m_peer_listener(m_runtime.executor(), m_runtime.timers(), m_configuration, m_peer_identity),
       m_administration(make_administration_context(), make_node_view()),
@@ -132,13 +136,13 @@
           [this](const http::request& received, http::response_writer& writer) {
               return m_callers.handle(received, writer);
           },
-          refuse_without_call),
+          make_refusal),
       m_admin_server(
           m_runtime.executor(), {},
           [this](const http::request& received, http::response_writer& writer) {
               return handle_admin(received, writer);
           },
-          refuse_without_call) {}
+          make_refusal) {}
 
 link_context entry_process::make_link_context() {
     return {m_runtime.executor(),
@@ -150,7 +154,7 @@
             [this] { return m_configuration.revision(); },
             [this](const std::string& backend_server, wire::envelope& received,
                    wire::peer_connection& connection) {
-                take_peer_message(backend_server, received, connection);
+                handle_peer_message(backend_server, received, connection);
             }};
 }
 
@@ -162,7 +166,7 @@
 admin::node_view entry_process::make_node_view() {
     admin::node_view view;
     view.backend_servers = [this] {
-        return show_servers();
+        return describe_servers();
     };
     view.limits_in_use = [this] {
         return m_admissions.use();
@@ -176,14 +180,14 @@
     return view;
 }
 
-std::vector<admin::backend_server_state> entry_process::show_servers() {
+std::vector<admin::backend_server_state> entry_process::describe_servers() {
     const auto now = steady_clock::now();
     std::vector<admin::backend_server_state> states;
     for (const auto& [name, link] : m_servers.current()->by_server) {
         admin::backend_server_state state;
         state.name = name;
         state.is_connected = link->is_connected();
-        state.is_leaving = link->is_leaving();
+        state.is_leaving = link->is_shutting_down();
         if (const auto load = link->load()) {
             state.report_age = std::chrono::duration_cast<milliseconds>(now - load->reported);
             state.queued_requests = load->queued_requests;
@@ -201,7 +205,8 @@
 asio::awaitable<std::optional<admin::explanation>> entry_process::explain(request_id request) {
     audit::explainer explainer(m_objects, {});
     const auto found = co_await explainer.find_request(request);
-    // Where something is missing, "not found" would pass for "didn't happen".
+    // "Not found" means that the request didn't happen. That can't be said when the explainer remarks that
+    // records are missing.
     if (found.records.empty() && found.remarks.empty()) {
         co_return std::nullopt;
     }
@@ -225,7 +230,7 @@
     m_vms.start([this](const auto&) { rebuild_servers(); });
     m_audit.start();
     m_claim_sweeper.start();
-    m_crashes.start(m_settings.common.poll_period);
+    m_crash_marks.start(m_settings.common.poll_period);
     const auto callers = m_caller_server.listen(m_settings.callers_listen);
     const auto admin = m_admin_server.listen(m_settings.admin_listen);
     const auto peers = m_peer_listener.listen(m_settings.peers_listen);
@@ -238,11 +243,11 @@
     m_runtime.run([this] { stop_gracefully(); });
 }
 
-void entry_process::take_peer_message(const std::string& backend_server, wire::envelope& received,
-                                      wire::peer_connection& connection) {
+void entry_process::handle_peer_message(const std::string& backend_server, wire::envelope& received,
+                                        wire::peer_connection& connection) {
     if (const auto* mark = std::get_if<wire::crash_mark_message>(&received.content)) {
-        if (m_crashes.take(*mark)) {
-            pass_mark_on(*mark);
+        if (m_crash_marks.record(*mark)) {
+            forward_mark(*mark);
         }
         m_context.prefixes.forget_server(hash_bytes(backend_server));
         return;
@@ -250,10 +255,11 @@
     admin::exchange_configuration(m_configuration, received, connection);
 }
 
-/// While the table is out, a mark is known only to the entries that its sidecar was connected to; another one
-/// would lose a third backend server to the request. So it goes to every sidecar, connected or not, and each
-/// tells its entries. Marks are rare enough for that.
-void entry_process::pass_mark_on(const wire::crash_mark_message& mark) {
+/// Sends a crash mark to all other sidecars, which forward it to the entries that they are connected to.
+/// While the platform's table can't be reached, only the entries that are connected to the reporting sidecar
+/// learn of the mark; any other entry might place the request once more and cause a third backend server to
+/// crash. Marks are rare, so links without a connection are connected for them.
+void entry_process::forward_mark(const wire::crash_mark_message& mark) {
     for (const auto& [name, link] : m_servers.current()->by_server) {
         if (name != mark.backend_server) {
             link->send(mark);
@@ -283,23 +289,24 @@
     }
 }
 
-/// Nothing in progress is cut: new requests are refused as not run, the rest goes on to its end.
+/// Refuses new requests as not run, lets requests in progress run to their end, and then ends the process.
+/// Requests that take longer than `entry_settings::stop_limit` are aborted.
 void entry_process::stop_gracefully() {
     m_callers.drain();
     m_caller_server.drain();
-    m_stop_by = steady_clock::now() + m_settings.stop_limit;
+    m_stop_deadline = steady_clock::now() + m_settings.stop_limit;
     m_stop_timer =
-        m_runtime.timers().every(m_runtime.executor(), stop_check_period, [this] { finish_when_idle(); });
+        m_runtime.timers().every(m_runtime.executor(), stop_check_period, [this] { stop_if_idle(); });
 }
 
-void entry_process::finish_when_idle() {
+void entry_process::stop_if_idle() {
     const bool is_idle = m_caller_server.requests_in_progress() == 0 && m_claims.is_idle();
-    if (!is_idle && steady_clock::now() < *m_stop_by) {
+    if (!is_idle && steady_clock::now() < *m_stop_deadline) {
         return;
     }
     m_stop_timer.cancel();
     log::info("entry_stopping", {{"in_progress", std::to_string(m_caller_server.requests_in_progress())}});
-    m_audit.flush(last_flush_limit, [this] { m_runtime.finish(); });
+    m_audit.flush(last_flush_timeout, [this] { m_runtime.finish(); });
 }
 
 } // namespace
--- a/src/entry/request_run.cpp
+++ b/src/entry/request_run.cpp
@@ -1,4 +1,4 @@
-// One request from its offers to the end of its answer.
+// Serves one request from its first offer to the end of its answer.
 #include "entry/request_run.hpp"
 
 #include "base/hash.hpp"
@@ -18,27 +18,32 @@
 
 namespace {
 
-constexpr int most_attempts = 4;
-constexpr int most_stale_attempts = 50;
+/// How often a request is placed at most.
+constexpr int max_attempts = 4;
+/// How often a request is placed at most when grants are refused because of a stale revision.
+constexpr int max_stale_attempts = 50;
+/// How long a request waits for a newer revision before it is placed again.
 constexpr milliseconds revision_wait{50};
-/// Wakes a run that waits for its answer, so that the fate of a lost connection is asked in time.
-constexpr std::chrono::hours longest_wait{24};
+/// How long a run waits for an event when it has no reason to wake up earlier, such as a request for a fate.
+constexpr std::chrono::hours max_event_wait{24};
 
-/// By how much the clocks of two entries may differ: a claim is taken to be older by this.
-constexpr std::chrono::minutes clock_difference{1};
+/// The assumed maximum difference between the clocks of two entries. A claim counts as older by this time.
+constexpr std::chrono::minutes max_clock_difference{1};
 
+/// The time since a start, limited to what fits `attach_message::started_ms_ago`.
 milliseconds age_of(steady_clock::time_point started) {
     constexpr milliseconds longest{std::numeric_limits<std::uint32_t>::max()};
     return std::min(std::chrono::duration_cast<milliseconds>(steady_clock::now() - started), longest);
 }
 
-steady_clock::time_point start_of(const claim& held) {
-    const std::chrono::seconds age(std::max<std::int64_t>(0, claim_time_now() - held.time));
-    return steady_clock::now() - age - clock_difference;
+/// A time no later than that at which the call of this claim was started.
+steady_clock::time_point start_of(const claim& claimed) {
+    const std::chrono::seconds age(std::max<std::int64_t>(0, claim_time_now() - claimed.time));
+    return steady_clock::now() - age - max_clock_difference;
 }
 
-/// Refusals after a grant that another backend server may answer differently.
-bool is_worth_another_place(error_kind kind) {
+/// True for a refusal of a start that another backend server might not repeat.
+bool is_retryable_elsewhere(error_kind kind) {
     return kind == error_kind::draining || kind == error_kind::no_backend_server ||
            kind == error_kind::overloaded;
 }
@@ -52,7 +57,7 @@
       m_answer(answer),
       m_events(std::move(events)),
       m_claim(context.claims, request),
-      m_inquiry(context.settings.fate_limit) {}
+      m_fate_requests(context.settings.fate_limit) {}
 
 asio::awaitable<void> request_run::serve() {
     std::optional<request_error> failure;
@@ -62,49 +67,50 @@
         failure = error;
     }
     if (failure) {
-        const auto judged = co_await judge_unknown(*failure);
-        throw judged;
+        const auto resolved = co_await resolve_unknown_outcome(*failure);
+        throw resolved;
     }
 }
 
 asio::awaitable<void> request_run::serve_to_end() {
-    if (const auto left = m_context.crashes.quarantine_left(m_call.fingerprint)) {
+    if (const auto left = m_context.crash_marks.quarantine_left(m_call.fingerprint)) {
         throw request_error(error_kind::quarantined, {}, left);
     }
     for (;;) {
         co_await place();
-        if (co_await follow() == follow_result::whole) {
+        if (co_await wait_for_answer() == wait_result::complete) {
             co_return;
         }
-        m_context.metrics.placed_again();
-        // Homes may have been told of the dispatch that isn't to be had: they would lead every further offer
-        // back to it, and the request would be refused in the end instead of run.
+        m_context.metrics.count_placed_again();
+        // Sidecars may have been told of the dispatch that has turned out not to exist. They would answer
+        // every further offer with it, so that the request would be refused in the end instead of run.
+        // Without its resend key they don't recognize the request.
         m_call.resend_key = 0;
-        if (!may_place_again()) {
+        if (!try_place_again()) {
             m_claim.release();
             throw m_not_begun.value_or(request_error(error_kind::no_backend_server));
         }
         if (m_not_begun && m_not_begun->kind() == error_kind::stale_revision) {
-            // One of the two is fetching the newer revision now.
+            // Either this entry or the sidecar has an older revision and is fetching the newer one now.
             co_await m_context.configuration.wait_past(m_call.configuration->revision, revision_wait);
         }
     }
 }
 
-/// Brings the request to a start, or to an answer that runs already.
+/// Finds a place for the request and starts it there, or attaches to a dispatch of it that exists already.
 asio::awaitable<void> request_run::place() {
     bool is_placed = false;
     while (!is_placed) {
         std::optional<request_error> refusal;
         offer_round round(m_context, m_call, m_events);
         try {
-            follow_configuration();
+            update_configuration();
             const auto found = co_await round.find_place();
             if (const auto* running = std::get_if<attachable_place>(&found)) {
                 join(*running);
                 is_placed = true;
             } else {
-                is_placed = co_await take_grant(std::get<granted_place>(found));
+                is_placed = co_await use_grant(std::get<granted_place>(found));
             }
         } catch (const request_error& error) {
             refusal = error;
@@ -117,27 +123,29 @@
             m_claim.release();
             throw *refusal;
         }
-        if (is_placed && !m_joined) {
+        if (is_placed && !m_is_joined) {
             round.withdraw_all(m_started->backend_server, m_started->dispatch);
-        } else { // of a joined run it isn't known yet whether it ever began
+        } else { // it isn't known yet whether a joined dispatch was ever begun, so sidecars aren't told of it
             round.withdraw_all();
         }
     }
 }
 
-/// This copy of a non-idempotent call is about to be refused as not run. An earlier one, sent through another
-/// entry perhaps, may have run or be running: its caller would believe that it may send a new key, and the
-/// call would run twice. The row of the key says so.
+/// Called when a call is about to be refused as not run. If it is non-idempotent, an earlier copy of it,
+/// perhaps sent through another entry, may have run or may be running. The caller would conclude from "not
+/// run" that it can use a new key, and the call would run twice. The claim's row in the table tells whether
+/// there is an earlier copy; if so, this run attaches to it and the function returns true.
 asio::awaitable<bool> request_run::join_earlier_copy() {
-    const auto standing = co_await m_claim.find_earlier();
-    if (standing) {
-        join_claimed(*standing);
+    const auto existing = co_await m_claim.find_earlier();
+    if (existing) {
+        join_claimed_run(*existing);
     }
-    co_return standing.has_value();
+    co_return existing.has_value();
 }
 
-/// What can't be learned from a sidecar may stand in the row: a call that ran to its end is marked there.
-asio::awaitable<request_error> request_run::judge_unknown(request_error failure) {
+/// Returns the error to answer. An outcome that no sidecar knows may be recorded in the claim's row, where
+/// calls that ran to their end are marked as finished.
+asio::awaitable<request_error> request_run::resolve_unknown_outcome(request_error failure) {
     if (failure.kind() != error_kind::outcome_unknown) {
         co_return failure;
     }
@@ -148,36 +156,38 @@
     co_return failure;
 }
 
-/// A decision taken under a revision that is no longer in force is taken again. Returns whether it changed.
-bool request_run::follow_configuration() {
+/// Looks the call up in the current configuration if its revision is no longer in force, and returns whether
+/// it did. Throws request_error when the call isn't allowed any more.
+bool request_run::update_configuration() {
     if (m_context.configuration.revision() == m_call.configuration->revision) {
         return false;
     }
-    renew_call(m_call, m_context.configuration.current());
+    update_call(m_call, m_context.configuration.current());
     return true;
 }
 
-bool request_run::may_place_again() {
+bool request_run::try_place_again() {
     if (!m_not_begun) {
-        return ++m_attempts < most_attempts && m_context.admissions.try_retry();
+        return ++m_attempts < max_attempts && m_context.admissions.try_retry();
     }
     if (m_not_begun->kind() == error_kind::stale_revision) {
-        return ++m_stale_attempts < most_stale_attempts && steady_clock::now() < m_call.deadline;
+        return ++m_stale_attempts < max_stale_attempts && steady_clock::now() < m_call.deadline;
     }
-    return is_worth_another_place(m_not_begun->kind()) && ++m_attempts < most_attempts &&
+    return is_retryable_elsewhere(m_not_begun->kind()) && ++m_attempts < max_attempts &&
            m_context.admissions.try_retry();
 }
 
-/// Starts the request and returns true; or gives the grant back, because another run of the request has
-/// been joined (true), or because the grant was for a decision under an older revision (false).
-asio::awaitable<bool> request_run::take_grant(granted_place place) {
+/// Uses a grant. Returns true when the request was started, or when another run of the request was joined
+/// instead and the grant was withdrawn. Returns false when the grant was withdrawn because it was given under
+/// an older configuration revision; the request then needs a new place.
+asio::awaitable<bool> request_run::use_grant(granted_place place) {
     std::optional<request_error> refusal;
     bool is_placed = false;
     try {
-        if (!follow_configuration()) {
+        if (!update_configuration()) {
             const bool is_ours = co_await claim_before_start(place);
-            // The claim takes a while: what came meanwhile counts too.
-            if (is_ours && !follow_configuration()) {
+            // A newer revision may have come into force while the claim was being written.
+            if (is_ours && !update_configuration()) {
                 start(place);
                 co_return true;
             }
@@ -188,7 +198,7 @@
     }
     wire::withdraw_message withdrawal;
     withdrawal.dispatch = wire::to_wire(place.dispatch);
-    place.link->forget(place.dispatch);
+    place.link->remove_listener(place.dispatch);
     place.link->send_if_connected(withdrawal);
     if (refusal) {
         throw *refusal;
@@ -196,11 +206,12 @@
     co_return is_placed;
 }
 
-/// Returns whether the start is ours to send; otherwise another run of this request has been joined.
+/// Claims the idempotency key and returns whether this run may send the start. If it may not, the run that
+/// holds the claim has been joined.
 asio::awaitable<bool> request_run::claim_before_start(const granted_place& place) {
-    const auto standing = co_await m_claim.take(place);
-    if (standing) {
-        join_claimed(*standing);
+    const auto existing = co_await m_claim.try_claim(place);
+    if (existing) {
+        join_claimed_run(*existing);
         co_return false;
     }
     if (!m_call.is_idempotent) {
@@ -209,33 +220,34 @@
     co_return true;
 }
 
-/// Another run holds the key: its answer is this caller's answer, if it is still to be had.
-void request_run::join_claimed(const claim& standing) {
-    m_claim.adopt(standing);
+/// Attaches to the dispatch of another run that has claimed the key, so that this caller gets the same answer
+/// if the sidecar still has it.
+void request_run::join_claimed_run(const claim& existing) {
+    m_claim.adopt(existing);
     const auto table = m_context.servers.current();
-    const auto found = table->by_server.find(standing.backend_server);
+    const auto found = table->by_server.find(existing.backend_server);
     if (found == table->by_server.end()) {
         throw request_error(m_claim.is_known_finished() ? error_kind::already_ran
                                                         : error_kind::outcome_unknown);
     }
-    m_joined = true;
-    m_started = started_dispatch{found->second, standing.backend_server, standing.dispatch,
-                                 standing.incarnation, start_of(standing)};
-    m_context.metrics.attached();
+    m_is_joined = true;
+    m_started = started_dispatch{found->second, existing.backend_server, existing.dispatch,
+                                 existing.incarnation, start_of(existing)};
+    m_context.metrics.count_attached();
     attach();
 }
 
 void request_run::join(const attachable_place& place) {
-    m_joined = true;
+    m_is_joined = true;
     m_started = started_dispatch{place.link, place.backend_server, place.dispatch, place.incarnation, {}};
-    m_context.metrics.attached();
+    m_context.metrics.count_attached();
     record(audit::event::attached, *m_started);
     attach();
 }
 
 void request_run::start(const granted_place& place) {
-    m_joined = false;
-    m_inquiry.settle();
+    m_is_joined = false;
+    m_fate_requests.reset();
     m_started = started_dispatch{place.link, place.backend_server, place.dispatch, place.incarnation,
                                  steady_clock::now()};
     wire::start_message start;
@@ -247,10 +259,10 @@
     start.body.assign(m_call.body.begin(), m_call.body.end());
     start.streamed = m_call.is_streamed;
     m_context.prefixes.record_start(m_call.prefix_hashes, hash_bytes(place.backend_server));
-    m_context.metrics.started();
-    m_context.metrics.queue_wait(m_call, steady_clock::now() - m_call.received);
+    m_context.metrics.count_start();
+    m_context.metrics.record_queue_wait(m_call, steady_clock::now() - m_call.received);
     record(audit::event::started, *m_started);
-    place.link->send_for(place.dispatch, m_events, std::move(start));
+    place.link->send_for_dispatch(place.dispatch, m_events, std::move(start));
 }
 
 void request_run::attach() {
@@ -259,18 +271,18 @@
     attach.incarnation = wire::to_wire(m_started->incarnation);
     attach.offset = m_answer.received();
     attach.started_ms_ago = static_cast<std::uint32_t>(age_of(m_started->started).count());
-    m_started->link->send_for(m_started->dispatch, m_events, attach);
+    m_started->link->send_for_dispatch(m_started->dispatch, m_events, attach);
 }
 
-asio::awaitable<request_run::follow_result> request_run::follow() {
+asio::awaitable<request_run::wait_result> request_run::wait_for_answer() {
     for (;;) {
-        const auto until = m_inquiry.next_question().value_or(steady_clock::now() + longest_wait);
+        const auto until = m_fate_requests.next_request_time().value_or(steady_clock::now() + max_event_wait);
         auto event = co_await m_events->receive(until);
         if (!event) {
-            ask_fate_again();
+            request_fate_again();
             continue;
         }
-        if (!concerns_current(*event)) {
+        if (!is_relevant(*event)) {
             continue;
         }
         if (const auto result = co_await handle(std::move(*event))) {
@@ -279,12 +291,13 @@
     }
 }
 
-/// Late messages of earlier offers may still be in the mailbox; only the started dispatch counts.
-bool request_run::concerns_current(const dispatch_event& event) const {
+/// True for events of the started dispatch and for caller_disconnected. The mailbox may still contain
+/// messages that answer earlier offers; they are ignored.
+bool request_run::is_relevant(const dispatch_event& event) const {
     return std::visit(
         [this](const auto& content) {
             using content_type = std::decay_t<decltype(content)>;
-            if constexpr (std::is_same_v<content_type, caller_gone>) {
+            if constexpr (std::is_same_v<content_type, caller_disconnected>) {
                 return true;
             } else if constexpr (std::is_same_v<content_type, connection_lost>) {
                 return content.dispatch == m_started->dispatch;
@@ -295,49 +308,49 @@
         event);
 }
 
-asio::awaitable<std::optional<request_run::follow_result>> request_run::handle(dispatch_event event) {
+asio::awaitable<std::optional<request_run::wait_result>> request_run::handle(dispatch_event event) {
     if (const auto* chunk = std::get_if<wire::chunk_message>(&event)) {
-        co_await take_chunk(*chunk);
+        co_await handle_chunk(*chunk);
     } else if (auto* head = std::get_if<wire::answer_head_message>(&event)) {
-        co_await m_answer.take_head(head->status, std::move(head->content_type));
+        co_await m_answer.set_head(head->status, std::move(head->content_type));
     } else if (const auto* end = std::get_if<wire::answer_end_message>(&event)) {
-        co_return co_await take_end(*end);
+        co_return co_await handle_end(*end);
     } else if (const auto* fate = std::get_if<wire::fate_message>(&event)) {
-        co_return take_fate(*fate);
+        co_return handle_fate(*fate);
     } else if (const auto* refusal = std::get_if<wire::not_begun_message>(&event)) {
-        co_return take_not_begun(*refusal);
+        co_return handle_not_begun(*refusal);
     } else if (std::holds_alternative<connection_lost>(event)) {
-        note_lost_connection();
-    } else if (std::holds_alternative<caller_gone>(event)) {
+        handle_lost_connection();
+    } else if (std::holds_alternative<caller_disconnected>(event)) {
         wire::abandon_message abandon;
         abandon.dispatch = wire::to_wire(m_started->dispatch);
         m_started->link->send_if_connected(abandon);
-        m_started->link->forget(m_started->dispatch);
-        throw caller_left();
+        m_started->link->remove_listener(m_started->dispatch);
+        throw caller_disconnected_error();
     }
     co_return std::nullopt;
 }
 
-asio::awaitable<void> request_run::take_chunk(const wire::chunk_message& chunk) {
+asio::awaitable<void> request_run::handle_chunk(const wire::chunk_message& chunk) {
     const auto now = steady_clock::now();
-    const bool is_first = !m_answer.first_piece();
+    const bool is_first = !m_answer.first_piece_time();
     const std::string_view bytes(reinterpret_cast<const char*>(chunk.data.data()), chunk.data.size());
-    if (!co_await m_answer.take(chunk.offset, bytes)) {
-        attach(); // bytes are missing: ask for the answer from where we are
+    if (!co_await m_answer.append(chunk.offset, bytes)) {
+        attach(); // bytes are missing: request the answer again from the first missing byte
         co_return;
     }
     if (is_first) {
-        m_context.metrics.first_token(m_call, now - m_call.received);
-    } else if (m_last_piece) {
-        m_context.metrics.between_tokens(m_call, now - *m_last_piece);
+        m_context.metrics.record_first_token(m_call, now - m_call.received);
+    } else if (m_last_piece_time) {
+        m_context.metrics.record_between_tokens(m_call, now - *m_last_piece_time);
     }
-    m_last_piece = now;
+    m_last_piece_time = now;
 }
 
-asio::awaitable<std::optional<request_run::follow_result>>
-request_run::take_end(const wire::answer_end_message& end) {
+asio::awaitable<std::optional<request_run::wait_result>>
+request_run::handle_end(const wire::answer_end_message& end) {
     if (end.failed) {
-        m_started->link->forget(m_started->dispatch);
+        m_started->link->remove_listener(m_started->dispatch);
         std::optional<milliseconds> retry_after;
         if (end.retry_after_ms > 0) {
             retry_after = milliseconds(end.retry_after_ms);
@@ -349,41 +362,43 @@
         co_return std::nullopt;
     }
     co_await m_answer.finish();
-    // Only now: an answer given up by its sidecar before the caller has it would be lost with this entry.
+    // The acknowledgement lets the sidecar discard the answer, so it is sent only after the caller has the
+    // complete answer. If it were sent earlier and this entry died, the answer would be lost.
     wire::acknowledge_message acknowledge;
     acknowledge.dispatch = wire::to_wire(m_started->dispatch);
     m_started->link->send_if_connected(acknowledge);
-    m_started->link->forget(m_started->dispatch);
+    m_started->link->remove_listener(m_started->dispatch);
     m_claim.finish();
-    m_context.metrics.answered();
-    m_context.metrics.total(m_call, steady_clock::now() - m_call.received);
+    m_context.metrics.count_answered();
+    m_context.metrics.record_total(m_call, steady_clock::now() - m_call.received);
     record(audit::event::answered, *m_started);
-    co_return follow_result::whole;
+    co_return wait_result::complete;
 }
 
-std::optional<request_run::follow_result> request_run::take_fate(const wire::fate_message& fate) {
+std::optional<request_run::wait_result> request_run::handle_fate(const wire::fate_message& fate) {
     switch (fate.state) {
     case wire::dispatch_fate::running:
     case wire::dispatch_fate::finished:
-        m_inquiry.settle();
+        m_fate_requests.reset();
         return std::nullopt;
     case wire::dispatch_fate::not_begun:
         if (m_claim.is_known_finished()) {
-            break; // its row says that it has run
+            break; // the claim's row says that the call has run, so it must not be placed again
         }
         if (!m_answer.has_head()) {
-            return place_anew();
+            return give_up_dispatch();
         }
-        break; // it had begun: a sidecar that says otherwise knows nothing
+        break; // the answer's head has arrived, so the dispatch was begun and its outcome is unknown
     case wire::dispatch_fate::unknown:
-        if (m_joined && m_call.is_idempotent && !m_answer.has_head()) {
-            return place_anew(); // which an idempotent call may be
+        if (m_is_joined && m_call.is_idempotent && !m_answer.has_head()) {
+            return give_up_dispatch(); // an idempotent call may run more than once
         }
         break;
     }
-    m_started->link->forget(m_started->dispatch);
-    if (m_joined && !m_call.is_idempotent && !m_claim.is_known()) {
-        return place_anew(); // a home led here; what became of the call is said by its claim
+    m_started->link->remove_listener(m_started->dispatch);
+    if (m_is_joined && !m_call.is_idempotent && !m_claim.is_known()) {
+        return give_up_dispatch(); // a reply, not a claim, named this dispatch; the claim is checked before a
+                                   // new start
     }
     if (m_claim.is_known_finished()) {
         throw request_error(error_kind::already_ran);
@@ -391,40 +406,42 @@
     throw request_error(error_kind::outcome_unknown);
 }
 
-/// Sidecars may go on naming what was to be joined: without its key the next round doesn't ask for it, and
-/// the claim of a call that isn't idempotent still stands before a second run.
-request_run::follow_result request_run::place_anew() {
-    if (m_joined) {
+/// Gives up the dispatch, so that the request is placed again. If the dispatch was joined, sidecars might
+/// still name it in their replies; the resend key is cleared so that the next round doesn't look for it. The
+/// claim of a non-idempotent call is still checked before a second run.
+request_run::wait_result request_run::give_up_dispatch() {
+    if (m_is_joined) {
         m_call.resend_key = 0;
     }
     m_not_begun.reset();
-    m_started->link->forget(m_started->dispatch);
-    return follow_result::not_begun;
+    m_started->link->remove_listener(m_started->dispatch);
+    return wait_result::not_begun;
 }
 
-std::optional<request_run::follow_result>
-request_run::take_not_begun(const wire::not_begun_message& refusal) {
+std::optional<request_run::wait_result>
+request_run::handle_not_begun(const wire::not_begun_message& refusal) {
     if (m_answer.has_head()) {
         throw request_error(error_kind::outcome_unknown);
     }
-    m_started->link->forget(m_started->dispatch);
+    m_started->link->remove_listener(m_started->dispatch);
     m_not_begun = request_error(wire::error_kind_from_wire(refusal.error_kind), {},
                                 milliseconds(refusal.retry_after_ms));
-    return follow_result::not_begun;
+    return wait_result::not_begun;
 }
 
-void request_run::note_lost_connection() {
-    if (!m_inquiry.note_loss(steady_clock::now())) {
+void request_run::handle_lost_connection() {
+    if (!m_fate_requests.record_lost_connection(steady_clock::now())) {
         throw request_error(error_kind::outcome_unknown);
     }
 }
 
-/// The sidecar may have come back at another address: the newest one known is asked.
-void request_run::ask_fate_again() {
-    if (!m_inquiry.next_question()) {
+/// Sends an attach message again if a request for the fate is due. It goes to the sidecar's latest known
+/// address, since the sidecar may have been restarted at another address.
+void request_run::request_fate_again() {
+    if (!m_fate_requests.next_request_time()) {
         return;
     }
-    m_inquiry.note_question();
+    m_fate_requests.record_request();
     const auto table = m_context.servers.current();
     const auto found = table->by_server.find(m_started->backend_server);
     if (found != table->by_server.end()) {
