--- a/src/gateway/backend.cpp
+++ b/src/gateway/backend.cpp
@@ -1,4 +1,5 @@
-// The idle connections read on, so that one the server closes is dropped before a request is sent on it.
+// Implementation of backend. Idle connections continue to be read, so that one that the server closes is
+// dropped before a request is sent on it.
 #include "gateway/backend.hpp"
 
 #include "gateway/backend_call.hpp"
@@ -42,7 +43,8 @@
             self->forget(raw);
         }
     };
-    // Bytes without a request before them belong to nobody: the connection can't be trusted any more.
+    // Bytes that arrive while no request is open belong to no response. The connection can't be trusted any
+    // more and is closed.
     const auto take_end = [weak, drop](net::connection_end how) {
         const auto self = weak.lock();
         if (self != nullptr && how == net::connection_end::failed) {
--- a/src/gateway/backend.hpp
+++ b/src/gateway/backend.hpp
@@ -1,4 +1,4 @@
-// One backend server as a gateway sees it: where it is, and the connections to it that are free.
+// A backend server as seen by a gateway: its registration, its idle connections and the calls that run on it.
 #pragma once
 
 #include "net/connection.hpp"
@@ -13,7 +13,7 @@
 
 class backend_call;
 
-/// One start of a server: a server that starts anew under its old id is another one.
+/// Represents one start of a server. A server that restarts under the same id is represented by a new object.
 class backend : public std::enable_shared_from_this<backend> {
 public:
     using clock = std::chrono::steady_clock;
@@ -21,30 +21,32 @@
     explicit backend(routing::backend_record record);
 
     [[nodiscard]] const routing::backend_record& record() const noexcept { return m_record; }
-    /// The same start's newer word of itself.
+    /// Replaces the record with a newer one of the same start. Closes the idle connections if the address has
+    /// changed.
     void set_record(routing::backend_record record);
 
-    /// The connection that was used last, if it is idle for less than `longest_idle`; null when there is
-    /// none.
+    /// Returns the most recently used idle connection if it has been idle for at most `longest_idle`, else
+    /// null.
     [[nodiscard]] std::shared_ptr<net::connection> take_idle(clock::duration longest_idle);
 
-    /// Keeps a connection for the next request, at most for `keep`.
+    /// Keeps an open connection for the next request, for at most `keep`.
     void give_back(std::shared_ptr<net::connection> connection, clock::duration keep);
 
     void close_idle();
-    /// Closes the idle connections whose time is over.
+    /// Closes the idle connections whose keep time is over.
     void close_expired(clock::time_point now);
 
-    /// A call runs here, until it is removed.
+    /// Registers a running call, so that retire() can notify it. The call removes itself when it ends.
     void add_call(const std::shared_ptr<backend_call>& call);
     void remove_call(const backend_call* call);
 
-    /// A connection failed or couldn't be made: the server may have ended.
+    /// Records that a connection to the server failed or couldn't be opened, which may mean that the server
+    /// has ended.
     void note_break() noexcept { m_last_break = clock::now(); }
-    /// Of this start; the clock's minimum when none was seen.
+    /// Time of the last failed connection to this start; the clock's minimum when none has failed.
     [[nodiscard]] clock::time_point last_break() const noexcept { return m_last_break; }
 
-    /// The server has started anew: its idle connections are closed, and its calls are told.
+    /// The server has restarted: closes the idle connections and notifies the running calls.
     void retire();
 
 private:
@@ -57,10 +59,11 @@
     void forget(const net::connection* ended);
 
     routing::backend_record m_record;
-    std::vector<idle_connection> m_idle; ///< the last one was used last
+    /// In the order of their last use; the most recently used one is last.
+    std::vector<idle_connection> m_idle;
     std::unordered_map<const backend_call*, std::weak_ptr<backend_call>> m_calls;
     clock::time_point m_last_break = clock::time_point::min();
-    bool m_is_retired = false; ///< then no connection is kept any more
+    bool m_is_retired = false; ///< Once set, no connection is kept.
 };
 
 } // namespace borageford::gateway
--- a/src/gateway/backend_call.cpp
+++ b/src/gateway/backend_call.cpp
@@ -1,4 +1,5 @@
-// Connect or reuse, send, read.
+// Implementation of backend_call: takes an idle connection or opens one, sends the request and reads the
+// response.
 #include "gateway/backend_call.hpp"
 
 #include <boost/asio/post.hpp>
@@ -13,16 +14,18 @@
 
 namespace {
 
-/// A new connection inside a region takes some milliseconds; a server that doesn't answer for this long is
-/// silent or has a full queue, and another one is the better choice.
+/// Time limit for opening a connection. Within a region this takes a few milliseconds; a server that doesn't
+/// accept for this long is unresponsive or has a full listen queue, and another server is the better choice.
 constexpr milliseconds connect_limit{300};
-/// A connection that was idle for longer may be about to be closed by the server, which would leave the fate
-/// of a request that can't be repeated unknown.
+/// Longest idle time of a connection that is reused for a request that must not be retried. The server may be
+/// about to close a connection that has been idle for longer, which would leave it unknown whether the
+/// request ran.
 constexpr milliseconds longest_idle_for_unrepeatable{1000};
 constexpr milliseconds longest_idle{30000};
-/// How long an idle connection is kept when the server doesn't tell.
+/// How long an idle connection is kept when the server doesn't announce its keep-alive time.
 constexpr milliseconds default_keep{4000};
-/// Kept back from the time that the server tells, so that its close doesn't cross a request.
+/// Subtracted from the keep-alive time that the server announces, so that the server doesn't close a
+/// connection while a request is being sent on it.
 constexpr milliseconds keep_margin{500};
 constexpr unsigned first_final_status = 200;
 
@@ -130,7 +133,7 @@
     }
 }
 
-/// Reads what there is; true when another response may follow in the same bytes.
+/// Reads the available bytes. Returns true when they may contain another response.
 bool backend_call::read_response() {
     m_body.clear();
     m_connection->consume(m_reader->read(m_connection->input(), m_body));
--- a/src/gateway/backend_call.hpp
+++ b/src/gateway/backend_call.hpp
@@ -1,4 +1,4 @@
-// One request sent to one backend server, and its response as it comes.
+// Sends one request to one backend server and reads the response.
 #pragma once
 
 #include "gateway/backend.hpp"
@@ -20,21 +20,22 @@
 
 /// What is known about a call that failed.
 enum class call_failure : std::uint8_t {
-    unreachable, ///< no connection: nothing left this process
-    unknown,     ///< the server may have run it
+    unreachable, ///< No connection was established, so no byte of the request was sent.
+    unknown,     ///< The server may have executed the request.
 };
 
-/// What a backend call is asked to send.
+/// The request that a backend_call sends.
 struct backend_request {
-    std::string head;      ///< with its empty line
-    std::string_view body; ///< outlives the call
+    std::string head;      ///< Request line and fields, ending with the empty line.
+    std::string_view body; ///< Not owned; must outlive the call.
     std::string request_id;
-    std::string request_id_name; ///< the field that the server echoes
+    std::string request_id_name; ///< Name of the field in which the server echoes the request id.
     bool is_head_method = false;
     bool is_repeatable = false;
 };
 
-/// Calls back on its executor, never from within start() or cancel().
+/// The handlers run on the executor, never from within start() or cancel(). Either on_complete or on_failure
+/// is called, once, unless the call is cancelled.
 class backend_call : public std::enable_shared_from_this<backend_call> {
 public:
     struct handlers {
@@ -48,18 +49,19 @@
                  backend_request request, handlers to_call);
 
     void start();
-    /// Ends the call at once; the server sees its connection close.
+    /// Ends the call at once without calling a handler. The server sees its connection close.
     void cancel();
 
-    /// Stops reading until resume() is called, so that a slow caller slows the server down.
+    /// Stops reading until resume() is called. A caller that reads slowly thus slows the server down.
     void pause();
     void resume();
 
-    /// The server has started anew, so what the former start worked on is lost. A call goes on when its
-    /// connection is younger than the last sign that the former start had ended: it is with the new one.
+    /// The server has restarted, so everything that its previous start was working on is lost. The call
+    /// fails, unless its connection was opened after the last sign that the previous start had ended and thus
+    /// belongs to the new start.
     ///
-    /// Without this, a server that crashed behind a cut and came back left its requests waiting on
-    /// connections that nobody would ever close, until their callers gave up.
+    /// Without this, requests that were running on a server that crashed during a network partition and came
+    /// back stayed on connections that nobody closed, until their callers gave up.
     void take_restart();
 
     [[nodiscard]] const http::response_reader& response() const noexcept { return *m_reader; }
@@ -79,17 +81,20 @@
     boost::asio::any_io_executor m_executor;
     std::shared_ptr<backend> m_server;
     backend_request m_request;
-    /// Shared, since a callback may end the call while it runs.
+    /// Shared, since a handler may end the call, and with it reset this member, while the handler runs.
     std::shared_ptr<const handlers> m_handlers;
     std::shared_ptr<net::connection> m_connection;
     std::optional<http::response_reader> m_reader;
-    std::string m_body; ///< bytes of the body that the last read gave
+    std::string m_body; ///< Body bytes decoded by the last read.
     boost::asio::steady_timer m_connect_timer;
     std::shared_ptr<boost::asio::ip::tcp::socket> m_connecting;
-    std::uint64_t m_sent_before = 0; ///< of the connection, when this call began
+    std::uint64_t m_sent_before = 0; ///< Bytes sent on the connection before this call.
     bool m_has_told_head = false;
-    bool m_is_surplus = false;  ///< the response being read answers another request
-    bool m_is_poisoned = false; ///< the connection has shown bytes that belong to no request of ours
+    /// The response being read belongs to another request, or is interim (1xx), and is discarded.
+    bool m_is_surplus = false;
+    /// A response to another request arrived on the connection, or the server has closed it: it is not
+    /// reused.
+    bool m_is_poisoned = false;
     bool m_is_over = false;
 };
 
--- a/src/gateway/backend_directory.cpp
+++ b/src/gateway/backend_directory.cpp
@@ -1,4 +1,4 @@
-// A plain map; who is in it is decided by the follower of the store.
+// Implementation of backend_directory. Which servers are in it is decided by backend_roster.
 #include "gateway/backend_directory.hpp"
 
 #include <algorithm>
@@ -9,7 +9,8 @@
 
 namespace {
 
-/// A grant names a server that its coordinator knew a moment ago; more than leave within that time.
+/// Bounds the number of remembered keys. A grant names a server that its coordinator knew a moment ago; fewer
+/// servers than this are removed within that time.
 constexpr std::size_t most_former = 1024;
 
 } // namespace
--- a/src/gateway/request_exchange.cpp
+++ b/src/gateway/request_exchange.cpp
@@ -1,4 +1,5 @@
-// The steps of an exchange, in their order.
+// Implementation of the request exchange; the functions are in the order in which a request passes through
+// them.
 #include "gateway/request_exchange.hpp"
 
 #include "base/hash.hpp"
@@ -14,21 +15,25 @@
 
 namespace {
 
-/// Kept back from a request's time, so that the last answer reaches the caller before its time is over.
+/// Subtracted from a request's remaining time when deciding on a retry, so that the answer still reaches the
+/// caller before its deadline.
 constexpr milliseconds answer_margin{30};
-/// A caller that doesn't read slows its backend server down instead of filling this process.
+/// Above this number of unsent bytes, reading from the backend server pauses. A caller that reads slowly then
+/// slows its server down instead of filling this process's memory.
 constexpr std::size_t most_unsent = 256U * 1024;
-/// Told to callers of a process that stops: another one takes the request at once.
+/// Retry-After of requests refused because this process is shutting down. It is short because another gateway
+/// can accept the request at once.
 constexpr milliseconds stopping_retry{100};
 constexpr unsigned first_success = 200;
 constexpr unsigned first_redirect = 300;
 constexpr unsigned misdirected = 421;
 constexpr unsigned first_server_error = 500;
 constexpr milliseconds configuration_check_period{10};
-/// How long a slot is kept for a server whose registration isn't known here yet: the next word of a gateway
-/// that knows it and the exchange that follows, some times over.
+/// How long a granted slot is held for a server whose registration is unknown here. This covers several times
+/// the next message of a gateway that has the registration and the exchange that fetches it.
 constexpr milliseconds registration_patience{250};
-/// Refused requests come back after a time in this range, spread so that they don't come back together.
+/// Refused requests are told to retry after a time in this range. It depends on the request, so that requests
+/// refused together don't all return at once.
 constexpr milliseconds least_retry_wait{300};
 constexpr milliseconds most_retry_wait{1000};
 
@@ -94,10 +99,11 @@
     ask_for_slot();
 }
 
-/// Whether the request is certain to have its answer, or to be out of time, when this process ends. Where all
-/// gateways are restarted in turn, each may still be finishing a long stream when the last is told to stop;
-/// refusing everything meanwhile left callers without a server for two seconds. A stream that is cut is worse
-/// than one that is told at once to go elsewhere.
+/// Returns whether the request is certain to be answered, or to have passed its deadline, before this process
+/// exits. Requests with later deadlines are refused: telling a caller to go elsewhere is better than
+/// truncating its stream later. The others are accepted because, when all gateways are restarted in turn,
+/// each may still be finishing long streams when the last is told to stop; refusing every request left
+/// callers without a server for two seconds.
 bool request_exchange::has_time_to_finish() const {
     if (!m_context.is_stopping() || clock::now() <= m_context.stopping->takes_all_until) {
         return true;
@@ -155,9 +161,10 @@
     }
 }
 
-/// The coordinator has read the registration of a server that this process hasn't read yet, for instance of
-/// one that has just started anew. The news is on its way to here; given back at once, the slot would be
-/// granted again just so, until the request has had all its tries without being sent anywhere.
+/// Waits for the registration of a server that the coordinator has already read and this process has not, for
+/// instance of one that has just restarted. The registration is on its way here. Giving the slot back at once
+/// would let the coordinator grant it again immediately, until the request has used up all its attempts
+/// without being sent anywhere.
 void request_exchange::wait_for_registration(const policy::slot_grant& grant) {
     const std::weak_ptr<request_exchange> weak = weak_from_this();
     const auto go_on = [weak, grant] {
@@ -184,7 +191,8 @@
         fail_try(policy::try_outcome::unreachable, policy::slot_outcome::refused,
                  "the server isn't registered here");
     } else if (server->record().state != routing::backend_state::ready) {
-        // The coordinator may not know yet, for instance while the store turns it away.
+        // The coordinator may not have read that the server is draining, for instance while the store refuses
+        // the coordinator's requests.
         fail_try(policy::try_outcome::unreachable, policy::slot_outcome::refused, "the server is leaving");
     } else {
         send_to(std::move(server));
@@ -219,7 +227,7 @@
     }
 }
 
-/// Tokens that the current server has made.
+/// Returns the number of output tokens received from the current server.
 double request_exchange::count_output() const {
     const auto& engine = m_admitted.service->engine;
     const auto events = static_cast<double>(m_events.count() - m_events_before);
@@ -287,7 +295,8 @@
     }
 }
 
-/// For the log: what counts for the caller is the time to its first event and the longest pause after it.
+/// Records the time to the first event and the longest pause between events. Both are written to the log,
+/// since they are what the caller experiences.
 void request_exchange::note_event() {
     const auto now = clock::now();
     if (!m_has_begun_answer) {
@@ -384,7 +393,7 @@
 void request_exchange::fail_try(policy::try_outcome outcome, policy::slot_outcome slot,
                                 std::string_view reason) {
     const auto busy = clock::now() - m_slot_begin;
-    // What didn't run has its allowance given back with its slot.
+    // The slot scheduler refunds the quota of a request that didn't run when its slot is released.
     m_is_charged = outcome == policy::try_outcome::may_have_run;
     m_attempts.record(m_slot, outcome);
     leave_slot(slot);
@@ -401,7 +410,8 @@
     }
 }
 
-/// A stream that its caller has a part of can only go on where the last event has an id.
+/// Returns whether the request may be sent to another server. A stream of which the caller already has a part
+/// can only continue if its last event has an id, from which the next server resumes.
 bool request_exchange::may_try_again() const {
     const bool can_go_on = !m_has_begun_answer || m_events.last_id().has_value();
     return can_go_on && m_attempts.may_try_again() && m_admitted.time_left() > answer_margin;
@@ -420,14 +430,15 @@
                  is_running ? "its time is over while a server works on it" : "its time is over");
 }
 
-/// The request gets no answer from a backend server. A refusal that says "not run" is only given when that is
-/// certain; a stream that has begun is cut, so that its part can't be taken for the whole.
+/// Answers a request that no backend server has answered. An error that promises "not run" is only sent when
+/// that is certain. A stream that has begun is aborted, so that the caller can't mistake its part for a
+/// complete answer.
 void request_exchange::end_unserved(error_kind kind, std::string_view reason,
                                     std::optional<milliseconds> retry_after) {
     leave_slot(policy::slot_outcome::abandoned);
     if (m_has_begun_answer) {
         m_journal.cut(m_admitted, reason, m_attempts.tries(), m_events.count());
-        m_is_over = true; // told already
+        m_is_over = true; // logged above as cut; cancel() must not log it as abandoned
         m_session->cut();
         end();
         return;
--- a/src/gateway/request_exchange.hpp
+++ b/src/gateway/request_exchange.hpp
@@ -1,5 +1,5 @@
-// One request from its last byte to its final answer: admitted, given a slot, carried to a backend server,
-// perhaps to another one, and answered.
+// Handles one request after its last byte has arrived: admits it, obtains a slot, forwards it to a backend
+// server, retries on another server if the attempt fails, and answers the caller.
 #pragma once
 
 #include "base/error_kind.hpp"
@@ -22,11 +22,13 @@
 
 namespace borageford::gateway {
 
-/// The session ends it with cancel() when the caller is gone; else it answers exactly once.
+/// The exchange answers its session exactly once, unless the session calls cancel() first because the caller
+/// has disconnected.
 class request_exchange : public std::enable_shared_from_this<request_exchange> {
 public:
     using clock = std::chrono::steady_clock;
 
+    /// `arrived` is when the last byte of the request was read; deadlines count from it.
     request_exchange(gateway_context& context, std::shared_ptr<client_session> session,
                      http::received_request request, clock::time_point arrived);
     ~request_exchange();
@@ -35,12 +37,16 @@
     request_exchange(request_exchange&&) = delete;
     request_exchange& operator=(request_exchange&&) = delete;
 
+    /// Begins processing. While the process has no configuration, the request waits for up to
+    /// `configuration_patience` of the settings.
     void start();
 
-    /// The caller is gone: what runs is stopped at its backend server.
+    /// The caller has disconnected: aborts the call to the backend server, releases the slot and logs the
+    /// request as abandoned.
     void cancel();
 
-    /// The caller has taken all that was sent to it.
+    /// Called when all bytes sent to the caller have left the process; resumes reading from the backend
+    /// server.
     void take_drained();
 
 private:
@@ -90,25 +96,29 @@
     bool m_is_admitted = false;
     policy::slot_ticket m_ticket = 0;
     bool m_waits_for_slot = false;
-    policy::server_key m_slot = 0; ///< the server whose slot is held; 0: none
-    std::string m_server_id; ///< of the server that it was sent to last; empty while it waits for a slot
+    policy::server_key m_slot = 0; ///< Key of the server whose slot is held; 0: none.
+    /// Id of the server that the request was last sent to; empty while it waits for a slot.
+    std::string m_server_id;
     clock::time_point m_slot_begin;
-    policy::duration m_first_event{};  ///< from the slot's begin; 0: none came
-    clock::duration m_waited{};        ///< from its arrival to its first slot
-    clock::duration m_to_first{};      ///< from its arrival to its first event
-    clock::duration m_longest_pause{}; ///< between two events that its caller got
+    policy::duration m_first_event{};  ///< From the start of the slot to the first event; 0: none received.
+    clock::duration m_waited{};        ///< From the request's arrival to its first slot.
+    clock::duration m_to_first{};      ///< From the request's arrival to its first event.
+    clock::duration m_longest_pause{}; ///< The longest time between two events sent to the caller.
     clock::time_point m_last_event;
-    std::uint64_t m_events_before = 0; ///< that other servers had made when the slot was taken
-    bool m_is_charged = false;         ///< the workspace's allowance was charged for it
+    /// Events received from previous servers when the current slot was granted.
+    std::uint64_t m_events_before = 0;
+    bool m_is_charged = false; ///< Whether the request was charged to its workspace's quota.
 
     std::shared_ptr<backend_call> m_call;
-    bool m_passes_events = false; ///< the current response is passed on event by event
-    std::string m_answer;         ///< body of an answer that is passed on whole
+    /// Whether the current response is a successful stream, forwarded event by event.
+    bool m_passes_events = false;
+    std::string m_answer; ///< Body of a response that is forwarded as a whole.
     event_relay m_events;
-    bool m_has_begun_answer = false; ///< the caller has the head of a stream
+    bool m_has_begun_answer = false; ///< Whether the head of a stream has been sent to the caller.
     bool m_is_over = false;
-    timer_subscription m_timer; ///< while it waits for a configuration, then for the end of its time
-    timer_subscription m_registration_timer; ///< while it holds a slot at a server that isn't known yet
+    timer_subscription m_timer; ///< First polls for a configuration, then fires at the request's deadline.
+    /// Limits the wait for the registration of the server whose slot is held.
+    timer_subscription m_registration_timer;
 };
 
 } // namespace borageford::gateway
