--- a/src/gateway/peer_exchange.cpp
+++ b/src/gateway/peer_exchange.cpp
@@ -1,4 +1,5 @@
-// Two questions over HTTP, and their answers.
+// Implementation of peer_exchange: two HTTP GET requests, one for the configuration and one for changed
+// registrations, and their answers.
 #include "gateway/peer_exchange.hpp"
 
 #include "events/event_log.hpp"
@@ -25,18 +26,20 @@
 
 constexpr std::string_view configuration_target = "/configuration";
 constexpr std::string_view backends_path = "/backends";
-/// While the store is well it tells this gateway of a change soon, with what else has changed meanwhile.
+/// How long this gateway waits for the store before it asks a peer. A store that works delivers a change
+/// soon, together with other changes.
 constexpr milliseconds patience_with_store{700};
 constexpr milliseconds patience_without_store{100};
 constexpr milliseconds exchange_limit{500};
-/// A peer that was silent for longer may be gone.
+/// A peer that hasn't reported for longer than this may be gone.
 constexpr milliseconds heard_life{1000};
 constexpr unsigned status_ok = 200;
 constexpr unsigned status_not_found = 404;
 constexpr unsigned status_unavailable = 503;
-/// A small part of the memory of the smallest gateways, 88 MB; a whole update of 1,300 servers has 0.4 MB.
+/// A small part of the memory of the smallest gateways, 88 MB. A whole update of 1,300 servers takes 0.4 MB.
 constexpr std::size_t most_bytes_sending = 16U * 1024 * 1024;
-/// A configuration or some changes; they must spread while others ask for everything.
+/// Answers up to this size are always sent: a configuration or a few changes must spread even while many
+/// peers request whole updates.
 constexpr std::size_t small_answer = 64U * 1024;
 
 http::exchange_limits limits() {
@@ -101,7 +104,7 @@
     return read.ec == std::errc() && read.ptr == end ? std::optional(number) : std::nullopt;
 }
 
-/// The position that a question names as held; nothing when it isn't such a question.
+/// Parses the position that the requester holds; nothing if the target isn't a request for registrations.
 std::optional<store::position> held_position(std::string_view target) {
     if (http::path_of(target) != backends_path) {
         return std::nullopt;
@@ -154,7 +157,7 @@
       m_server(
           m_executor, {},
           [this](const http::request& received, http::response_writer& writer) -> asio::awaitable<void> {
-              auto whole = answer(received); // outlives the write
+              auto whole = answer(received); // must outlive the write
               const auto sending = m_sending.try_take(whole.body.size());
               if (!sending.has_value()) {
                   whole = http::make_response(status_unavailable, "text/plain", "");
@@ -193,13 +196,13 @@
     return http::make_response(status_not_found, "text/plain", "");
 }
 
-/// From the first word that a peer has a newer configuration until it is asked. A document may be large, and
-/// the store has a wider link than the few gateways that all others hear.
+/// Returns how long a newer configuration must have been known before a peer is asked for it. A document may
+/// be large, and the store has more bandwidth than the few gateways that report to all others.
 milliseconds peer_exchange::configuration_patience() const {
     return m_is_store_well() || m_relies_on_peers() ? patience_with_store : patience_without_store;
 }
 
-/// The same for backend servers, of which only what changed is sent.
+/// Returns the same for registrations, of which only the changes are sent.
 milliseconds peer_exchange::backend_patience() const {
     if (m_wants_backends || m_relies_on_peers()) {
         return milliseconds(0);
@@ -213,7 +216,7 @@
     });
 }
 
-/// Gateways are replaced at other addresses all the time: those that are silent are forgotten.
+/// Gateways are often replaced by others with new addresses, so peers that no longer report are dropped.
 void peer_exchange::note_heard(const asio::ip::address& peer, const heard_peer& heard) {
     m_heard[peer] = heard;
     if (heard.at >= m_next_forgetting) {
@@ -229,7 +232,7 @@
     if (configuration > m_configuration.version() &&
         m_configuration_lag.is_due(configuration_patience(), now)) {
         const auto address = choose_peer(&heard_peer::configuration, m_configuration.version(), now);
-        // Documents have versions of their own, which no return of the store takes back.
+        // Documents have versions of their own, which a restore of the store doesn't reset: the era is 0.
         report_question(address, "configuration", {0, m_configuration.version()}, {0, configuration});
         asio::co_spawn(m_executor, ask_for_configuration(address), asio::detached);
     }
@@ -241,7 +244,7 @@
     }
 }
 
-/// Any of those that are ahead: all gateways hear of a change from the one that coordinates, and it would
+/// Draws any peer that is ahead. All gateways learn of a change from the coordinator, which would otherwise
 /// have to answer each of them.
 template <typename Version>
 asio::ip::tcp::endpoint peer_exchange::choose_peer(Version heard_peer::* version, const Version& held,
--- a/src/gateway/peer_exchange.hpp
+++ b/src/gateway/peer_exchange.hpp
@@ -1,4 +1,5 @@
-// Passes the newest configuration and registrations between gateways, for those that the store turns away.
+// Exchanges the newest configuration and the registrations of backend servers between gateways, so that a
+// gateway that can't reach the store gets them too.
 #pragma once
 
 #include "gateway/backend_roster.hpp"
@@ -19,9 +20,13 @@
 
 namespace borageford::gateway {
 
-/// A gateway hears in every datagram which versions its peers hold. What it lacks for longer than the store
-/// usually takes to tell it, it asks the peer for.
+/// Each datagram of a peer states which versions the peer holds. If this gateway has held an older version
+/// for longer than the store usually takes to deliver the change, it fetches the newer one from a peer over
+/// HTTP.
 class peer_exchange {
+    /// `local` is the TCP address to listen on; peers are reached on the same port. `is_store_well` returns
+    /// whether the store answers this gateway, `relies_on_peers` whether this gateway learns of changes from
+    /// peers only.
 public:
     peer_exchange(boost::asio::any_io_executor executor, const boost::asio::ip::tcp::endpoint& local,
                   configuration_keeper& configuration, backend_roster& backends,
@@ -29,13 +34,14 @@
 
     void start();
 
-    /// A peer holds these versions.
+    /// Records the versions that a peer holds, and fetches newer ones if it is time.
     void hear(const boost::asio::ip::address& peer, std::uint64_t configuration, store::position backends);
 
-    /// Whether a peer has said lately that it holds a newer one than this process.
+    /// Returns whether a peer has recently reported a newer configuration than the one held here.
     [[nodiscard]] bool hears_newer_configuration() const;
 
-    /// A server is named to this gateway that it doesn't know: the next peer that is ahead is asked at once.
+    /// Makes the next peer that is ahead be asked for registrations at once. Called when a slot was granted
+    /// at a server that is unknown here.
     void want_backends() noexcept { m_wants_backends = true; }
 
 private:
@@ -48,23 +54,24 @@
     boost::asio::awaitable<void> ask_for_configuration(boost::asio::ip::tcp::endpoint peer);
     boost::asio::awaitable<void> ask_for_backends(boost::asio::ip::tcp::endpoint peer);
 
-    /// Since when something has been behind, and whether it is being asked for.
+    /// Since when this gateway has been behind its peers, and whether it is fetching the newer version.
     struct lag {
         clock::time_point since = clock::time_point::max();
         bool is_asking = false;
 
-        /// Whether it is time to ask a peer that is ahead.
+        /// Returns whether this gateway has been behind for `patience`, so that a peer should be asked now;
+        /// if so, marks the fetch as running.
         [[nodiscard]] bool is_due(std::chrono::milliseconds patience, clock::time_point now);
     };
 
-    /// What a peer said last that it holds.
+    /// The versions that a peer reported last, and when.
     struct heard_peer {
         std::uint64_t configuration = 0;
         store::position backends;
         clock::time_point at;
     };
     void note_heard(const boost::asio::ip::address& peer, const heard_peer& heard);
-    /// One of the peers that hold more than `held`; at least one does.
+    /// Draws one of the peers that hold more than `held`; there must be at least one.
     template <typename Version>
     [[nodiscard]] boost::asio::ip::tcp::endpoint choose_peer(Version heard_peer::* version,
                                                              const Version& held, clock::time_point now);
@@ -74,16 +81,17 @@
     configuration_keeper& m_configuration;
     backend_roster& m_backends;
     std::function<bool()> m_is_store_well;
-    std::function<bool()> m_relies_on_peers; ///< the store isn't asked for changes
-    /// The last whole update as it is sent. After all gateways were killed each asks for it, and encoding
-    /// thousands of registrations anew for each would take seconds.
+    /// Whether changes are learned from peers, and the store isn't polled.
+    std::function<bool()> m_relies_on_peers;
+    /// The last whole update in encoded form. After all gateways were killed, each of them requests it, and
+    /// encoding thousands of registrations for each request would take seconds.
     std::string m_whole_update;
     store::position m_whole_update_position;
-    send_budget m_sending; ///< outlives the server's answers
+    send_budget m_sending; ///< must outlive the answers that m_server sends
     http::server m_server;
     std::minstd_rand m_random{std::random_device{}()};
     std::map<boost::asio::ip::address, heard_peer> m_heard;
-    clock::time_point m_next_forgetting; ///< of peers that are silent
+    clock::time_point m_next_forgetting; ///< When the peers without recent reports are dropped next.
     lag m_configuration_lag;
     lag m_backend_lag;
     bool m_wants_backends = false;
--- a/src/gateway/store_follower.cpp
+++ b/src/gateway/store_follower.cpp
@@ -1,4 +1,5 @@
-// Read all once, then follow, from the last known version on after every gap.
+// Implementation of store_follower: reads all rows once, then follows the changes. After an interruption it
+// continues from the last known version.
 #include "gateway/store_follower.hpp"
 
 #include "base/identifier.hpp"
@@ -19,22 +20,23 @@
 
 namespace {
 
-/// After a change the next question waits a little, so that what changes meanwhile comes with one answer.
-/// Backend servers register and leave in groups, and each question is a call that is paid for. Bounded by the
-/// time in which a change must be in force.
+/// Delay between a change and the next poll, so that several changes come in one answer. Backend servers
+/// register and drain in groups, and each poll is a call that is paid for. Bounded by the time in which a
+/// change must be in force.
 constexpr milliseconds gathering_time{400};
-/// After a failed call: short enough that an outage's end is seen well within the time in which a new
-/// configuration must be in force, long enough that a store in trouble isn't pressed.
+/// Delays after a failed call. They are short enough to notice the end of an outage well within the time in
+/// which a new configuration must be in force, and long enough not to add load to a store in trouble.
 constexpr milliseconds first_retry_delay{250};
 constexpr milliseconds longest_retry_delay{800};
-/// The same for a gateway that nobody relies on: when the store is back it hears so from those that do.
+/// Longest delay for a gateway on which no other gateway relies. When the store is back, it learns this from
+/// the gateways that follow the store.
 constexpr milliseconds longest_delay_of_others{3000};
-/// How often a gateway that is told what changes looks whether it still is.
+/// How often a gateway that relies on others checks whether it still may.
 constexpr milliseconds duty_check_period{100};
-/// How often is looked whether an open question is to be asked once more.
+/// How often it is checked whether an open read has to be repeated.
 constexpr milliseconds repeat_check_period{100};
-/// While nothing is known an unanswered question is asked again after a time in this range, some hundred
-/// times the store's usual 4 ms; a store that is slow by a factor of 50 still answers the first one.
+/// Range of the period after which an unanswered first read is repeated. It is about a hundred times the
+/// store's usual 4 ms, so a store that is slowed down by a factor of 50 still answers the first read.
 constexpr milliseconds least_first_read_period{300};
 constexpr milliseconds most_first_read_period{600};
 
@@ -82,20 +84,22 @@
     }
 }
 
-/// Once the store has told an era, an answer without one is of the present era.
+/// Adds the known era to a position that has none: once the store has reported an era, an answer without one
+/// is of the current era.
 store::position store_follower::complete(store::position told) const {
     return {told.era > 0 ? told.era : m_position.era, told.version};
 }
 
-/// An answer of before the store came back from an older copy, on a connection opened then, tells of changes
-/// that may never have been.
+/// Throws store_error for an answer of a previous era. Such an answer was sent before the store was restored
+/// from an older copy, for instance on a connection opened before, and its changes may not exist in the
+/// restored store.
 void store_follower::refuse_former(store::position told) const {
     if (told.era < std::max(m_position.era, m_handlers.known_position().era)) {
         throw store::store_error(store::effect::none, "an answer of a former era");
     }
 }
 
-/// Returns whether the store came back from an older copy, and everything is to be read anew.
+/// Returns whether the position is of a new era, so that everything has to be read again.
 bool store_follower::take_era(store::position told) {
     if (told.era == m_position.era) {
         return false;
@@ -105,7 +109,7 @@
     return true;
 }
 
-/// What was told meanwhile need not be asked for.
+/// Waits while this gateway relies on others, then skips the changes that they have reported in the meantime.
 asio::awaitable<void> store_follower::wait_while_told() {
     m_relies = m_handlers.read_duty() == policy::follower_duty::rely;
     if (!m_relies) {
@@ -120,7 +124,7 @@
 
 asio::awaitable<void> store_follower::read_all() {
     note_asked();
-    // Spread: one gateway's answer is enough for all, since they pass it on.
+    // Randomized, since one gateway's answer is enough for all: the gateways pass it on.
     const auto period = draw_between(least_first_read_period, most_first_read_period);
     auto all = co_await store::read_all_repeatedly(m_executor, m_timers, m_table, m_table_name + "/", period);
     all.position = complete(all.position);
@@ -131,8 +135,8 @@
     m_handlers.on_all(all);
 }
 
-/// Spread, since all gateways meet the same outage at the same time; and longer while it lasts, since where
-/// hundreds of gateways are over the store's rate each early question is one more refusal.
+/// Randomized, since all gateways meet an outage at the same time. The delay grows while the outage lasts: if
+/// hundreds of gateways together exceed the store's rate limit, each early call is one more refusal.
 milliseconds store_follower::next_delay() {
     const auto most =
         policy::is_relied_on(m_handlers.read_duty()) ? longest_retry_delay : longest_delay_of_others;
@@ -181,7 +185,8 @@
                    {"version", at.version}});
 }
 
-/// Returns when history was lost or an era began; throws store_error when the store is away.
+/// Returns when the store has dropped the history or begun a new era. Throws store_error when the store can't
+/// be reached.
 asio::awaitable<void> store_follower::follow() {
     for (;;) {
         co_await wait_while_told();
@@ -208,7 +213,7 @@
 
 asio::awaitable<std::optional<store::change_page>> store_follower::ask_for_changes() {
     change_question question(m_executor);
-    // After an outage at first without waiting, to learn soon whether the store is back.
+    // After an outage the first poll doesn't wait for a change, to learn soon whether the store is back.
     const auto age = m_confirmation.age(clock::now());
     note_asked();
     ask(question, m_is_in_touch ? m_pace.wait(m_handlers.read_duty(), age) : clock::duration::zero());
@@ -231,7 +236,8 @@
     if (is_told || !is_stale || now - m_question->repeated_at < m_pace.repeat_delay(duty)) {
         return;
     }
-    // Also when only the others' confirmations are missing: the store may be taking no heartbeats either.
+    // Also called when only the confirmations of other gateways are missing: the store may be accepting no
+    // heartbeats of servers either.
     m_handlers.on_outage();
     if (now >= m_question->answer_due) {
         note_lost("a question was left unanswered");
--- a/src/gateway/store_follower.hpp
+++ b/src/gateway/store_follower.hpp
@@ -1,4 +1,5 @@
-// Follows one table of the store: everything once, then its changes as they happen.
+// Follows one table of the store: reads all its rows once, then receives its changes by long polls (reads of
+// changes that the store holds open until something changes).
 #pragma once
 
 #include "base/timer_service.hpp"
@@ -21,22 +22,25 @@
 
 namespace borageford::gateway {
 
+/// Runs on one executor, from start() until the process ends. Whether it polls the store or relies on other
+/// gateways depends on its role, see policy::follower_duty.
 class store_follower {
 public:
     using clock = std::chrono::steady_clock;
 
     struct handlers {
-        /// All rows as of one moment: at the start, after history was lost, and first of all in a new era.
+        /// All rows as of one moment: at the start, after the store has dropped the needed history, and at
+        /// the beginning of a new era.
         std::function<void(const store::row_page&)> on_all;
-        /// Of the era of the rows that were told last.
+        /// One change, of the same era as the rows last passed to on_all.
         std::function<void(const store::row_change&)> on_change;
-        /// The store couldn't be reached, refused, or hasn't confirmed for too long what is held; called each
-        /// time.
+        /// The store couldn't be reached, refused a request, or hasn't confirmed the held state for too long.
+        /// Called on each failed or overdue call.
         std::function<void()> on_outage;
-        /// Up to where all changes are known from elsewhere, for instance from another gateway; version 0:
-        /// none are, and the store is known to be in that era.
+        /// Returns the position up to which all changes are known from another source, for instance another
+        /// gateway. Version 0: no changes are known, but the store is in that era.
         std::function<store::position()> known_position;
-        /// Whether this gateway is to ask at all; see policy/follower_duty.hpp.
+        /// Returns the current role, which decides whether and how often this gateway polls the store.
         std::function<policy::follower_duty()> read_duty;
     };
 
@@ -45,37 +49,41 @@
 
     void start();
 
-    /// Another gateway holds what is held here, and the store confirmed it at this time of its clock.
+    /// Another gateway holds the same version, and reports that the store confirmed it at `answered`, a time
+    /// of the store's clock.
     void hear_confirmation(policy::store_moment answered) { m_confirmation.hear(answered, clock::now()); }
-    /// Told to other gateways with the version that is held; see policy/confirmation.hpp.
+    /// Returns the latest confirmation, to be reported to other gateways together with the held version;
+    /// empty unless it is recent. See policy::confirmation.
     [[nodiscard]] policy::store_moment told_confirmation() const { return m_confirmation.news(clock::now()); }
 
-    /// Whether the store is asked and answered the last call.
+    /// Returns whether this gateway polls the store and the store answered the last call.
     [[nodiscard]] bool is_in_touch() const noexcept { return m_is_in_touch && !m_relies; }
-    /// When what is held was confirmed last, to this gateway or to another.
+    /// Returns when the held state was last confirmed, to this gateway or to another one.
     [[nodiscard]] clock::time_point confirmed_at() const noexcept { return m_confirmation.noted_at(); }
-    /// For how long the store has answered without a break, as far as this gateway can tell; zero: it isn't
-    /// asked, or doesn't answer.
+    /// Returns for how long the store has answered without interruption, as far as this gateway can tell;
+    /// zero while it isn't polled or doesn't answer.
     [[nodiscard]] clock::duration unbroken() const {
         return is_in_touch() ? m_confirmation.unbroken(clock::now()) : clock::duration::zero();
     }
-    /// Whether what is held was confirmed lately, to this gateway or to another.
+    /// Returns whether the held state was confirmed recently, to this gateway or to another one.
     [[nodiscard]] bool is_current() const { return m_pace.is_current(m_confirmation.age(clock::now())); }
 
-    /// Time since the store answered a question about the table, or since the start while it hasn't.
+    /// Returns the time since the store last answered a read of the table; before the first answer, the time
+    /// since construction.
     [[nodiscard]] clock::duration answer_age() const { return clock::now() - m_answered_at; }
-    /// Time since the question was asked that is open now; zero: none is.
+    /// Returns the time since the open read was started; zero if none is open.
     [[nodiscard]] clock::duration question_age() const;
 
 private:
-    /// Nothing when the store has dropped the history that was asked for.
+    /// The answer is empty when the store has dropped the history after the requested version.
     using change_question = store::repeated_question<std::optional<store::change_page>>;
 
-    /// When the question that is open was asked, and asked once more.
+    /// When the open read was started, and when it was last repeated.
     struct open_question {
         clock::time_point asked_at;
         clock::time_point repeated_at{};
-        clock::time_point answer_due{}; ///< by then a store that isn't silent answers the repeated one
+        /// An unresponsive store is assumed if the last repetition has no answer by then.
+        clock::time_point answer_due{};
     };
 
     boost::asio::awaitable<void> run();
@@ -103,12 +111,14 @@
     std::string m_table_name;
     policy::follower_pace m_pace;
     policy::confirmation m_confirmation{clock::now(), m_pace.longest_gap()};
-    /// Up to where all changes were taken; version 0: everything is to be read. Its era never goes back.
+    /// Position up to which all changes have been applied; version 0: everything has to be read. Its era
+    /// never decreases.
     store::position m_position;
-    store::position m_forgotten; ///< the store has dropped the history after it
+    store::position m_forgotten; ///< The store has dropped the history after this position.
     bool m_is_in_touch = false;
-    bool m_relies = false;   ///< others tell what changes, and the store isn't asked
-    unsigned m_failures = 0; ///< since the last answer
+    /// Whether changes are currently learned from other gateways, and the store isn't polled.
+    bool m_relies = false;
+    unsigned m_failures = 0; ///< Failed calls since the last answer.
     std::optional<clock::time_point> m_lost_since;
     clock::time_point m_answered_at = clock::now();
     std::optional<open_question> m_question;
