--- a/src/gateway/admitted_request.cpp
+++ b/src/gateway/admitted_request.cpp
@@ -1,4 +1,4 @@
-// Route, workspace, time and cost, in this order.
+// Implementation of admit(): determines route, workspace, deadline and cost, in this order.
 #include "gateway/admitted_request.hpp"
 
 #include "base/hash.hpp"
@@ -15,7 +15,8 @@
 namespace {
 
 constexpr std::string_view bearer = "Bearer ";
-/// A process that has just started learns its configuration within this time when the store is well.
+/// Retry-After of a request that arrives before the first configuration. A process that has just started
+/// receives its configuration within this time if the store works.
 constexpr milliseconds first_configuration_wait{300};
 
 std::optional<std::int64_t> parse_number(std::optional<std::string_view> text) {
@@ -47,7 +48,7 @@
     return found;
 }
 
-/// The tokens that a caller tells: those of its prompt, and how many it takes at most.
+/// Token counts stated by the caller: those of the prompt, and the maximum of the output.
 struct told_tokens {
     double prompt = 0;
     double most_output = 0;
--- a/src/gateway/admitted_request.hpp
+++ b/src/gateway/admitted_request.hpp
@@ -1,4 +1,5 @@
-// What a request is, once its head has been looked up in the configuration.
+// A request with everything that the configuration determines for it: route, service, workspace, deadline and
+// cost.
 #pragma once
 
 #include "gateway/gateway_context.hpp"
@@ -13,28 +14,34 @@
 
 namespace borageford::gateway {
 
+/// The result of admit().
 struct admitted_request {
     using clock = std::chrono::steady_clock;
 
-    /// Keeps the version alive under which the request was admitted; what follows points into it.
+    /// The configuration under which the request was admitted; keeps the objects alive that the pointers
+    /// below refer to.
     std::shared_ptr<const routing::routing_table> configuration;
     const routing::route* route = nullptr;
     const routing::service* service = nullptr;
-    const routing::workspace* workspace = nullptr; ///< null on public routes
-    std::string id;                                ///< as its caller named it
+    /// Null on public routes, and if the configuration has no workspaces.
+    const routing::workspace* workspace = nullptr;
+    std::string id; ///< As set by the caller; empty: none.
     clock::time_point arrived;
-    clock::time_point deadline; ///< the caller's or the route's, whichever is sooner
+    clock::time_point deadline; ///< From the caller or from the route's timeout, whichever is earlier.
     policy::token_cost cost;
-    double units = 0;              ///< of its workspace's allowance
-    int tier = 0;                  ///< of the workspace first, then of the route; 0 is the highest
-    std::uint64_t fingerprint = 0; ///< of caller, target and body
+    double units = 0; ///< Units charged to the quota of its workspace.
+    /// Combined from the workspace's tier, which counts first, and the route's; 0 is the highest.
+    int tier = 0;
+    std::uint64_t fingerprint = 0; ///< Hash of caller, target and body.
 
+    /// Negative once the deadline has passed.
     [[nodiscard]] std::chrono::milliseconds time_left() const {
         return std::chrono::duration_cast<std::chrono::milliseconds>(deadline - clock::now());
     }
 };
 
-/// Throws request_error: no configuration, no such route, no such key.
+/// Looks up route, workspace and service, and derives deadline and cost. Throws request_error if there is no
+/// configuration, no matching route or no valid API key.
 [[nodiscard]] admitted_request admit(const gateway_context& context, const http::received_request& request,
                                      admitted_request::clock::time_point arrived);
 
--- a/src/gateway/client_session.cpp
+++ b/src/gateway/client_session.cpp
@@ -1,4 +1,4 @@
-// Reading requests and writing answers on one connection.
+// Implementation of client_session: reads requests from one connection and writes the answers to it.
 #include "gateway/client_session.hpp"
 
 #include "base/request_error.hpp"
@@ -18,12 +18,13 @@
 
 namespace {
 
-/// Pipelined bytes that are held while a request is answered; more stay in the kernel.
+/// Above this number of pipelined bytes, reading pauses while a request is being answered; further bytes stay
+/// in the kernel.
 constexpr std::size_t most_held_input = 64U * 1024;
-/// How long a connection that ends with an error answer may still send, so that the answer isn't destroyed by
-/// a reset.
+/// How long the caller may still send on a connection that this process is closing. Closing at once would
+/// make the kernel send a reset, which could destroy the answer before the caller has read it.
 constexpr milliseconds linger{1000};
-/// How often a connection's idle time and the time of a half-read head are looked at.
+/// How often the idle time and the time limit for a request's head are checked.
 constexpr milliseconds time_check_period{500};
 constexpr std::size_t most_read_size = 64U * 1024;
 
@@ -219,7 +220,7 @@
     }
     m_connection->read();
     if (!m_connection->input().empty()) {
-        // From a fresh call, so that a caller with many small requests can't deepen the stack.
+        // Posted instead of called, so that a caller with many small requests can't deepen the stack.
         boost::asio::post(m_context.executor, [self = shared_from_this()] {
             if (self->m_exchange == nullptr && !self->m_is_closed) {
                 self->read_requests();
--- a/src/gateway/client_session.hpp
+++ b/src/gateway/client_session.hpp
@@ -1,4 +1,4 @@
-// One caller's connection: reads its requests one after the other and writes their answers.
+// A caller's connection: reads its requests one after another and writes the answers.
 #pragma once
 
 #include "base/error_kind.hpp"
@@ -21,7 +21,8 @@
 
 class request_exchange;
 
-/// Invariant: at most one request is being answered; bytes of later ones wait in the connection's input.
+/// Invariant: at most one request is being answered; bytes of later (pipelined) requests wait in the
+/// connection's input.
 class client_session : public std::enable_shared_from_this<client_session> {
 public:
     client_session(gateway_context& context, boost::asio::ip::tcp::socket socket);
@@ -31,23 +32,27 @@
     client_session(client_session&&) = delete;
     client_session& operator=(client_session&&) = delete;
 
+    /// Starts reading requests.
     void start();
 
-    // For the exchange that answers the current request.
+    // Called by the request_exchange that answers the current request.
 
-    /// A whole answer; `fields` are complete header lines.
+    /// Sends a complete answer. `fields` are complete header lines, each with its line end.
     void answer(unsigned status, std::string_view reason, std::string_view fields, std::string_view body);
-    /// Starts an answer whose end only finish_stream() marks.
+    /// Sends the head of a streamed answer, which ends with finish_stream() or cut().
     void begin_stream(unsigned status, std::string_view reason, std::string_view fields);
+    /// Sends bytes of the stream as one chunk.
     void send_piece(std::string_view bytes);
+    /// Sends the end of the stream.
     void finish_stream();
-    /// Ends the connection in the middle of an answer: what came can't be taken for the whole.
+    /// Closes the connection in the middle of an answer, so that the caller can't mistake what it has
+    /// received for the complete answer.
     void cut();
 
-    /// Bytes that the caller hasn't taken yet.
+    /// Bytes that have been sent to this session and not yet written to the connection.
     [[nodiscard]] std::size_t unsent() const noexcept { return m_connection->unsent(); }
 
-    /// Stops when no request is in progress: idle connections are closed.
+    /// Closes the connection if no request is being read or answered. Called while the process shuts down.
     void close_if_idle();
     [[nodiscard]] bool is_idle() const noexcept;
 
@@ -73,9 +78,9 @@
     http::request_reader m_reader;
     std::shared_ptr<request_exchange> m_exchange;
     timer_subscription m_timer;
-    clock::time_point m_request_begin; ///< when the current request's first byte came
+    clock::time_point m_request_begin; ///< When the first byte of the current request arrived.
     clock::time_point m_idle_since;
-    bool m_reads_request = false; ///< a request's first byte has come, its last hasn't
+    bool m_reads_request = false; ///< Whether the first byte of a request has arrived and its last has not.
     bool m_keeps_connection = true;
     bool m_has_continued = false;
     bool m_is_closed = false;
--- a/src/gateway/gateway_process.cpp
+++ b/src/gateway/gateway_process.cpp
@@ -1,4 +1,4 @@
-// Putting a gateway together, and its graceful stop.
+// Creates and connects the parts of a gateway, and reloads its settings.
 #include "gateway/gateway_process.hpp"
 
 #include "base/hash.hpp"
@@ -40,16 +40,17 @@
 namespace {
 
 constexpr int wrong_settings_exit_code = 2;
-/// Callers come in bursts; a full queue would drop their opening packets for seconds.
+/// Length of the queue of connections that wait to be accepted. Callers connect in bursts, and a full queue
+/// would drop their first packets, which are repeated only after seconds.
 constexpr int listen_backlog = 4096;
 
-/// After which a gateway that coordinates decides about roll-outs.
+/// How long a gateway must have been the coordinator before it decides about roll-outs.
 constexpr milliseconds settling_time{1000};
 
-/// Lines wait this long for the one system call that writes them all.
+/// How long log lines are buffered, so that many are written with one system call.
 constexpr milliseconds log_flush_period{50};
 
-/// A number in [0, 1).
+/// Draws a number in [0, 1).
 double draw_share() {
     std::random_device source;
     return std::uniform_real_distribution<double>(0, 1)(source);
@@ -187,7 +188,8 @@
                 }};
     }
 
-    /// Between two coordinators several gateways may take themselves for the one, each for a moment.
+    /// Returns whether this process decides about roll-outs. It waits for settling_time, since several
+    /// gateways may briefly consider themselves the coordinator while it changes.
     [[nodiscard]] bool decides_for_all() const {
         return m_slots.source() == coordination::slot_source::own_coordination &&
                std::chrono::steady_clock::now() - m_slots.source_since() >= settling_time;
@@ -195,12 +197,14 @@
 
     void hear_peer(const asio::ip::address& peer, const coordination::slot_broker::versions& held) {
         m_exchange.hear(peer, held.configuration, held.backends);
-        // Who lives in a former era says nothing of the store as it is now.
+        // A peer in a previous era has not seen the restored store, so its report says nothing about the
+        // store now.
         if (held.is_in_touch && held.backends.era >= m_roster.position().era) {
             m_roster.note_other_in_touch(held.unbroken);
             m_follower_choice.hear_follower(std::chrono::steady_clock::now());
         }
-        // Of another version it says nothing: this gateway, or the peer, is behind.
+        // The confirmation only counts if the peer holds the same version: otherwise this gateway or the peer
+        // is behind.
         if (held.configuration == m_configuration_keeper.version()) {
             m_configuration_follower.hear_confirmation({held.backends.era, held.configuration_confirmed});
         }
@@ -213,7 +217,8 @@
         return m_configuration_follower.is_in_touch() && m_backend_follower.is_in_touch();
     }
 
-    /// Whether others may go by it that the store answers this gateway: not by an answer that is overdue.
+    /// Returns whether to report to other gateways that the store answers this one. An overdue answer doesn't
+    /// count.
     [[nodiscard]] bool is_in_touch() const {
         return is_store_well() && m_configuration_follower.is_current() && m_backend_follower.is_current();
     }
@@ -227,7 +232,8 @@
                 std::chrono::duration_cast<milliseconds>(m_backend_follower.unbroken())};
     }
 
-    /// One era is told for everything, that of the backend servers.
+    /// Returns the confirmation to report, in ms of the store's clock; 0: none. Only one era is reported, the
+    /// era of the registrations, so a confirmation of another era is left out.
     [[nodiscard]] std::uint64_t told_confirmation(const store_follower& follower) const {
         const auto told = follower.told_confirmation();
         return told.era == m_roster.position().era ? told.milliseconds : 0;
@@ -240,14 +246,15 @@
                     }
                 },
                 [this](const store::row_change& change) { take_operators_row(change); }, [] {},
-                // A document's version isn't the store's.
+                // Configuration documents have versions of their own, so only the era is known.
                 [this] { return store::position{m_roster.position().era, 0}; },
                 [this] {
                     return configuration_duty();
                 }};
     }
 
-    /// Nothing has to be asked for until others speak of a newer version; then the store is asked for it.
+    /// Returns the role for the configuration's table. A gateway that relies on others needs nothing from the
+    /// store until they report a newer version; then it reads that from the store itself.
     [[nodiscard]] policy::follower_duty configuration_duty() const {
         const auto duty = follower_duty();
         const bool is_behind = duty == policy::follower_duty::rely && m_exchange.hears_newer_configuration();
@@ -290,7 +297,8 @@
         }
     }
 
-    /// An order that is missing from an older copy of the store stands until it is removed.
+    /// Sets or withdraws a roll-out order. An order that is missing from an older copy of the store stays in
+    /// force until its row is removed.
     void take_rollout(const store::row_change& change) {
         if (change.is_removed) {
             m_rollouts.withdraw_order(change.now.key.substr(m_speech.rollout_prefix.size()));
@@ -340,7 +348,8 @@
         co_await writer.write(answer);
     }
 
-    /// Reads the settings file again. What can change while running is taken; a faulty file changes nothing.
+    /// Reads the settings file again and applies what can change while the process runs: stop_limit and new
+    /// seeds. An invalid file is logged and changes nothing.
     void reload() {
         std::vector<settings::problem> problems;
         const auto text = settings::read_file(m_settings_file, problems);
--- a/src/gateway/gateway_process.hpp
+++ b/src/gateway/gateway_process.hpp
@@ -1,4 +1,4 @@
-// The process that carries callers' requests straight to backend servers.
+// Entry point of the gateway process, which forwards callers' requests to backend servers.
 #pragma once
 
 #include "gateway/deployment.hpp"
@@ -7,8 +7,8 @@
 
 namespace borageford::gateway {
 
-/// Runs a gateway with the settings in this file until it is told to stop. Returns its exit code when the
-/// settings are wrong.
+/// Runs a gateway with the settings in `settings_file` until it is told to stop, and then exits the process.
+/// Returns an exit code only if the settings are invalid; the problems are then printed to stderr.
 int run_gateway(const std::string& settings_file, const deployment& speech);
 
 } // namespace borageford::gateway
