--- a/src/gateway/deployment.hpp
+++ b/src/gateway/deployment.hpp
@@ -1,5 +1,5 @@
-// What differs between deployments in how they speak: names of header fields, formats of rows. The folder
-// platform/ makes the one of the users' platform.
+// What differs between deployments in their interfaces: names of header fields, and formats of the rows in
+// the store. The folder platform/ provides the deployment for the users' platform.
 #pragma once
 
 #include "routing/backend_record.hpp"
@@ -14,27 +14,30 @@
 
 namespace borageford::gateway {
 
+/// Names and formats of one deployment. The decode functions throw std::exception for a value that can't be
+/// decoded.
 struct deployment {
     routing::call_fields fields;
     store::table_format format;
 
-    std::string configuration_table; ///< the table that holds the configuration
-    std::string configuration_key;   ///< its row, "TABLE/NAME"
-    /// Throws std::exception for a document that can't be read.
+    std::string configuration_table; ///< Name of the table that holds the configuration.
+    std::string configuration_key;   ///< Key of the configuration's row, as "TABLE/NAME".
+    /// Decodes the configuration as it stands in its row.
     std::function<routing::routing_document(std::string_view)> decode_configuration;
 
-    std::string
-        rollout_prefix; ///< of the rows that hold roll-outs, "TABLE/PREFIX", in the configuration's table
+    /// Prefix of the keys of roll-out orders, as "TABLE/PREFIX", in the configuration's table.
+    std::string rollout_prefix;
     std::function<routing::rollout_order(std::string_view)> decode_rollout;
-    std::string rollout_status_prefix; ///< of the rows that tell what became of them
+    /// Prefix of the keys under which the states of roll-outs are recorded, followed by the service.
+    std::string rollout_status_prefix;
     std::function<routing::rollout_status(std::string_view service, std::string_view value)>
         decode_rollout_status;
     std::function<std::string(const routing::rollout_status&)> encode_rollout_status;
 
-    std::string backend_table; ///< the table in which backend servers register
+    std::string backend_table; ///< Name of the table in which backend servers register.
     std::function<routing::backend_record(std::string_view id, std::string_view value)> decode_backend;
 
-    std::string readiness_path; ///< where the balancer asks
+    std::string readiness_path; ///< Path of the load balancer's readiness checks.
 };
 
 } // namespace borageford::gateway
--- a/src/gateway/event_relay.cpp
+++ b/src/gateway/event_relay.cpp
@@ -1,4 +1,5 @@
-// The splitter finds the events; the relay watches that they follow each other.
+// Implementation of event_relay: http::event_splitter finds the events, this class checks that events from a
+// further server continue the stream.
 #include "gateway/event_relay.hpp"
 
 #include "http/response_reader.hpp"
--- a/src/gateway/event_relay.hpp
+++ b/src/gateway/event_relay.hpp
@@ -1,4 +1,5 @@
-// The events of one stream on their way to its caller, from one backend server or, after a break, several.
+// Forwards the events of one stream to its caller, from one backend server or, after a broken connection,
+// from several in turn.
 #pragma once
 
 #include "http/event_splitter.hpp"
@@ -10,21 +11,25 @@
 
 namespace borageford::gateway {
 
-/// Only whole events pass, each once and in order. Invariant: the ids that have passed grow.
+/// Forwards only complete events, each once and in order. Invariant: the ids of the forwarded events
+/// increase.
 class event_relay {
 public:
-    /// Whole events to pass on; valid until the next call. Throws http::response_error when the stream
-    /// doesn't go on where the caller's has stopped: nothing of it may be passed on.
+    /// Adds received bytes and returns the complete events to forward; the result is valid until the next
+    /// call. Throws http::response_error if the first event from a further server doesn't directly follow the
+    /// last one that was forwarded; nothing of it may be forwarded then.
     [[nodiscard]] std::string_view add(std::string_view bytes);
 
-    /// The server's part has broken off: a half event is dropped, and what comes next is another server's.
+    /// The connection to the server broke: drops an incomplete event. The next bytes come from another
+    /// server.
     void break_off();
 
-    /// Whether the stream may end here: at least one event, and no half one.
+    /// Returns whether the stream may end here: at least one event was forwarded, and none is incomplete.
     [[nodiscard]] bool is_whole() const noexcept { return m_count > 0 && !m_splitter.has_part(); }
 
-    /// The id of the last event that has passed; nothing when none has, or it had none.
+    /// Id of the last forwarded event that had one; nothing if none had.
     [[nodiscard]] const std::optional<std::string>& last_id() const noexcept { return m_last_id; }
+    /// Number of events forwarded.
     [[nodiscard]] std::uint64_t count() const noexcept { return m_count; }
 
 private:
@@ -33,7 +38,7 @@
     http::event_splitter m_splitter;
     std::optional<std::string> m_last_id;
     std::uint64_t m_count = 0;
-    bool m_continues = false; ///< the next event must follow m_last_id
+    bool m_continues = false; ///< Whether the next event must directly follow m_last_id.
 };
 
 } // namespace borageford::gateway
--- a/src/gateway/gateway_context.hpp
+++ b/src/gateway/gateway_context.hpp
@@ -1,4 +1,4 @@
-// What the parts of a gateway share. All of them live on one thread's executor.
+// State shared by the parts of a gateway. All of them run on one thread's executor.
 #pragma once
 
 #include "base/snapshot.hpp"
@@ -26,12 +26,16 @@
 /// The configuration in force; null until the first one is known.
 using routing_snapshot = snapshot<std::shared_ptr<const routing::routing_table>>;
 
-/// What a process that was told to stop still does.
+/// How long a process that is shutting down accepts new requests, and when it exits.
 struct stop_times {
+    /// Every request is accepted until this time; afterwards only those whose deadline isn't later
+    /// than ends_at.
     std::chrono::steady_clock::time_point takes_all_until;
+    /// The process exits then at the latest.
     std::chrono::steady_clock::time_point ends_at;
 };
 
+/// References to the parts of a gateway that request handling needs, and its counters.
 struct gateway_context {
     boost::asio::any_io_executor executor;
     timer_service& timers;
@@ -41,11 +45,11 @@
     backend_directory& backends;
     coordination::slot_broker& slots;
     gateway_metrics& metrics;
-    /// A slot was granted at a server that isn't known here.
+    /// Called when a slot was granted at a server that is unknown here.
     std::function<void()> on_unknown_server{};
-    std::set<client_session*> sessions{}; ///< all open connections of callers
+    std::set<client_session*> sessions{}; ///< All open connections of callers.
     std::size_t requests_in_progress = 0;
-    /// Set once this process was told to stop. From then on each answer ends its connection.
+    /// Set once this process was told to stop. From then on, each answer closes its connection.
     std::optional<stop_times> stopping{};
 
     [[nodiscard]] bool is_stopping() const noexcept { return stopping.has_value(); }
--- a/src/gateway/gateway_metrics.cpp
+++ b/src/gateway/gateway_metrics.cpp
@@ -1,4 +1,4 @@
-// Names and labels of a gateway's metrics.
+// Implementation of gateway_metrics: names, help texts and labels of the metrics.
 #include "gateway/gateway_metrics.hpp"
 
 #include <string>
--- a/src/gateway/gateway_metrics.hpp
+++ b/src/gateway/gateway_metrics.hpp
@@ -1,4 +1,4 @@
-// What a gateway counts and measures, for each workspace and tier.
+// The metrics of a gateway about requests, most of them by workspace and tier.
 #pragma once
 
 #include "base/error_kind.hpp"
@@ -17,19 +17,22 @@
 
     explicit gateway_metrics(metrics::registry& registry) : m_registry(registry) {}
 
-    /// An answer of a backend server was passed on whole; `status` is the server's.
+    /// Counts an answer of a backend server that was forwarded completely. `status` is the server's, `total`
+    /// the time since the request's arrival.
     void count_answered(const admitted_request& request, unsigned status, duration total);
-    /// The gateway answered with an error of its own. `request` is null when it wasn't admitted.
+    /// Counts a request that the gateway answered with an error of its own. `request` is null if it wasn't
+    /// admitted.
     void count_refused(const admitted_request* request, error_kind kind);
-    /// A stream was ended in the middle.
+    /// Counts a stream that was aborted in the middle.
     void count_cut(const admitted_request& request);
+    /// Counts a caller that disconnected before the end of its answer.
     void count_abandoned(const admitted_request& request);
-    /// What a backend server made of one try.
+    /// Counts one attempt at a backend server by its outcome.
     void count_try(const admitted_request& request, policy::slot_outcome outcome);
 
-    /// From a request's arrival to its slot.
+    /// Records the time from a request's arrival to a granted slot.
     void record_wait(const admitted_request& request, duration wait);
-    /// From a request's arrival to the first event of its stream.
+    /// Records the time from a request's arrival to the first event of its stream.
     void record_first_event(const admitted_request& request, duration time);
 
 private:
--- a/src/gateway/gateway_settings.cpp
+++ b/src/gateway/gateway_settings.cpp
@@ -1,4 +1,4 @@
-// Reading a gateway's settings file.
+// Implementation of read_gateway_settings().
 #include "gateway/gateway_settings.hpp"
 
 #include "settings/section_reader.hpp"
--- a/src/gateway/gateway_settings.hpp
+++ b/src/gateway/gateway_settings.hpp
@@ -1,5 +1,4 @@
-// The settings of a gateway: where callers, the balancer and other gateways reach it, and the bounds that its
-// deployment promises.
+// The settings of a gateway: its addresses, and the limits that its deployment guarantees.
 #pragma once
 
 #include "policy/slot_scheduler.hpp"
@@ -17,53 +16,57 @@
 
 using std::chrono::milliseconds;
 
+/// The initial values are the defaults of the settings file.
 struct gateway_settings {
     process::common_settings common;
     boost::asio::ip::tcp::endpoint callers_listen;
-    boost::asio::ip::tcp::endpoint readiness_listen; ///< asked by the balancer
-    boost::asio::ip::tcp::endpoint peers_listen;     ///< for other gateways: TCP and UDP
+    boost::asio::ip::tcp::endpoint readiness_listen; ///< Address for the load balancer's readiness checks.
+    boost::asio::ip::tcp::endpoint peers_listen;     ///< Address for other gateways, over TCP and UDP.
     std::optional<boost::asio::ip::tcp::endpoint> metrics_listen;
-    /// Other gateways that may be alive, on the port of `peers_listen`; the store has the full list.
+    /// Addresses of other gateways that may be running, which use the port of `peers_listen`; the store has
+    /// the complete list.
     std::vector<boost::asio::ip::address> seeds;
-    /// Share of a core that this process may use; peers prefer the strongest for common work.
+    /// Share of a processor core that this process may use. Gateways prefer the member with the largest share
+    /// as coordinator.
     double processor_share = 1;
-    /// Whether gateways choose one of them to give out all slots; without, each gives out its own part.
+    /// Whether the gateways elect a coordinator that grants all slots. Otherwise each gateway grants its
+    /// local share.
     bool coordinates = true;
-    /// How slots are given out; see policy/slot_scheduler.hpp for what each figure answers.
+    /// Limits of the slot scheduling, described at policy::slot_scheduler_limits.
     policy::slot_scheduler_limits slots;
-    milliseconds stop_limit{8000}; ///< from SIGTERM until the process is ended from outside
+    milliseconds stop_limit{8000}; ///< From SIGTERM until the process is killed from outside.
 
-    /// How long a request waits for the first configuration. A process that has just started knows it soon,
-    /// and where all were killed at once callers have nowhere else to go.
+    /// How long a request waits for the first configuration. A process that has just started receives it
+    /// soon, and if all gateways were killed at once, callers have no other gateway to go to.
     milliseconds configuration_patience{400};
 
-    /// How long a request for which this process's own part of an allowance doesn't suffice waits for a
-    /// coordinator to be found, after one was lost and after a start.
+    /// How long a request waits for a coordinator to be found, after one was lost or after a start, if this
+    /// process's local share of a quota isn't enough for it.
     milliseconds coordinator_patience{400};
 
-    /// Gateways that ask the store for changes besides the few that all others hear; the rest are told by
-    /// them. Enough of them that a store which turns a third of all away, without a word, answers some of
-    /// these.
+    /// How many gateways poll the store for changes besides the candidates for coordination; all other
+    /// gateways learn of changes from them. The number is large enough that a store which silently ignores a
+    /// third of all gateways still answers some of them.
     unsigned store_followers = 12;
 
-    // Bounds that all gateways keep together.
-    double retry_ratio = 0.1;  ///< repeated sends to a service, as a share of its requests
-    double retry_reserve = 10; ///< repeated sends allowed beyond that in one window
+    // Limits that all gateways enforce together.
+    double retry_ratio = 0.1;  ///< Retries on another server, as a share of a service's requests.
+    double retry_reserve = 10; ///< Retries allowed in addition to that share in one window.
     milliseconds retry_window{10000};
-    milliseconds allowance_window{8000};    ///< over which a workspace's allowance is judged
-    double allowance_slack = 0;             ///< units by which a window may go over it
-    milliseconds configuration_limit{2000}; ///< within which a new configuration must be in force
-    milliseconds drain_limit{2000};         ///< within which a leaving backend server gets no new work
+    milliseconds allowance_window{8000};    ///< Window over which the quota of a workspace is counted.
+    double allowance_slack = 0;             ///< Units by which a workspace may exceed its quota in a window.
+    milliseconds configuration_limit{2000}; ///< Within this time a new configuration must be in force.
+    milliseconds drain_limit{2000}; ///< Within this time a draining backend server gets no new requests.
 
-    milliseconds backend_heartbeat{1500}; ///< between two heartbeats of a backend server to the store
-    /// The store removes a registration that its server hasn't renewed for so long.
+    milliseconds backend_heartbeat{1500}; ///< Interval of a backend server's heartbeats to the store.
+    /// The store removes a registration that its server hasn't renewed for this time.
     [[nodiscard]] milliseconds registration_life() const noexcept {
         constexpr int missed_heartbeats = 3;
         return backend_heartbeat * (missed_heartbeats + 1);
     }
 };
 
-/// Reads and checks the whole file; complaints go to `problems`.
+/// Reads and checks all settings; errors are added to `problems`.
 [[nodiscard]] gateway_settings read_gateway_settings(const settings::ini_document& document,
                                                      std::vector<settings::problem>& problems);
 
--- a/src/gateway/graceful_stop.cpp
+++ b/src/gateway/graceful_stop.cpp
@@ -1,4 +1,4 @@
-// The steps of a stop, looked at by a timer.
+// Implementation of graceful_stop: a timer checks which step of the shutdown has been reached.
 #include "gateway/graceful_stop.hpp"
 
 #include "events/event_log.hpp"
@@ -11,10 +11,10 @@
 namespace {
 
 constexpr milliseconds check_period{50};
-/// The balancer asks once a second and takes a process out after two misses. Until then callers come and are
-/// served, and idle connections stay open for them.
+/// The load balancer checks readiness once a second and removes a process after two failed checks. Until then
+/// callers are sent to this process and are served, and idle connections stay open for them.
 constexpr milliseconds balancer_delay{2600};
-/// Kept from the time until the process is killed, for the last bytes to leave.
+/// Reserved before the time at which the process is killed, for the last bytes to be sent.
 constexpr milliseconds last_moment{300};
 
 } // namespace
@@ -44,7 +44,7 @@
     if (m_context.requests_in_progress > 0 && !is_over) {
         return;
     }
-    boost::system::error_code ignored; // nobody can be told, and the process ends
+    boost::system::error_code ignored; // the process exits, so a failure has no consequence
     m_acceptor.close(ignored);
     if (is_over || m_context.sessions.empty()) {
         finish();
@@ -63,7 +63,7 @@
 }
 
 void graceful_stop::close_idle_sessions() {
-    const auto open = m_context.sessions; // closing changes the set
+    const auto open = m_context.sessions; // a copy, since closing a session removes it from the set
     for (auto* session : open) {
         session->close_if_idle();
     }
--- a/src/gateway/graceful_stop.hpp
+++ b/src/gateway/graceful_stop.hpp
@@ -1,4 +1,5 @@
-// How a gateway ends: what runs is finished, what still comes is served while there is time for it.
+// Shuts a gateway down gracefully: running requests are completed, and new ones are served as long as there
+// is time.
 #pragma once
 
 #include "base/timer_service.hpp"
@@ -11,13 +12,15 @@
 
 namespace borageford::gateway {
 
+/// The limits of the phases are in gateway_context::stopping.
 class graceful_stop {
 public:
-    /// `acceptor` is closed at the end; `on_stopped` is called once, when nothing is left or the time is
-    /// over.
+    /// `acceptor` is closed towards the end. `on_stopped` is called once, when no connection is left or the
+    /// time is over.
     graceful_stop(gateway_context& context, boost::asio::ip::tcp::acceptor& acceptor,
                   std::function<void()> on_stopped);
 
+    /// Starts the shutdown. Must be called once.
     void begin();
 
 private:
--- a/src/gateway/heads.cpp
+++ b/src/gateway/heads.cpp
@@ -1,4 +1,4 @@
-// Field by field, into one text.
+// Implementation of the functions that compose HTTP heads.
 #include "gateway/heads.hpp"
 
 #include <algorithm>
@@ -10,10 +10,10 @@
 namespace {
 
 constexpr std::size_t usual_head_size = 512;
-/// The time told to a server is never nothing: it would mean none was told.
+/// Lower bound of the deadline sent to a server: 0 would mean that there is no deadline.
 constexpr std::int64_t least_time_ms = 1;
 
-/// Fields that concern one connection only.
+/// Hop-by-hop fields, which concern a single connection and are not forwarded.
 constexpr std::array<std::string_view, 9> connection_fields{
     "Connection", "Keep-Alive", "Transfer-Encoding",  "Content-Length", "TE", "Trailer",
     "Upgrade",    "Expect",     "Proxy-Authorization"};
@@ -24,7 +24,7 @@
                                [name](std::string_view known) { return http::is_same_name(known, name); });
 }
 
-/// Fields of the caller's that don't pass: its key, and what only the system sets.
+/// Fields of the caller that are not forwarded: its API key, and those that only the system sets.
 std::array<std::string_view, 10> withheld_fields(const routing::call_fields& names,
                                                  const std::optional<std::string>& last_event) {
     return {names.deadline,
--- a/src/gateway/heads.hpp
+++ b/src/gateway/heads.hpp
@@ -1,5 +1,5 @@
-// The heads that a gateway writes: a request's for its backend server, and a response's fields for its
-// caller.
+// Composes the HTTP heads that a gateway sends: the head of a request for a backend server, and the fields of
+// a response for the caller.
 #pragma once
 
 #include "gateway/admitted_request.hpp"
@@ -13,18 +13,19 @@
 
 namespace borageford::gateway {
 
-/// Adds "NAME: VALUE" and the end of the line.
+/// Appends "NAME: VALUE" and a line end.
 void append_field(std::string& head, std::string_view name, std::string_view value);
 
-/// The caller's fields pass unchanged, except those of one connection, its key, and those that only the
-/// system sets; the time left, the server's id and the workspace are the system's. `last_event` is set when a
-/// stream goes on at another server. Ends with the empty line.
+/// Composes the request line and the fields for a backend server, with the empty line at the end. The
+/// caller's fields are copied, except hop-by-hop fields, the API key and the fields that only the system
+/// sets. The time left, the server's id and the workspace's name are added. `last_event` is the id after
+/// which a stream is to continue at another server.
 [[nodiscard]] std::string compose_request_head(const http::received_request& request,
                                                const admitted_request& admitted,
                                                const routing::call_fields& names, std::string_view server_id,
                                                const std::optional<std::string>& last_event);
 
-/// A response's fields as lines, without those of one connection.
+/// Returns a response's fields as header lines, without hop-by-hop fields.
 [[nodiscard]] std::string compose_passed_fields(const http::field_list& fields);
 
 } // namespace borageford::gateway
--- a/src/gateway/metrics_endpoint.cpp
+++ b/src/gateway/metrics_endpoint.cpp
@@ -1,4 +1,4 @@
-// One path, one answer.
+// Implementation of metrics_endpoint.
 #include "gateway/metrics_endpoint.hpp"
 
 #include "base/error_kind.hpp"
--- a/src/gateway/metrics_endpoint.hpp
+++ b/src/gateway/metrics_endpoint.hpp
@@ -1,4 +1,4 @@
-// Serves the metrics of a process as text.
+// HTTP endpoint that serves the metrics of a process in the Prometheus text format.
 #pragma once
 
 #include "http/server.hpp"
@@ -11,11 +11,12 @@
 
 namespace borageford::gateway {
 
+/// Answers requests for the path /metrics; every other path gets status 404.
 class metrics_endpoint {
 public:
     metrics_endpoint(const boost::asio::any_io_executor& executor, const metrics::registry& registry);
 
-    /// Without an address there is nothing to serve.
+    /// Starts listening; does nothing without an address.
     void listen(const std::optional<boost::asio::ip::tcp::endpoint>& address);
 
 private:
--- a/src/gateway/removal_log.cpp
+++ b/src/gateway/removal_log.cpp
@@ -1,4 +1,5 @@
-// By position, since those after one are asked for often, and a single id only at the begin of an era.
+// Implementation of removal_log. Removals are sorted by position, because the removals after a position are
+// requested often, while a single id is looked up only at the beginning of an era.
 #include "gateway/removal_log.hpp"
 
 #include <algorithm>
@@ -8,7 +9,8 @@
 
 namespace {
 
-/// A gateway that missed more asks for everything; some kilobytes in each process.
+/// Number of remembered removals; they take a few kilobytes in each process. A gateway that has missed more
+/// requests the whole state.
 constexpr std::size_t most_known = 500;
 
 } // namespace
--- a/src/gateway/removal_log.hpp
+++ b/src/gateway/removal_log.hpp
@@ -1,4 +1,4 @@
-// Which registrations were removed, and when by the store's history.
+// Remembers which registrations were removed, and at which position of the store's history.
 #pragma once
 
 #include "store/position.hpp"
@@ -11,22 +11,24 @@
 
 namespace borageford::gateway {
 
-/// Bounded: the oldest removals are forgotten first.
+/// The size is limited: the oldest removals are dropped first.
 class removal_log {
 public:
-    /// The id was known to be removed when all up to `at` was known, which is not before any earlier one.
+    /// Records that the id is known to be removed at position `at`, which must not be before the position of
+    /// an earlier call.
     void add(std::string_view id, store::position at);
 
-    /// Whether all removals after a position are remembered.
+    /// Returns whether all removals after a position are still remembered.
     [[nodiscard]] bool reaches_back_to(store::position from) const noexcept { return from >= m_begin; }
-    /// Ids removed after a position, some perhaps more than once.
+    /// Returns the ids removed after a position; an id that was removed several times is listed as often.
     [[nodiscard]] std::vector<std::string> after(store::position from) const;
-    /// When the id was removed last; nothing: never, or long ago.
+    /// Returns the position of the id's last removal; nothing if it was never removed or the removal is no
+    /// longer remembered.
     [[nodiscard]] std::optional<store::position> find(std::string_view id) const;
 
 private:
     std::multimap<store::position, std::string> m_removed;
-    store::position m_begin; ///< older removals are forgotten
+    store::position m_begin; ///< Removals up to this position may have been dropped.
 };
 
 } // namespace borageford::gateway
--- a/src/gateway/request_journal.cpp
+++ b/src/gateway/request_journal.cpp
@@ -1,4 +1,4 @@
-// Each method is one line and its metrics.
+// Implementation of request_journal.
 #include "gateway/request_journal.hpp"
 
 #include "events/event_log.hpp"
@@ -30,7 +30,7 @@
                                                            : std::string_view();
 }
 
-/// Callers choose them, so they may be long.
+/// Limits the length of texts that callers choose.
 std::string shorten(std::string_view text) {
     constexpr std::size_t longest = 120;
     return std::string(text.substr(0, longest));
--- a/src/gateway/request_journal.hpp
+++ b/src/gateway/request_journal.hpp
@@ -1,4 +1,4 @@
-// What is told of one request: the lines of the log and the metrics, from one place.
+// Writes the log events of a request and updates its metrics, so that both are produced in one place.
 #pragma once
 
 #include "base/error_kind.hpp"
@@ -14,24 +14,31 @@
 
 namespace borageford::gateway {
 
+/// Each member function writes one log event and updates the metrics that belong to it.
 class request_journal {
 public:
     using clock = std::chrono::steady_clock;
 
     explicit request_journal(gateway_context& context) : m_context(context) {}
 
+    /// A slot was granted. `tries_before` is the number of earlier attempts.
     void placed(const admitted_request& request, const policy::slot_grant& grant, std::string_view backend,
                 unsigned tries_before);
+    /// An attempt failed. `goes_on` is whether another attempt follows, `busy` the time since the slot was
+    /// granted.
     void try_failed(const admitted_request& request, std::string_view backend, policy::slot_outcome outcome,
                     std::string_view reason, const policy::attempt_rule& attempts, bool goes_on,
                     clock::duration busy);
+    /// The first event of the current attempt was received. Only updates a metric.
     void first_event(const admitted_request& request);
-    /// The times of an answer that count for its caller.
+    /// Times of an answer as its caller experiences them.
     struct answer_times {
-        clock::duration waited{};      ///< from its arrival to the slot that it got first
-        clock::duration first_event{}; ///< from its last slot to the first event there; zero for a plain call
-        clock::duration to_first{};    ///< from its arrival to the first event, or the whole answer
-        clock::duration longest_pause{}; ///< between two events
+        clock::duration waited{}; ///< From the request's arrival to its first slot.
+        /// From the request's last slot to the first event received there; 0 for a response without events.
+        clock::duration first_event{};
+        /// From the request's arrival to the first event or, without events, to the complete answer.
+        clock::duration to_first{};
+        clock::duration longest_pause{}; ///< The longest time between two events.
         std::uint64_t events = 0;
     };
     void answered(const admitted_request& request, std::string_view backend, unsigned status, unsigned tries,
@@ -44,19 +51,22 @@
         std::string_view reason;
         std::string_view host;
         std::string_view target;
-        policy::slot_ticket ticket = 0; ///< 0: it never asked for a slot
+        policy::slot_ticket ticket = 0; ///< 0: no slot was requested.
         unsigned tries = 0;
         clock::time_point arrived;
         std::optional<std::chrono::milliseconds> retry_after;
     };
-    /// `request` is null when it wasn't admitted.
+    /// The gateway answered with an error of its own. `request` is null if it wasn't admitted.
     void refused(const admitted_request* request, const refusal& what);
+    /// A stream was aborted after `events` events.
     void cut(const admitted_request& request, std::string_view reason, unsigned tries, std::uint64_t events);
+    /// The caller disconnected before the end of its answer. `stage` is "running" or "waiting".
     void abandoned(const admitted_request& request, std::string_view stage, std::string_view backend,
                    std::uint64_t events);
 
 private:
-    /// The version that it was admitted under, else the one in force.
+    /// Version of the configuration under which the request was admitted; without a request, the version in
+    /// force.
     [[nodiscard]] std::uint64_t version_for(const admitted_request* request) const;
 
     gateway_context& m_context;
--- a/src/gateway/send_budget.hpp
+++ b/src/gateway/send_budget.hpp
@@ -1,4 +1,4 @@
-// How many bytes of large answers may be on their way at a time.
+// Limits how many bytes of large answers are being sent at a time.
 #pragma once
 
 #include <cstddef>
@@ -6,16 +6,17 @@
 
 namespace borageford::gateway {
 
-/// After all gateways of a deployment were killed, hundreds of them ask the same one for everything at once.
-/// Each answer stays in memory until the asker's link has taken it, so a small process would be ended for the
-/// memory that it uses. Who is turned away asks again, and reads from the store meanwhile.
+/// After all gateways of a deployment were killed, hundreds of them may request all registrations from the
+/// same gateway at once. Each answer stays in memory until its receiver has read it, so a small process would
+/// be killed for using too much memory. A requester that is refused asks again, and reads from the store in
+/// the meantime.
 class send_budget {
 public:
-    /// Answers of up to `uncounted` bytes always go.
+    /// `most_bytes` is the limit. Answers of up to `uncounted` bytes are always allowed and don't count.
     send_budget(std::size_t most_bytes, std::size_t uncounted) noexcept
         : m_most(most_bytes), m_uncounted(uncounted) {}
 
-    /// Bytes that are on their way until it is destroyed. It must not outlive the budget.
+    /// Bytes that count as being sent until this object is destroyed. It must not outlive the budget.
     class share {
     public:
         share(send_budget& from, std::size_t bytes) noexcept : m_from(&from), m_bytes(bytes) {}
@@ -36,7 +37,8 @@
         std::size_t m_bytes;
     };
 
-    /// Nothing when it would be too much with what is on its way already. One alone always fits.
+    /// Reserves bytes for an answer. Returns nothing if the limit would be exceeded; an answer is always
+    /// allowed if no other one is being sent.
     [[nodiscard]] std::optional<share> try_take(std::size_t bytes) noexcept {
         const auto counted = bytes > m_uncounted ? bytes : 0;
         if (counted > 0 && m_used > 0 && m_used + counted > m_most) {
