--- a/tests/failure/test_gateway_carriage.cpp
+++ b/tests/failure/test_gateway_carriage.cpp
@@ -1,4 +1,5 @@
-// Answers on their way from backend servers that misbehave: whole, the right caller's, or visibly broken.
+// Tests how a gateway forwards the answers of backend servers that misbehave: complete and to the right
+// caller, or as a visible failure.
 #include "support/gateway_site.hpp"
 #include "support/wait_until.hpp"
 
@@ -48,7 +49,7 @@
     }
 }
 
-/// The numbers of the events in a stream's body.
+/// Returns the numbers of the events in a stream's body.
 std::vector<int> event_numbers(const std::string& body) {
     std::vector<int> numbers;
     for (auto at = body.find("id: "); at != std::string::npos; at = body.find("id: ", at + 1)) {
@@ -67,10 +68,9 @@
 
 } // namespace
 
-TEST_CASE("gateway: a connection is closed when its server keeps it no longer, also without a next request",
-          "[gateway][carriage]") {
-    // A server takes a bounded number of connections from all gateways together. Each gateway kept those that
-    // it had used once until it had a next request for that server, and new ones were reset meanwhile.
+TEST_CASE("gateway: an idle connection is closed when its keep-alive time is over", "[gateway][carriage]") {
+    // A server accepts a limited number of connections in total. Each gateway kept its idle connections until
+    // it sent the next request to that server, and new connections were reset in the meantime.
     auto options = plain_site(routing::route_kind::idempotent, 1);
     options.backends.front().keep_alive = 1s;
     gateway_site site(std::move(options));
@@ -81,8 +81,8 @@
 
 TEST_CASE("gateway: a call that isn't idempotent and loses its answer runs once and isn't called not run",
           "[gateway][carriage]") {
-    // The server does the work and its connection breaks before the answer. Sent again, a kudos would count
-    // twice; answered as "not run", the caller would send it again itself.
+    // The server does the work and its connection breaks before the answer is sent. If the gateway retried, a
+    // kudos would count twice; if it answered "not run", the caller would retry it.
     gateway_site site(plain_site(routing::route_kind::non_idempotent, 2));
     set_fault_everywhere(site, 2, backend_fault::cut_unanswered, 1);
     const auto answer = site.send(0, make_call("/plain/x", "once"));
@@ -92,7 +92,7 @@
 
 TEST_CASE("gateway: an idempotent call that loses its answer is sent to another server",
           "[gateway][carriage]") {
-    // One server's answers are lost; the caller of a call that may be repeated needn't notice.
+    // One server's answers are lost. The caller of an idempotent call must not notice.
     gateway_site site(plain_site(routing::route_kind::idempotent, 2));
     set_fault(site, 0, backend_fault::cut_unanswered);
     for (int index = 0; index < 4; ++index) {
@@ -102,7 +102,7 @@
 
 TEST_CASE("gateway: a request that a server refuses goes to another, whatever its kind",
           "[gateway][carriage]") {
-    // A full server says that it didn't run the request, so sending it elsewhere doubles nothing.
+    // A full server states that it didn't run the request, so a retry elsewhere can't duplicate its effect.
     gateway_site site(plain_site(routing::route_kind::non_idempotent, 2));
     set_fault(site, 0, backend_fault::refuse);
     for (int index = 0; index < 4; ++index) {
@@ -113,7 +113,7 @@
 }
 
 TEST_CASE("gateway: refused by every server, a request is refused as not run", "[gateway][carriage]") {
-    // All servers are full. The caller may come back, and is told when.
+    // All servers are full. The caller is told when to retry.
     gateway_site site(plain_site(routing::route_kind::non_idempotent, 2));
     set_fault_everywhere(site, 2, backend_fault::refuse);
     const auto answer = site.send(0, make_call("/plain/x", "nowhere"));
@@ -123,8 +123,8 @@
 }
 
 TEST_CASE("gateway: bytes that are no answer reach no caller", "[gateway][carriage]") {
-    // A faulty server sends rubbish, half an answer, or a second answer that belongs to nobody. A caller that
-    // got any of it as its own would store it.
+    // A faulty server sends invalid bytes, half an answer, or a second answer that belongs to no request. A
+    // caller must not receive any of this as its answer.
     const auto fault =
         GENERATE(backend_fault::garble, backend_fault::cut_midway, backend_fault::second_answer);
     gateway_site site(plain_site(routing::route_kind::idempotent, 2));
@@ -141,7 +141,7 @@
 
 TEST_CASE("gateway: an answer without a length is whole when its connection ends in order",
           "[gateway][carriage]") {
-    // An old server ends its answers by closing the connection; the caller's connection stays open, so its
+    // An old server ends its answers by closing the connection. The caller's connection stays open, so its
     // answer needs a length.
     gateway_site site(plain_site(routing::route_kind::idempotent, 1));
     set_fault(site, 0, backend_fault::unframed);
@@ -162,8 +162,8 @@
 
 TEST_CASE("gateway: a broken stream that may not be resumed is visibly broken and runs once",
           "[gateway][carriage]") {
-    // The engine dies in the middle of an event. The caller must not take the part for the whole, nor get
-    // half an event, and the chapter must not be read by a second engine at the caller's expense.
+    // The engine crashes in the middle of an event. The caller must not mistake the part for the complete
+    // stream or get half an event, and no second engine may run the request at the caller's expense.
     gateway_site site(stream_site(false, 2));
     set_fault_everywhere(site, 2, backend_fault::cut_midway, 1);
     const auto answer = site.send(0, stream_call("s", 40));
@@ -176,8 +176,8 @@
 
 TEST_CASE("gateway: a broken stream that may be resumed goes on at another engine without a gap",
           "[gateway][carriage]") {
-    // The engine dies in the middle of an event, and another one can go on after the last whole event. The
-    // caller gets each event once, under the first engine's head.
+    // The engine crashes in the middle of an event, and another one can continue after the last complete
+    // event. The caller gets each event once, with the head of the first engine's response.
     gateway_site site(stream_site(true, 2));
     set_fault_everywhere(site, 2, backend_fault::cut_midway, 1);
     const auto answer = site.send(0, stream_call("s", 40));
@@ -188,8 +188,8 @@
 }
 
 TEST_CASE("gateway: a caller that leaves takes its request with it", "[gateway][carriage]") {
-    // The caller of a long stream closes its tab. The engine would work on for nobody and keep a slot from
-    // somebody else.
+    // The caller of a long stream disconnects. The engine would otherwise continue for nobody and occupy a
+    // slot.
     gateway_site site(stream_site(false, 1));
     pending_call pending(site.callers(0), stream_call("long", 100000));
     pending.wait_for_bytes(10);
@@ -200,8 +200,8 @@
 }
 
 TEST_CASE("gateway: a server that hangs is given up when the request's time is over", "[gateway][carriage]") {
-    // A server takes the request and says nothing more. It may have run, so the caller gets an answer that
-    // promises nothing, and gets it while it still waits.
+    // A server accepts the request and never answers. It may have run the request, so the caller gets an
+    // error that doesn't claim otherwise, before its deadline.
     auto options = plain_site(routing::route_kind::idempotent, 1);
     options.configuration.routes.front().timeout = routing::milliseconds(400);
     gateway_site site(options);
--- a/tests/failure/test_gateway_configuration.cpp
+++ b/tests/failure/test_gateway_configuration.cpp
@@ -1,4 +1,4 @@
-// Configuration and backend servers as the store tells them, also while it is away.
+// Tests how gateways learn of configurations and backend servers from the store, also during its outages.
 #include "support/gateway_site.hpp"
 #include "support/wait_until.hpp"
 
@@ -16,14 +16,14 @@
     site.on_emulator([&] { site.store().set_state(state); });
 }
 
-/// A site whose calls to the store don't count as lost by their time alone before a test is over.
+/// Returns a site whose calls to the store don't time out during a test.
 site_options forgetful_site(std::size_t servers, std::size_t gateways) {
     auto options = plain_site(servers, gateways);
     options.store_timeout = std::chrono::minutes(1);
     return options;
 }
 
-/// The store falls silent until every gateway's two questions for changes are lost, and is well again.
+/// Makes the store unresponsive until it has lost each gateway's two open polls, and then available again.
 void lose_open_questions(gateway_site& site, std::size_t gateways) {
     set_store(site, store_state::silent);
     wait_until("all questions are lost",
@@ -47,8 +47,8 @@
 
 TEST_CASE("gateway: a key that is taken away stops to work, and the former version never comes back",
           "[gateway][configuration]") {
-    // A key leaked and was taken away. A gateway that went back to an older version, for instance from a
-    // stale read after an outage, would let the thief in again.
+    // A leaked key was revoked. A gateway that returned to an older configuration, for instance from a stale
+    // read after an outage, would accept it again.
     auto options = plain_site(1);
     const auto base = options.configuration;
     options.configuration = with_key(base, 5, "old-key");
@@ -65,13 +65,13 @@
 
 TEST_CASE("gateway: a key that is taken away stops to work at every gateway, asked or told",
           "[gateway][configuration]") {
-    // Most gateways don't ask the store for changes. Should one of them miss a version, whoever has the key
-    // goes on using it there, and callers with the new one are turned away.
+    // Most gateways don't poll the store for changes. If one of them missed a version, it would still accept
+    // the revoked key and refuse callers with the new one.
     constexpr std::size_t gateways = 8;
     auto options = plain_site(1, gateways);
     const auto base = options.configuration;
     options.configuration = with_key(base, 5, "old-key");
-    options.gateway_settings = "store_followers = 0\n"; // but the candidates
+    options.gateway_settings = "store_followers = 0\n"; // only the candidates for coordination poll the store
     gateway_site site(options);
     for (std::uint64_t version = 6; version < 10; ++version) {
         const auto key = "key-" + std::to_string(version);
@@ -85,11 +85,12 @@
 
 TEST_CASE("gateway: what a change costs at the store doesn't grow with the gateways",
           "[gateway][configuration]") {
-    // Servers come and go all day, and each call to the store is paid for. Every gateway asked for each
-    // change itself; now a few do, and tell the others.
+    // Servers register and drain all day, and each call to the store is paid for. When every gateway polled
+    // for each change itself, the number of calls grew with the gateways; now a few poll and report the
+    // changes to the others.
     constexpr std::size_t gateways = 8;
     auto options = plain_site(1, gateways);
-    options.gateway_settings = "store_followers = 0\n"; // but the candidates
+    options.gateway_settings = "store_followers = 0\n"; // only the candidates for coordination poll the store
     gateway_site site(options);
     const auto change = [&](std::size_t index) {
         const auto id = "server-" + std::to_string(index);
@@ -104,7 +105,7 @@
             return true;
         });
     };
-    change(1); // ends the questions that all have open since their start
+    change(1); // ends the polls that every gateway has open since its start
     change(2);
     const auto before = site.on_emulator([&] { return site.store().calls(); });
     constexpr std::size_t changes = 6;
@@ -115,7 +116,8 @@
 }
 
 TEST_CASE("gateway: a configuration that can't be read changes nothing", "[gateway][configuration]") {
-    // A faulty tool writes half a document. Serving by the last good one beats refusing everybody.
+    // A faulty tool writes half a document. Keeping the last valid configuration is better than refusing
+    // every request.
     gateway_site site(plain_site(1));
     site.on_emulator([&] {
         store::transaction change;
@@ -128,8 +130,8 @@
 }
 
 TEST_CASE("gateway: history that the store has dropped is read anew", "[gateway][configuration]") {
-    // The store forgets its history, for instance to save space. A gateway that only followed changes would
-    // miss those in between for good.
+    // The store drops its history, for instance to save space. A gateway that only applied changes would
+    // never learn of the dropped ones.
     auto options = plain_site(1);
     const auto base = options.configuration;
     options.configuration = with_key(base, 5, "old-key");
@@ -142,8 +144,8 @@
 }
 
 TEST_CASE("gateway: dropped history is read anew once, not over and over", "[gateway][configuration]") {
-    // The store drops its history while backend servers register. A gateway that went on asking from a
-    // version that is gone would ask thousands of times a second, and be refused with everybody else.
+    // The store drops its history while backend servers register. A gateway that kept polling from a dropped
+    // version would send thousands of polls per second, and the store would refuse all gateways.
     gateway_site site(plain_site(3));
     const auto knows = [&](const std::string& id) {
         return site.process(0).output_text().find("\"backend\":\"" + id + "\"") != std::string::npos;
@@ -165,8 +167,8 @@
 
 TEST_CASE("gateway: requests go on while the store is away, and its return is noticed",
           "[gateway][configuration]") {
-    // The store is down, refuses, resets or says nothing. Callers must not notice; what was written meanwhile
-    // must be in force soon after.
+    // The store is unreachable, refuses, resets connections or doesn't answer. Callers must not notice it,
+    // and what was written in the meantime must be in force soon afterwards.
     const auto outage =
         GENERATE(store_state::busy, store_state::many, store_state::reset, store_state::silent);
     auto options = plain_site(1);
@@ -184,8 +186,8 @@
 
 TEST_CASE("gateway: a change is in force although the store lost the questions for it",
           "[gateway][configuration]") {
-    // The store is silent for a moment and loses all that was asked of it; no gateway may wait for the
-    // answer.
+    // The store is unresponsive for a moment and loses all open polls. No gateway may go on waiting for their
+    // answers.
     constexpr std::size_t gateways = 3;
     auto options = forgetful_site(1, gateways);
     const auto base = options.configuration;
@@ -201,7 +203,7 @@
 
 TEST_CASE("gateway: a server that leaves is known to although the store lost the questions for it",
           "[gateway][membership]") {
-    // The same of backend servers: requests would go to one that has left.
+    // The same for backend servers: requests would be sent to a server that has shut down.
     constexpr std::size_t gateways = 3;
     gateway_site site(forgetful_site(2, gateways));
     lose_open_questions(site, gateways);
@@ -214,9 +216,9 @@
     }
 }
 
-TEST_CASE("gateway: its metrics tell a store that answers nothing from one without changes",
+TEST_CASE("gateway: its metrics distinguish an unresponsive store from one without changes",
           "[gateway][metrics]") {
-    // On call, both looked the same: no line in the log and the former version in force.
+    // During an incident both looked the same: no log line, and the previous version in force.
     gateway_site site(forgetful_site(1, 1));
     set_store(site, store_state::silent);
     for (const std::string table : {"op", "servers"}) {
@@ -229,8 +231,8 @@
 
 TEST_CASE("gateway: one has the store confirm what all hold, and the others don't ask for it",
           "[gateway][configuration]") {
-    // Each question is a call that is paid for; asking for themselves, hundreds of gateways would press the
-    // store.
+    // Each poll is a call that is paid for, and hundreds of gateways that poll for confirmations would
+    // overload the store.
     constexpr std::size_t gateways = 3;
     constexpr double unasked_seconds = 5;
     gateway_site site(plain_site(1, gateways));
@@ -248,8 +250,8 @@
 
 TEST_CASE("gateway: one that never reached the store learns everything from its peer",
           "[gateway][configuration]") {
-    // The store turns one machine away, for hours perhaps. Its callers would be refused, or served by servers
-    // that are gone, although the gateway next to it knows better.
+    // The store refuses one machine, possibly for hours. The callers of its gateway would be refused, or sent
+    // to removed servers, although another gateway has the current state.
     gateway_site site(plain_site(2, 2));
     site.process(1).kill();
     set_store(site, store_state::busy);
@@ -260,7 +262,7 @@
 
 TEST_CASE("gateway: a server that drains gets no new work and finishes what it has",
           "[gateway][membership]") {
-    // A server announces that it leaves. A request sent to it afterwards would be lost with it.
+    // A server announces that it drains. A request sent to it afterwards would be lost when it exits.
     gateway_site site(plain_site(2));
     site.register_backend(0, "draining");
     site.start_backend(2, plain_backend("marker"));
@@ -277,11 +279,11 @@
 
 TEST_CASE("gateway: an address that serves another service now isn't taken for the former server",
           "[gateway][membership]") {
-    // A server is gone and its address was given to a server of another service before the gateways know. A
-    // request that ran there would have run at the wrong service.
+    // A server was removed, and its address was given to a server of another service before the gateways
+    // learned of it. A request sent there would run at the wrong service.
     gateway_site site(plain_site(1));
     site.on_emulator([&] {
-        // The registration of a server that is gone, at the address of one that lives.
+        // The registration of a removed server, with the address of a running one.
         const auto row = site.store().rows().read("servers/server-0");
         store::transaction change;
         change.puts.push_back({"servers/gone", row->value});
@@ -296,7 +298,8 @@
 
 TEST_CASE("gateway: a server that crashed costs its callers nothing while another lives",
           "[gateway][membership]") {
-    // A crashed server refuses connections at once, so it always looks free: every request would go there.
+    // A crashed server refuses connections at once, so it always seems to have free slots and would attract
+    // every request.
     gateway_site site(plain_site(2));
     site.stop_backend(0);
     for (int index = 0; index < 30; ++index) {
@@ -306,8 +309,8 @@
 
 TEST_CASE("gateway: registrations that expired with the store's outage don't empty the service",
           "[gateway][membership]") {
-    // The store is away and counts the missing heartbeats against the servers; when it is back their rows are
-    // gone, until they register again a moment later. Refusing everybody in between would help nobody.
+    // During an outage the store counts missing heartbeats and removes the registrations, until the servers
+    // register again a moment later. Refusing every request in between must be avoided.
     gateway_site site(plain_site(1));
     set_store(site, store_state::reset);
     static_cast<void>(site.send(0, make_call("/plain/x", "during")));
--- a/tests/failure/test_gateway_coordination.cpp
+++ b/tests/failure/test_gateway_coordination.cpp
@@ -1,4 +1,5 @@
-// Several gateways that share slots, allowances and the retry budget, and lose each other.
+// Tests several gateways that share slots, quotas and the retry budget, when some of them crash or stop
+// responding.
 #include "support/gateway_site.hpp"
 #include "support/wait_until.hpp"
 
@@ -12,8 +13,8 @@
 
 namespace {
 
-/// A workspace whose bucket holds at most ten calls at its start and gets next to nothing more, however long
-/// a test takes.
+/// Returns a site with one workspace whose quota allows at most ten calls from the start and grows by next to
+/// nothing, however long a test takes.
 site_options limited_site(std::size_t gateways) {
     site_options options;
     options.gateways = gateways;
@@ -39,7 +40,8 @@
     return process.output_text().find(text) != std::string::npos;
 }
 
-/// Waits until one gateway coordinates and the others ask it; returns the coordinator.
+/// Waits until one gateway coordinates and the other gateways request slots from it; returns the
+/// coordinator's index.
 std::size_t wait_for_coordinator(gateway_site& site, std::size_t gateways) {
     std::size_t coordinator = 0;
     wait_until("all gateways ask one coordinator", [&] {
@@ -71,11 +73,11 @@
 } // namespace
 
 TEST_CASE("gateway: an allowance binds over all gateways together", "[gateway][coordination]") {
-    // A workspace sends through every gateway at once. If each counted for itself, it would get its limit as
-    // many times as there are gateways, at the expense of the others.
+    // A workspace sends requests through every gateway. If each gateway counted separately, the workspace
+    // would get its quota once per gateway, at the expense of other workspaces.
     gateway_site site(limited_site(2));
     static_cast<void>(wait_for_coordinator(site, 2));
-    // One bucket, perhaps a little less than full; two would hold sixteen calls at least.
+    // One quota, perhaps slightly less than full, allows 8 to 10 calls; two would allow at least sixteen.
     const auto served = count_served(site, {0, 1}, 60, "call-");
     CHECK(served >= 8);
     CHECK(served <= 10);
@@ -83,8 +85,8 @@
 
 TEST_CASE("gateway: a coordinator that is killed is replaced, and allowances don't start anew",
           "[gateway][coordination]") {
-    // The process that counts dies. With fresh, full buckets in the next one a workspace would get its burst
-    // again at every such death.
+    // The coordinator crashes. If the next one started with full quotas, a workspace would get its burst
+    // again after each crash.
     gateway_site site(limited_site(3));
     const auto coordinator = wait_for_coordinator(site, 3);
     std::vector<std::size_t> others;
@@ -107,8 +109,8 @@
 
 TEST_CASE("gateway: a frozen coordinator holds up its members' requests for a moment only",
           "[gateway][coordination]") {
-    // The machine that gives out slots stands still without dying. Requests at the others wait for a grant
-    // that doesn't come; they must go on by themselves well within a usual latency target.
+    // The coordinator's machine stops without closing connections. Requests at the other gateways wait for a
+    // grant that never comes, and must continue with the local share well within a usual latency target.
     auto options = limited_site(2);
     options.configuration.workspaces.clear();
     gateway_site site(options);
@@ -124,7 +126,7 @@
 }
 
 TEST_CASE("gateway: all killed at once serve again without anybody's help", "[gateway][coordination]") {
-    // A power cut takes every gateway; none has kept anything.
+    // A power failure stops every gateway, and none has persistent state.
     auto options = limited_site(3);
     options.configuration.workspaces.clear();
     gateway_site site(options);
--- a/tests/failure/test_gateway_ingress.cpp
+++ b/tests/failure/test_gateway_ingress.cpp
@@ -1,4 +1,4 @@
-// What callers may send to a gateway, and what each kind of bad input is answered with.
+// Tests which requests a gateway accepts from callers, and how it answers each kind of invalid input.
 #include "support/gateway_site.hpp"
 #include "support/wait_until.hpp"
 
@@ -28,8 +28,9 @@
 
 TEST_CASE("gateway: a request that two parsers could read in two ways is refused and never runs",
           "[gateway][ingress]") {
-    // An attacker hides a second request in the body of the first: one server takes the length from one
-    // field, the next from another. The victim's connection then carries the hidden request as its own.
+    // Request smuggling: an attacker hides a second request in the body of the first, when two servers
+    // determine the body's length from different fields. The hidden request would then be answered on another
+    // caller's connection.
     gateway_site site(plain_site());
     const std::string hidden =
         "POST /plain/hidden HTTP/1.1\r\nHost: site.example\r\nRequest-Id: hidden\r\n\r\n";
@@ -58,8 +59,8 @@
 }
 
 TEST_CASE("gateway: what is over a limit is refused with the limit's own answer", "[gateway][ingress]") {
-    // A caller sends a head or a body without end, or a head byte by byte: without limits a few of them fill
-    // the memory or hold all connections.
+    // A caller sends an endless head or body, or a head byte by byte. Without limits, a few such callers
+    // would exhaust the memory or all connections.
     auto options = plain_site();
     options.configuration.limits.header_bytes = 2048;
     options.configuration.limits.body_bytes = 1000;
@@ -78,8 +79,8 @@
 }
 
 TEST_CASE("gateway: routes and keys decide who is answered what", "[gateway][ingress]") {
-    // A caller with an old key, or one that asks for a path nobody serves, must learn which of the two it is,
-    // and the key must not travel on to a server that has no use for it.
+    // A caller with an outdated key, or with a path that no route serves, must be able to tell the two errors
+    // apart. The key must not be forwarded to a server.
     auto options = plain_site();
     options.configuration.workspaces.push_back({"archive", {"secret"}, std::nullopt});
     auto inner = options.configuration.routes.front();
@@ -101,7 +102,7 @@
 
 TEST_CASE("gateway: chunked and pipelined requests reach their server whole and in order",
           "[gateway][ingress]") {
-    // Callers may send a body without knowing its length, and the next request before the last answer.
+    // Callers may send a body of unknown length, and the next request before the previous answer.
     gateway_site site(plain_site());
     const std::string chunked = "POST /plain/a HTTP/1.1\r\nHost: site.example\r\nRequest-Id: first\r\n"
                                 "Transfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n4\r\ndefg\r\n0\r\n\r\n";
@@ -124,7 +125,8 @@
 }
 
 TEST_CASE("gateway: without a configuration it isn't ready and refuses as not run", "[gateway][ingress]") {
-    // The store is down when a gateway starts: a 404 would tell callers that their route is gone for good.
+    // The store is unreachable when a gateway starts. Status 404 would tell callers that their route doesn't
+    // exist.
     auto options = plain_site();
     options.is_configured = false;
     gateway_site site(options);
@@ -139,8 +141,8 @@
 
 TEST_CASE("gateway: a request that comes right after a start waits for the configuration",
           "[gateway][ingress]") {
-    // All gateways were killed at once and come back. Callers have nowhere else to go, and the configuration
-    // is known a moment later: refusing them would send them away for nothing.
+    // All gateways were killed at once and restart. Callers have no other gateway to go to, and the
+    // configuration arrives a moment later, so refusing them would be needless.
     auto options = plain_site();
     options.is_configured = false;
     options.gateway_settings = "configuration_patience = 60s\n";
@@ -148,7 +150,7 @@
     pending_call early(site.callers(0), make_call("/plain/x", "early"));
     pending_call left(site.callers(0), make_call("/plain/x", "left"));
     left.hang_up();
-    // Both are read before the gateway is asked whether it is ready, on its one thread.
+    // The gateway has one thread, so it reads both requests before it answers the readiness check.
     CHECK_FALSE(site.is_ready(0));
     site.configure(options.configuration);
     CHECK(early.wait().status == 200);
--- a/tests/failure/test_gateway_restarts.cpp
+++ b/tests/failure/test_gateway_restarts.cpp
@@ -1,4 +1,4 @@
-// Backend servers that start anew under the id that they had.
+// Tests requests at backend servers that restart under the same id.
 #include "support/gateway_site.hpp"
 #include "support/wait_until.hpp"
 
@@ -31,7 +31,8 @@
     wait_until("the former start runs the request", [&] { return site.runs_of(request) == 1; });
 }
 
-/// The answer to a request at a server that falls silent with it and starts anew.
+/// Returns the answer to a request at a server that stops responding when it receives the request and then
+/// restarts.
 caller_result answer_over_restart(gateway_site& site, const std::string& request) {
     site.on_emulator([&] { site.backend(0).set_fault(backend_fault::hang, 1); });
     caller_result answer;
@@ -49,8 +50,8 @@
 } // namespace
 
 TEST_CASE("gateway: a request at a server that started anew goes on at once", "[gateway][restart]") {
-    // A server crashed behind a cut: no connection was reset, and its new start knows nothing of the request.
-    // The caller waited on the silent connection until its time was over.
+    // A server crashed during a network partition: no connection was reset, and the new start doesn't know
+    // the request. The caller waited on the dead connection until its deadline.
     gateway_site site(one_server(routing::route_kind::idempotent));
     CHECK(answer_over_restart(site, "lost").status == 200);
     CHECK(site.runs_of("lost", 0) == 1); // at the new start
@@ -58,7 +59,8 @@
 }
 
 TEST_CASE("gateway: a call that may run once isn't sent to the new start", "[gateway][restart]") {
-    // The former start may have done the work before it died. Its caller hears at once that nobody knows.
+    // The previous start may have done the work before it crashed. The caller is told at once that the
+    // outcome is unknown.
     gateway_site site(one_server(routing::route_kind::non_idempotent));
     CHECK(answer_over_restart(site, "once").status == 502);
     CHECK(site.runs_of("once") == 1);
@@ -66,8 +68,8 @@
 }
 
 TEST_CASE("gateway: entries of other writers change nothing for callers", "[gateway][restart]") {
-    // Another program writes into the table of servers: bytes, and an entry that looks like a server but for
-    // its state. Callers were sent there and waited for a program that isn't one.
+    // Another program writes into the table of servers: invalid bytes, and a row that resembles a server
+    // except for its state. Requests were sent to that address and waited for an answer.
     gateway_site site(one_server(routing::route_kind::idempotent));
     CHECK(site.send(0, make_call("/plain/x", "before")).status == 200);
     site.on_emulator([&] {
--- a/tests/failure/test_gateway_rollout.cpp
+++ b/tests/failure/test_gateway_rollout.cpp
@@ -1,4 +1,4 @@
-// A service is ordered to move to another version of its software.
+// Tests a roll-out, which replaces the software version of a service on an operator's order.
 #include "support/gateway_site.hpp"
 #include "support/wait_until.hpp"
 
@@ -14,7 +14,7 @@
 
 namespace {
 
-/// Requests of which the new version may get a tenth at most, and some more.
+/// The new version may get at most this share of the requests, plus a fixed number, before it is evaluated.
 constexpr double exposed_share = 0.1;
 constexpr std::size_t exposed_slack = 50;
 
@@ -47,7 +47,8 @@
     return site.on_emulator([&] { return site.backend(server).runs().size(); });
 }
 
-/// Sends requests, some at a time, until the store tells that the roll-out has ended; returns how many.
+/// Sends requests, several at a time, until the store shows that the roll-out has ended in `state`; returns
+/// the number of requests.
 std::size_t send_until_over(gateway_site& site, const std::string& state) {
     constexpr std::size_t callers = 8;
     std::size_t sent = 0;
@@ -81,7 +82,7 @@
 }
 
 TEST_CASE("gateway: a bad version is rolled back, and got few requests", "[gateway][rollout]") {
-    // Guards against a version that fails half of a service's requests before anybody looks.
+    // Guards against a version that fails half of a service's requests before anybody notices.
     gateway_site site(site_of_versions(1));
     site.on_emulator([&] {
         for (const std::size_t server : {2U, 3U}) {
@@ -101,7 +102,8 @@
 }
 
 TEST_CASE("gateway: a successor keeps to what was decided", "[gateway][rollout]") {
-    // All gateways were killed after a roll-back; a new one must not let the bad version in again.
+    // All gateways were killed after a roll-back. A new one must not give the rejected version requests
+    // again.
     gateway_site site(site_of_versions(1));
     site.on_emulator([&] {
         store::transaction change;
--- a/tests/failure/test_gateway_stop.cpp
+++ b/tests/failure/test_gateway_stop.cpp
@@ -1,4 +1,4 @@
-// Signals: stopping without a cut, reloading, and a log that nobody reads.
+// Tests signals (graceful shutdown, reloading of the settings) and a log whose reader has stalled.
 #include "support/gateway_site.hpp"
 #include "support/wait_until.hpp"
 
@@ -31,8 +31,8 @@
 } // namespace
 
 TEST_CASE("gateway: told to stop, it finishes what runs and answers what still comes", "[gateway][stop]") {
-    // A rolling restart. The balancer needs a while to notice; a kudos that was cut or refused as run could
-    // count twice or never.
+    // A rolling restart. The load balancer needs some time to notice, and a request that is aborted, or
+    // refused although it has run, could take effect twice or never.
     gateway_site site(slow_site(std::chrono::milliseconds(1500)));
     pending_call running(site.callers(0), make_call("/plain/x", "running"));
     wait_until("the request runs", [&] { return site.runs_of("running") == 1; });
@@ -49,8 +49,8 @@
 
 TEST_CASE("gateway: told to stop, it serves what can be whole in time, also late", "[gateway][stop]") {
     // All gateways of a small deployment are restarted in turn, and each still finishes a long stream when
-    // the next is told to stop. One that refused everything as soon as the balancer must know would leave
-    // callers with nobody, though it has seconds left.
+    // the next is told to stop. If one refused everything once the balancer had noticed, callers would have
+    // no gateway although it has seconds left.
     auto options = slow_site(std::chrono::milliseconds(20));
     options.gateway_settings = "stop_limit = 30s\n";
     gateway_site site(options);
@@ -58,7 +58,7 @@
     pending_call running(site.callers(0), make_call("/plain/x", "long"));
     wait_until("the long request runs", [&] { return site.runs_of("long") == 1; });
     site.process(0).terminate();
-    // It closes idle connections once the balancer must know; this returns when it does.
+    // The gateway closes idle connections once the balancer must have noticed; this call returns then.
     CHECK(exchange_raw(site.callers(0), "", std::chrono::seconds(20)).empty());
     CHECK(site.send(0, make_call("/plain/x", "late")).status == 200);
     running.hang_up();
@@ -66,8 +66,8 @@
 }
 
 TEST_CASE("gateway: told to stop twice, it still finishes what runs", "[gateway][stop]") {
-    // Two rolling restarts overlap, and the platform asks a machine again that is stopping already. A process
-    // that ended at once would cut what it had promised to finish.
+    // Two rolling restarts overlap, and the platform sends a second signal to a process that is already
+    // shutting down. Exiting at once would abort requests that it was to finish.
     gateway_site site(slow_site(std::chrono::milliseconds(1500)));
     pending_call running(site.callers(0), make_call("/plain/x", "running"));
     wait_until("the request runs", [&] { return site.runs_of("running") == 1; });
@@ -81,8 +81,8 @@
 }
 
 TEST_CASE("gateway: SIGHUP takes new settings, and a faulty file changes nothing", "[gateway][stop]") {
-    // An operator changes the settings of a running gateway. A typing error must not end it, nor cut a
-    // request.
+    // An operator changes the settings of a running gateway. A typing error must not end the process or abort
+    // a request.
     gateway_site site(slow_site(std::chrono::milliseconds(300)));
     pending_call running(site.callers(0), make_call("/plain/x", "running"));
     wait_until("the request runs", [&] { return site.runs_of("running") == 1; });
@@ -102,10 +102,11 @@
 }
 
 TEST_CASE("gateway: a log that nobody reads costs lines, not requests", "[gateway][logs]") {
-    // The collector of the logs hangs and the pipe is full. A process that waited for it would stand still
-    // with all its callers.
+    // The log collector hangs and the pipe is full. A process that waited for it would stop serving all its
+    // callers.
     gateway_site site(slow_site(std::chrono::milliseconds(0)));
-    // A pipe holds 64 KiB; each request writes two lines of some 300 bytes, and each refusal one.
+    // A pipe holds 64 KiB; each forwarded request writes two lines of about 300 bytes, and each refused
+    // request writes one.
     std::uint64_t lost = 0;
     for (int round = 0; lost == 0 && round < 200; ++round) {
         for (int index = 0; index < 100; ++index) {
@@ -120,7 +121,8 @@
 }
 
 TEST_CASE("gateway: the volume of its log is bounded while requests are refused", "[gateway][logs]") {
-    // A caller hammers a path that doesn't exist. A line for each would cost more than the refusals.
+    // A caller sends many requests for a path that doesn't exist. Writing a line for each would cost more
+    // than refusing them.
     gateway_site site(slow_site(std::chrono::milliseconds(0)));
     std::string many;
     for (int index = 0; index < 3000; ++index) {
@@ -129,11 +131,11 @@
     }
     const auto answers = exchange_raw(site.callers(0), many, hang_guard);
     CHECK(count_lines(answers, "HTTP/1.1 404") == 3000);
-    // Each refusal has its line, or is counted in a later one.
+    // Each refusal has its own line or is counted in a later one.
     wait_until("every refusal is told or counted", [&] {
         const auto text = site.process(0).output_text();
         const bool tells_left_out = text.find("\"left_out\":") != std::string::npos;
-        // A line that is left out is only told with the next one, so one more request draws it out.
+        // Omitted lines are only counted in the next line that is written, so one more request is needed.
         static_cast<void>(site.send(0, make_call("/elsewhere", "one more")));
         return count_lines(text, "request_refused") == 3000 || tells_left_out;
     });
--- a/tests/failure/test_gateway_store_return.cpp
+++ b/tests/failure/test_gateway_store_return.cpp
@@ -1,5 +1,5 @@
-// The store comes back from an older copy: versions are given out again, and what was written last is gone
-// until it is written again.
+// Tests gateways after the store was restored from an older copy: it assigns versions a second time, and the
+// latest writes are missing until they are written again.
 #include "support/checks.hpp"
 #include "support/gateway_site.hpp"
 #include "support/wait_until.hpp"
@@ -24,7 +24,7 @@
     wait_until("status " + std::to_string(status), [&] { return site.send(gateway, call).status == status; });
 }
 
-/// Nobody writes again what was lost but the test.
+/// Restores the store to an earlier moment. Only the test writes the lost rows again.
 void return_to(gateway_site& site, clock::time_point moment) {
     site.on_emulator([&] { static_cast<void>(site.store().rows().restore(moment)); });
 }
@@ -34,7 +34,7 @@
     wait_for_log(site, gateway, "\"era\":" + std::to_string(era));
 }
 
-/// Writes something else until the gateway has looked at the store again.
+/// Registers another server and waits until the gateway has learned of it, and thus has read the store again.
 void write_until_seen(gateway_site& site, std::size_t gateway, std::size_t server) {
     site.start_backend(server, plain_backend("marker-" + std::to_string(server)));
     wait_for_log(site, gateway, "\"backend\":\"marker-" + std::to_string(server) + "\"");
@@ -44,7 +44,7 @@
 
 TEST_CASE("gateway: a server that leaves after a return of the store gets nothing new",
           "[gateway][store_return]") {
-    // Guards against a version that was given out twice, which made its leaving look old.
+    // Guards against a version number that was assigned twice, which made the draining server's row look old.
     gateway_site site(plain_site(2));
     const auto copied_at = clock::now();
     for (int index = 0; index < 3; ++index) {
@@ -80,7 +80,7 @@
 
 TEST_CASE("gateway: a key that was revoked just before a return of the store stays revoked",
           "[gateway][store_return]") {
-    // The copy still has the document in which the key is good.
+    // The copy still has the document in which the key is valid.
     auto options = plain_site(1, 2);
     const auto base = options.configuration;
     options.configuration = with_key(base, 5, "old-key");
@@ -126,7 +126,7 @@
 
 TEST_CASE("gateway: returns of the store in quick succession leave nobody behind",
           "[gateway][store_return]") {
-    // Some callers are turned away while others are served, between the one return and the next.
+    // Between two restores, the store refuses some callers and answers others.
     gateway_site site(plain_site(2, 2));
     for (std::size_t round = 0; round < 2; ++round) {
         const auto copied_at = clock::now();
@@ -148,7 +148,7 @@
 }
 
 TEST_CASE("gateway: a return of the store costs a few calls", "[gateway][store_return]") {
-    // Guards against asking over and over for a position that the store no longer has.
+    // Guards against repeated polls for a position that the store no longer has.
     constexpr std::size_t gateways = 3;
     gateway_site site(plain_site(2, gateways));
     const auto copied_at = clock::now();
--- a/tests/unit/test_gateway_roster.cpp
+++ b/tests/unit/test_gateway_roster.cpp
@@ -1,4 +1,5 @@
-// What gateways tell each other of backend servers.
+// Tests of backend_roster and backend_directory: updates exchanged between gateways, and registrations that
+// restart, vanish or can't be decoded. Also tests send_budget.
 #include "gateway/send_budget.hpp"
 #include "support/known_servers.hpp"
 
@@ -27,7 +28,8 @@
 }
 
 TEST_CASE("a gateway that is a little behind is told the difference only", "[gateway][roster]") {
-    // With thousands of servers and hundreds of gateways the whole list for each change filled the links.
+    // With thousands of servers and hundreds of gateways, sending all registrations for each change saturated
+    // the network links.
     known_servers ahead;
     known_servers behind;
     for (int index = 0; index < 100; ++index) {
@@ -60,8 +62,8 @@
 }
 
 TEST_CASE("a server that is missed is told as missed", "[gateway][roster]") {
-    // Its registration vanished while the store was away. A gateway that is told by others would keep it for
-    // good: that it didn't come back in time changes no version.
+    // The registration vanished during an outage of the store. If the server doesn't register again, no
+    // version changes, so a gateway that only receives updates from peers would keep it forever.
     known_servers ahead;
     ahead.register_server("a", 5);
     ahead.roster().take_outage();
@@ -76,7 +78,7 @@
 }
 
 TEST_CASE("a server that had told that it leaves isn't missed after an outage", "[gateway][roster]") {
-    // Guards against keeping servers that are known to have left among those that may come back.
+    // Guards against retaining a server that is known to have shut down.
     known_servers here;
     here.write("a", "engines", 5);
     here.write("b", "engines", 6);
@@ -90,8 +92,9 @@
 
 TEST_CASE("a request that holds a slot at a server that isn't known yet hears when it is",
           "[gateway][roster]") {
-    // The coordinator has read of a server that has just started, this gateway hasn't. Its grants were given
-    // back one after the other, five in a few milliseconds, and then the caller was refused.
+    // The coordinator had read the registration of a server that had just started, and this gateway had not.
+    // Its slots were given back one after another, five in a few milliseconds, and then the caller was
+    // refused.
     known_servers servers;
     routing::backend_record record;
     record.id = "a";
@@ -101,19 +104,19 @@
     int told = 0;
     servers.backends().when_known(awaited, request, [&] { ++told; });
     servers.write("a", "engines@1", 5);
-    CHECK(told == 0); // another start
+    CHECK(told == 0); // a previous start
     servers.write("a", "engines@2", 6);
     CHECK(told == 1);
     servers.write("a", "engines@2", 7);
     CHECK(told == 1);
     CHECK_FALSE(servers.backends().is_former(awaited));
     servers.write("a", "engines@3", 8);
-    CHECK(servers.backends().is_former(awaited)); // no word of it is to be waited for
+    CHECK(servers.backends().is_former(awaited)); // no registration of this start will follow
 }
 
-TEST_CASE("a server that came back and left again is remembered as long as others that left",
+TEST_CASE("a server that was removed twice is remembered as long as other removed servers",
           "[gateway][roster]") {
-    // Guards against a request that waits for a server which is known to be gone.
+    // Guards against a request that waits for a server which is known to be removed.
     backend_directory directory;
     const auto come_and_go = [&](const std::string& id) {
         routing::backend_record record;
@@ -142,8 +145,9 @@
 }
 
 TEST_CASE("large answers that are on their way at a time are bounded", "[gateway][send_budget]") {
-    // All gateways were killed and ask the first that is back for everything. One that answered all of them
-    // at once would hold so many copies that it is ended for the memory it uses, and its callers with it.
+    // After all gateways were killed, each of them requests all registrations from the first one that is
+    // back. If it answered all of them at once, it would hold so many copies that it would be killed for its
+    // memory use.
     send_budget budget(100, 10);
     auto first = budget.try_take(60);
     REQUIRE(first.has_value());
@@ -156,16 +160,17 @@
     }
     const auto moved = std::move(*first);
     first.reset();
-    CHECK_FALSE(budget.try_take(60).has_value()); // still on its way
+    CHECK_FALSE(budget.try_take(60).has_value()); // still being sent
     {
         send_budget fresh(100, 10);
-        CHECK(fresh.try_take(500).has_value()); // alone
+        CHECK(fresh.try_take(500).has_value()); // a single answer is always allowed
     }
 }
 
 TEST_CASE("a gateway that is far behind gets the whole list, not a part of the removals",
           "[gateway][roster]") {
-    // The removals that it missed are forgotten; a difference without them would leave dead servers in place.
+    // The gateway has missed more removals than are remembered. An update without them would leave removed
+    // servers in place.
     known_servers ahead;
     known_servers behind;
     ahead.register_server("first", 1);
@@ -191,8 +196,8 @@
 }
 
 TEST_CASE("a server that starts anew under its id is another server", "[gateway][roster]") {
-    // An engine crashed and is back within a heartbeat. Known by its id alone, it would inherit the rests,
-    // the backlog and the requests of the dead process, and grants for that one would be sent to it.
+    // An engine crashed and is back within a heartbeat interval. If it were identified by its id alone, it
+    // would inherit the cooldown, the queue and the requests of the dead process, and its grants.
     known_servers here;
     here.write("a", "engines@1", 5);
     const auto former = here.usable("a");
@@ -202,7 +207,8 @@
     CHECK(present != former);
     CHECK(here.backends().find(former) == nullptr);
     CHECK(here.backends().find(present) != nullptr);
-    // The former start's last word arrives late, and changes nothing; the others aren't told it either.
+    // The last registration of the previous start arrives late. It changes nothing, and isn't passed on to
+    // other gateways.
     here.write("a", "engines@1", 7);
     CHECK(here.usable("a") == present);
     known_servers other;
@@ -211,8 +217,8 @@
 }
 
 TEST_CASE("an entry that can't be read names no server, and the others hold", "[gateway][roster]") {
-    // Another program wrote into the table. The server that the entry may have stood for gets nothing new
-    // until it speaks for itself, which it does with its next heartbeat.
+    // Another program wrote into the table of servers. A server whose row was overwritten gets no new
+    // requests until it writes its row again with its next heartbeat.
     known_servers here;
     here.write("good", "engines@1", 1);
     here.write("struck", "engines@1", 2);
@@ -221,12 +227,12 @@
     CHECK(here.usable("good") != 0);
     CHECK(here.usable("foreign") == 0);
     CHECK(here.usable("struck") == 0);
-    // A gateway that hears of it from this one learns the same.
+    // A gateway that receives its registrations from this one ends in the same state.
     known_servers other;
     other.roster().take_update(here.roster().changes_after({}));
     CHECK(other.usable("good") != 0);
     CHECK(other.usable("struck") == 0);
-    // Bytes that can't be read aren't kept, nor passed on: JSON couldn't carry them.
+    // The undecodable bytes are neither kept nor passed on, since JSON can't represent them.
     CHECK(here.roster().all().at("struck").value.empty());
     here.write("struck", "engines@1", 5);
     CHECK(here.usable("struck") != 0);
--- a/tests/unit/test_gateway_store_return.cpp
+++ b/tests/unit/test_gateway_store_return.cpp
@@ -1,4 +1,5 @@
-// What a gateway believes of backend servers after the store came back from an older copy.
+// Tests of backend_roster after the store was restored from an older copy: which servers are in use, and
+// which are removed.
 #include "support/known_servers.hpp"
 #include "support/run_until.hpp"
 
@@ -13,16 +14,17 @@
 
 namespace {
 
-/// Some servers, as the store told of them in its first era.
+/// Registers two servers in the first era.
 void make_first_era(known_servers& here) {
     here.read_all({1, 40}, {{"a", "engines", 10}, {"b", "engines", 20}});
 }
 
 } // namespace
 
-TEST_CASE("a server that leaves is known to though its version was given out before",
+TEST_CASE("a server is known to drain although its version was assigned before the restore",
           "[gateway][store_return]") {
-    // Guards against taking a change of the new era for an older one and keeping the server in use.
+    // Guards against treating a change of the new era as older than the known state, which would keep the
+    // server in use.
     known_servers here;
     make_first_era(here);
     here.write("a", "engines", 100);
@@ -33,7 +35,7 @@
     CHECK(here.roster().position() == store::position{2, 60});
 }
 
-TEST_CASE("a server that had told that it leaves stays out of use when the copy has it in service",
+TEST_CASE("a draining server stays out of use when the restored copy lists it as ready",
           "[gateway][store_return]") {
     known_servers here;
     make_first_era(here);
@@ -43,13 +45,14 @@
     CHECK(here.usable("b") != 0);
     here.write("a", "leaving engines", 60);
     CHECK(here.usable("a") == 0);
-    here.write("a", "engines@7", 61); // another start, which the store tells of anew
+    here.write("a", "engines@7", 61); // a new start, which the store can't have held before
     CHECK(here.usable("a") != 0);
 }
 
-TEST_CASE("a server that the copy shows as leaving gets nothing, whichever row is older",
+TEST_CASE("a server that the restored copy lists as draining gets no requests, whichever row is older",
           "[gateway][store_return]") {
-    // Written anew under a number that was given out twice it looks like a row of the copy.
+    // The row may have been written anew under a version number that the store assigned a second time, so it
+    // looks like a row of the copy.
     known_servers here;
     make_first_era(here);
     here.write("a", "engines", 100);
@@ -75,8 +78,8 @@
     }
 }
 
-TEST_CASE("a row that outlives its registration was renewed", "[gateway][store_return]") {
-    // Guards against a server that lives and is never used again: renewing an entry changes no version.
+TEST_CASE("a suspect row that outlives its registration time counts as renewed", "[gateway][store_return]") {
+    // Guards against a live server that is never used again: renewing a registration changes no version.
     known_servers here(20ms);
     here.roster().start();
     make_first_era(here);
@@ -86,9 +89,10 @@
     test::run_until(here.context(), [&] { return here.usable("a") != 0; });
 }
 
-TEST_CASE("a server that is missing from the copy is kept for a while, and then gone",
+TEST_CASE("a server that is missing from the restored copy is retained for a while and then removed",
           "[gateway][store_return]") {
-    // It registered after the copy was made: it may live, and will write again; or it has left since.
+    // The server registered after the copy was made. It may be alive and will then register again, or it may
+    // have shut down since.
     known_servers here;
     here.roster().start();
     make_first_era(here);
@@ -96,7 +100,7 @@
     here.write("d", "leaving engines", 91);
     here.read_all({2, 50}, {{"a", "engines", 10}, {"b", "engines", 20}});
     CHECK(here.usable("c") != 0);
-    CHECK_FALSE(here.knows("d")); // it had told that it leaves
+    CHECK_FALSE(here.knows("d")); // it had announced that it drains
     SECTION("gone when it doesn't come back") {
         test::run_until(here.context(), [&] { return !here.knows("c"); });
     }
@@ -111,7 +115,7 @@
     }
 }
 
-TEST_CASE("former starts of a server don't return with the copy", "[gateway][store_return]") {
+TEST_CASE("previous starts of a server don't return with the restored copy", "[gateway][store_return]") {
     known_servers here;
     here.read_all({1, 40}, {{"a", "engines@1", 10}});
     here.write("a", "engines@2", 100);
@@ -120,7 +124,7 @@
     CHECK(here.usable("a") == present);
 }
 
-TEST_CASE("a server that starts anew in the new era takes work though its version is low",
+TEST_CASE("a server that restarts in the new era is used although its version is low",
           "[gateway][store_return]") {
     known_servers here;
     here.read_all({1, 40}, {{"a", "engines@1", 10}});
@@ -131,7 +135,7 @@
     CHECK(here.usable("a") != former);
 }
 
-TEST_CASE("two returns in a row are two eras", "[gateway][store_return]") {
+TEST_CASE("two restores in a row begin two eras", "[gateway][store_return]") {
     known_servers here;
     make_first_era(here);
     here.write("a", "leaving engines", 100);
@@ -144,7 +148,7 @@
 }
 
 TEST_CASE("what a former era says never overrules the present one", "[gateway][store_return]") {
-    // A peer that is cut off from the store, or an answer that was on its way, knows nothing of the return.
+    // A peer that can't reach the store, or an answer that was delayed, is of the previous era.
     known_servers here;
     make_first_era(here);
     known_servers peer;
@@ -176,7 +180,7 @@
     CHECK(slept.roster().position().era == 2);
     CHECK(slept.usable("a") == 0);
     CHECK(slept.usable("c") != 0);
-    // Servers write again.
+    // The servers write their rows again.
     for (auto* each : {&saw, &started}) {
         each->write("a", "leaving engines", 60);
         each->write("c", "engines", 61);
@@ -190,8 +194,8 @@
     }
 }
 
-TEST_CASE("a gateway of a former era is told everything, not a difference", "[gateway][store_return]") {
-    // Guards against versions of one era compared with those of another.
+TEST_CASE("a gateway in a previous era gets a whole update", "[gateway][store_return]") {
+    // Guards against comparing versions of different eras.
     known_servers ahead;
     ahead.read_all({2, 50}, {{"a", "engines", 10}});
     ahead.write("b", "engines", 60);
--- a/tests/unit/test_store_follower.cpp
+++ b/tests/unit/test_store_follower.cpp
@@ -1,4 +1,4 @@
-// Following a table of a store that loses questions, against the emulated store.
+// Tests of store_follower against the emulated store, which loses requests and is restored from older copies.
 #include "emulator/emulated_store.hpp"
 #include "gateway/store_follower.hpp"
 #include "platform/store_format.hpp"
@@ -17,23 +17,23 @@
 
 namespace {
 
-/// So long that a test which waited for it would be ended as hanging.
+/// Timeout of a call to the store. A test that waited for it would be stopped as hanging.
 constexpr std::chrono::milliseconds endless{3'600'000};
-/// A time of the store's clock after all answers of a test.
+/// A time of the store's clock that is later than all answers of a test.
 constexpr auto far_ahead = std::numeric_limits<std::uint64_t>::max() / 2;
-/// Of the emulated store before its first return.
+/// Era of the emulated store before its first restore.
 constexpr std::uint64_t first_era = 1;
-/// Within which a change must be known.
+/// Time within which the follower must learn of a change.
 constexpr std::chrono::milliseconds change_limit{500};
 
-/// The store and one follower of it, on the test's own thread.
+/// An emulated store and one follower of it, both on the test's thread.
 class followed_table {
 public:
     explicit followed_table(follower_duty duty) : m_duty(duty) {
         write("first");
         m_follower.start();
         run_until([&] { return m_held == "first"; });
-        run_until([&] { return m_store.calls() == 2; }); // all rows, then what has changed
+        run_until([&] { return m_store.calls() == 2; }); // the read of all rows and the first poll
     }
 
     emulator::emulated_store& store() { return m_store; }
@@ -41,14 +41,14 @@
     [[nodiscard]] const std::string& held() const { return m_held; }
     [[nodiscard]] int outages() const { return m_outages; }
 
-    /// Another gateway knows all up to there.
+    /// Sets the position up to which another gateway knows all changes.
     void set_known(store::position known) { m_known = known; }
-    /// The store becomes what it was at that moment.
+    /// Restores the store's rows as they were at that moment.
     void restore(std::chrono::steady_clock::time_point moment) {
         static_cast<void>(m_store.rows().restore(moment));
     }
 
-    /// Another gateway, which holds the same, says that the store confirmed it then.
+    /// Reports a confirmation received by another gateway that holds the same state.
     void hear(std::uint64_t store_time) { m_follower.hear_confirmation({first_era, store_time}); }
 
     void write(const std::string& value) {
@@ -57,7 +57,7 @@
         static_cast<void>(m_store.rows().transact(change));
     }
 
-    /// The store falls silent until the follower's open question is lost.
+    /// Makes the store unresponsive until it has lost the follower's open poll.
     void lose_question() {
         m_store.set_state(store_state::silent);
         run_until([&] { return m_store.unanswered() > 0; });
@@ -95,7 +95,7 @@
 } // namespace
 
 TEST_CASE("a change is heard of although the store lost the open question", "[gateway][store_follower]") {
-    // Guards against going on with the former configuration until the lost question's own limit.
+    // Guards against keeping the previous configuration until the lost poll times out.
     const auto duty = GENERATE(follower_duty::confirm, follower_duty::follow, follower_duty::stand_by);
     followed_table table(duty);
     table.lose_question();
@@ -106,7 +106,7 @@
 
 TEST_CASE("a change is heard of although the store took the question while it was silent",
           "[gateway][store_follower]") {
-    // The same where the question itself is lost, after a change that came just before.
+    // Here the poll itself is lost, since the store becomes unresponsive right after a change.
     followed_table table(follower_duty::follow);
     table.write("second");
     table.run_until([&] { return table.held() == "second"; });
@@ -117,8 +117,9 @@
     table.run_until([&] { return table.held() == "third"; });
 }
 
-TEST_CASE("a store that stays silent is told as an outage", "[gateway][store_follower]") {
-    // Guards against registrations taken as gone that vanished because the store took no heartbeats.
+TEST_CASE("a store that stays unresponsive is reported as an outage", "[gateway][store_follower]") {
+    // Guards against removing servers whose registrations vanished only because the store accepted no
+    // heartbeats.
     followed_table table(follower_duty::follow);
     table.lose_question();
     table.run_until([&] { return !table.follower().is_in_touch(); });
@@ -128,8 +129,8 @@
     table.run_until([&] { return table.follower().is_in_touch() && table.follower().is_current(); });
 }
 
-TEST_CASE("questions that were asked again are given up with the first answer", "[gateway][store_follower]") {
-    // Guards against connections to the store that pile up with each outage.
+TEST_CASE("repeated polls are cancelled with the first answer", "[gateway][store_follower]") {
+    // Guards against connections to the store that accumulate with each outage.
     followed_table table(follower_duty::follow);
     table.lose_question();
     table.run_until([&] { return table.store().unanswered() > 2; });
@@ -138,12 +139,12 @@
     CHECK(table.follower().is_in_touch());
 }
 
-TEST_CASE("what the store confirmed to another gateway counts here as well", "[gateway][store_follower]") {
-    // Guards against a call of each gateway for each confirmation.
+TEST_CASE("a confirmation received by another gateway counts", "[gateway][store_follower]") {
+    // Guards against one call from each gateway for each confirmation.
     followed_table table(follower_duty::follow);
     table.lose_question();
     table.run_until([&] { return !table.follower().is_current(); });
-    table.hear(1); // by the store's clock long before its last answer
+    table.hear(1); // a time of the store's clock long before its last answer
     CHECK_FALSE(table.follower().is_current());
     auto store_time = far_ahead;
     table.run_until([&] {
@@ -153,8 +154,9 @@
     });
 }
 
-TEST_CASE("a change is heard of though its version was given out before", "[gateway][store_follower]") {
-    // Guards against waiting for versions that a store which came back from an older copy gives out later.
+TEST_CASE("a change arrives although its version was assigned before a restore",
+          "[gateway][store_follower]") {
+    // Guards against waiting for version numbers that a store restored from an older copy reaches only later.
     followed_table table(follower_duty::follow);
     const auto copied_at = std::chrono::steady_clock::now();
     table.write("lost");
@@ -166,8 +168,8 @@
     table.run_until([&] { return table.held() == "next"; });
 }
 
-TEST_CASE("a position that the store no longer has is asked for once", "[gateway][store_follower]") {
-    // Guards against asking thousands of times a second for a version of before the copy.
+TEST_CASE("a position that the store no longer has is requested once", "[gateway][store_follower]") {
+    // Guards against thousands of polls per second for a version that the restored store doesn't have.
     followed_table table(follower_duty::follow);
     const auto copied_at = std::chrono::steady_clock::now();
     table.write("lost");
@@ -182,9 +184,9 @@
 }
 
 TEST_CASE("an answer of a former era counts as none", "[gateway][store_follower]") {
-    // It was on its way, on a connection opened before the store came back.
+    // The answer was sent before the store was restored, on a connection opened before.
     followed_table table(follower_duty::follow);
-    table.set_known({first_era + 1, 0}); // another gateway has heard of the return
+    table.set_known({first_era + 1, 0}); // another gateway has learned of the restore
     table.store().tell_era(first_era);
     table.write("of the former era");
     table.run_until([&] { return !table.follower().is_in_touch(); });
@@ -194,8 +196,8 @@
     CHECK(table.follower().is_in_touch());
 }
 
-TEST_CASE("an unbroken view of the store ends with its return from a copy", "[gateway][store_follower]") {
-    // Guards against telling others that the store was there all the while.
+TEST_CASE("a restore of the store ends its uninterrupted availability", "[gateway][store_follower]") {
+    // Guards against reporting to other gateways that the store was available all the time.
     followed_table table(follower_duty::follow);
     const auto returned = std::chrono::steady_clock::now();
     table.restore(returned);
