--- a/src/gateway/backend_roster.cpp
+++ b/src/gateway/backend_roster.cpp
@@ -227,7 +227,7 @@
     for (const auto& id : gone) {
         m_doubted.erase(id);
         if (m_all.contains(id)) {
-            remove(id, "not known to a peer that is ahead");
+            remove(id, "not registered according to a peer with a newer state");
         }
     }
 }
@@ -261,7 +261,7 @@
         return; // m_all keeps the value of the later start, which is also what other gateways receive
     case policy::server_starts::verdict::untold:
         if (!is_told) {
-            report_unreadable(id, "it names no start, though the server does");
+            report_unreadable(id, "it names no start, but an earlier registration of the server did");
         }
         refuse_entry(id, known);
         return;
@@ -362,7 +362,7 @@
         ++m_era_report->missing;
     }
     if (has_left_for_good(id)) {
-        remove(id, "no longer registered, and had told that it leaves");
+        remove(id, "no longer registered, after it had announced that it drains");
     } else if (m_watch.is_gone(id, steady_clock::now())) {
         remove(id, "no longer registered");
     } else {
--- a/src/gateway/request_exchange.cpp
+++ b/src/gateway/request_exchange.cpp
@@ -100,10 +100,10 @@
 }
 
 /// Returns whether the request is certain to be answered, or to have passed its deadline, before this process
-/// exits. Requests with later deadlines are refused: telling a caller to go elsewhere is better than
-/// truncating its stream later. The others are accepted because, when all gateways are restarted in turn,
-/// each may still be finishing long streams when the last is told to stop; refusing every request left
-/// callers without a server for two seconds.
+/// exits. A request with a later deadline is refused, since telling its caller to go elsewhere is better than
+/// truncating its stream later. Refusing every request instead left callers without a gateway for two
+/// seconds: when all gateways are restarted in turn, each may still be finishing long streams when the last
+/// one is told to stop.
 bool request_exchange::has_time_to_finish() const {
     if (!m_context.is_stopping() || clock::now() <= m_context.stopping->takes_all_until) {
         return true;
--- a/src/gateway/rollout_recorder.cpp
+++ b/src/gateway/rollout_recorder.cpp
@@ -48,7 +48,7 @@
             if (is_done) {
                 co_return;
             }
-            failure = "another write came between";
+            failure = "another write intervened";
         } catch (const std::exception& error) {
             failure = error.what();
         }
--- a/src/gateway/store_follower.cpp
+++ b/src/gateway/store_follower.cpp
@@ -95,7 +95,7 @@
 /// restored store.
 void store_follower::refuse_former(store::position told) const {
     if (told.era < std::max(m_position.era, m_handlers.known_position().era)) {
-        throw store::store_error(store::effect::none, "an answer of a former era");
+        throw store::store_error(store::effect::none, "an answer of a previous era");
     }
 }
 
@@ -240,7 +240,7 @@
     // heartbeats of servers either.
     m_handlers.on_outage();
     if (now >= m_question->answer_due) {
-        note_lost("a question was left unanswered");
+        note_lost("a poll was not answered in time");
     }
     ask(question, clock::duration::zero());
 }
