--- a/src/gateway/request_exchange.cpp
+++ b/src/gateway/request_exchange.cpp
@@ -20,10 +20,10 @@
 constexpr milliseconds answer_margin{30};
 /// Above this number of unsent bytes, reading from the backend server pauses. A caller that reads slowly then
 /// slows its server down instead of filling this process's memory.
-constexpr std::size_t most_unsent = 256U * 1024;
+constexpr std::size_t max_unsent_bytes = 256U * 1024;
 /// Retry-After of requests refused because this process is shutting down. It is short because another gateway
 /// can accept the request at once.
-constexpr milliseconds stopping_retry{100};
+constexpr milliseconds shutdown_retry_after{100};
 constexpr unsigned first_success = 200;
 constexpr unsigned first_redirect = 300;
 constexpr unsigned misdirected = 421;
@@ -31,15 +31,15 @@
 constexpr milliseconds configuration_check_period{10};
 /// How long a granted slot is held for a server whose registration is unknown here. This covers several times
 /// the next message of a gateway that has the registration and the exchange that fetches it.
-constexpr milliseconds registration_patience{250};
+constexpr milliseconds registration_timeout{250};
 /// Refused requests are told to retry after a time in this range. It depends on the request, so that requests
 /// refused together don't all return at once.
-constexpr milliseconds least_retry_wait{300};
-constexpr milliseconds most_retry_wait{1000};
+constexpr milliseconds min_retry_after{300};
+constexpr milliseconds max_retry_after{1000};
 
-milliseconds spread_retry(std::uint64_t fingerprint) {
-    const auto range = static_cast<std::uint64_t>((most_retry_wait - least_retry_wait).count());
-    return least_retry_wait + milliseconds(fingerprint % range);
+milliseconds choose_retry_after(std::uint64_t fingerprint) {
+    const auto range = static_cast<std::uint64_t>((max_retry_after - min_retry_after).count());
+    return min_retry_after + milliseconds(fingerprint % range);
 }
 
 bool is_success(unsigned status) {
@@ -86,17 +86,17 @@
     }
     m_is_admitted = true;
     if (!has_time_to_finish()) {
-        answer_error(error_kind::draining, "this process is stopping", stopping_retry);
+        answer_error(error_kind::draining, "this process is stopping", shutdown_retry_after);
         return;
     }
     m_attempts = policy::attempt_rule(m_admitted.route->may_repeat(), m_admitted.route->attempts);
     const std::weak_ptr<request_exchange> weak = weak_from_this();
     m_timer = m_context.timers.after(m_context.executor, m_admitted.time_left(), [weak] {
         if (const auto self = weak.lock()) {
-            self->take_timeout();
+            self->handle_timeout();
         }
     });
-    ask_for_slot();
+    request_slot();
 }
 
 /// Returns whether the request is certain to be answered, or to have passed its deadline, before this process
@@ -131,20 +131,20 @@
     return wanted;
 }
 
-void request_exchange::ask_for_slot() {
+void request_exchange::request_slot() {
     const auto wanted = make_slot_request();
     m_ticket = wanted.ticket;
     m_server_id.clear();
-    m_waits_for_slot = true;
+    m_is_waiting_for_slot = true;
     const auto self = shared_from_this();
-    m_context.slots.request(wanted, {[self](const policy::slot_grant& grant) { self->take_grant(grant); },
+    m_context.slots.request(wanted, {[self](const policy::slot_grant& grant) { self->handle_grant(grant); },
                                      [self](const policy::slot_refusal& refusal) {
-                                         self->take_refusal(refusal);
+                                         self->handle_refusal(refusal);
                                      }});
 }
 
-void request_exchange::take_grant(const policy::slot_grant& grant) {
-    m_waits_for_slot = false;
+void request_exchange::handle_grant(const policy::slot_grant& grant) {
+    m_is_waiting_for_slot = false;
     m_slot = grant.server;
     m_slot_begin = clock::now();
     if (m_attempts.tries() == 0) {
@@ -167,7 +167,7 @@
 /// without being sent anywhere.
 void request_exchange::wait_for_registration(const policy::slot_grant& grant) {
     const std::weak_ptr<request_exchange> weak = weak_from_this();
-    const auto go_on = [weak, grant] {
+    const auto proceed = [weak, grant] {
         const auto self = weak.lock();
         if (self != nullptr && self->is_waiting_to_use(grant)) {
             self->m_registration_timer.cancel();
@@ -175,8 +175,8 @@
         }
     };
     m_context.on_unknown_server();
-    m_context.backends.when_known(grant.server, weak, go_on);
-    m_registration_timer = m_context.timers.after(m_context.executor, registration_patience, go_on);
+    m_context.backends.when_known(grant.server, weak, proceed);
+    m_registration_timer = m_context.timers.after(m_context.executor, registration_timeout, proceed);
 }
 
 bool request_exchange::is_waiting_to_use(const policy::slot_grant& grant) const {
@@ -188,38 +188,39 @@
     m_server_id = server != nullptr ? server->record().id : "unknown";
     m_journal.placed(m_admitted, grant, m_server_id, m_attempts.tries());
     if (server == nullptr) {
-        fail_try(policy::try_outcome::unreachable, policy::slot_outcome::refused,
-                 "the server isn't registered here");
+        fail_attempt(policy::try_outcome::unreachable, policy::slot_outcome::refused,
+                     "the server isn't registered here");
     } else if (server->record().state != routing::backend_state::ready) {
         // The coordinator may not have read that the server is draining, for instance while the store refuses
         // the coordinator's requests.
-        fail_try(policy::try_outcome::unreachable, policy::slot_outcome::refused, "the server is leaving");
+        fail_attempt(policy::try_outcome::unreachable, policy::slot_outcome::refused,
+                     "the server is leaving");
     } else {
         send_to(std::move(server));
     }
 }
 
-void request_exchange::take_refusal(const policy::slot_refusal& refusal) {
-    m_waits_for_slot = false;
+void request_exchange::handle_refusal(const policy::slot_refusal& refusal) {
+    m_is_waiting_for_slot = false;
     const auto wait = std::chrono::duration_cast<milliseconds>(refusal.retry_after);
     switch (refusal.reason) {
     case policy::refusal_reason::over_allowance:
-        end_unserved(error_kind::rate_limited, "over the workspace's allowance", wait);
+        end_without_answer(error_kind::rate_limited, "over the workspace's allowance", wait);
         return;
     case policy::refusal_reason::held_back:
-        end_unserved(error_kind::held_back, "servers crashed while they ran it", wait);
+        end_without_answer(error_kind::held_back, "servers crashed while they ran it", wait);
         return;
     case policy::refusal_reason::over_retry_budget:
     case policy::refusal_reason::overloaded:
         break;
     }
-    end_unserved(error_kind::overloaded, to_string(refusal.reason), wait);
+    end_without_answer(error_kind::overloaded, to_string(refusal.reason), wait);
 }
 
-void request_exchange::leave_slot(policy::slot_outcome outcome) {
-    if (m_waits_for_slot) {
+void request_exchange::release_slot(policy::slot_outcome outcome) {
+    if (m_is_waiting_for_slot) {
         m_context.slots.withdraw(m_ticket);
-        m_waits_for_slot = false;
+        m_is_waiting_for_slot = false;
     }
     if (m_slot != 0) {
         m_context.slots.release({m_ticket, std::exchange(m_slot, 0), outcome, clock::now() - m_slot_begin,
@@ -239,7 +240,7 @@
 void request_exchange::send_to(std::shared_ptr<backend> server) {
     backend_request request;
     request.head = compose_request_head(m_request, m_admitted, m_context.fields, server->record().id,
-                                        m_has_begun_answer ? m_events.last_id() : std::nullopt);
+                                        m_has_begun_stream ? m_events.last_id() : std::nullopt);
     request.body = m_request.body;
     request.request_id = m_admitted.id;
     request.request_id_name = m_context.fields.request_id;
@@ -248,58 +249,58 @@
     const auto self = shared_from_this();
     m_call = std::make_shared<backend_call>(
         m_context.executor, std::move(server), std::move(request),
-        backend_call::handlers{[self] { self->take_head(); },
-                               [self](std::string_view bytes) { self->take_body(bytes); },
-                               [self] { self->take_complete(); },
+        backend_call::handlers{[self] { self->handle_head(); },
+                               [self](std::string_view bytes) { self->handle_body(bytes); },
+                               [self] { self->handle_complete(); },
                                [self](call_failure what, std::string_view reason) {
-                                   self->take_failure(what, reason);
+                                   self->handle_failure(what, reason);
                                }});
     m_call->start();
 }
 
-void request_exchange::take_head() {
-    m_passes_events =
+void request_exchange::handle_head() {
+    m_forwards_events =
         m_admitted.route->kind == routing::route_kind::stream && is_success(m_call->response().status());
     m_answer.clear();
 }
 
-void request_exchange::take_body(std::string_view bytes) {
-    if (m_passes_events) {
-        take_events(bytes);
+void request_exchange::handle_body(std::string_view bytes) {
+    if (m_forwards_events) {
+        handle_events(bytes);
     } else {
         m_answer.append(bytes);
     }
 }
 
-void request_exchange::take_events(std::string_view bytes) {
-    std::string_view whole;
+void request_exchange::handle_events(std::string_view bytes) {
+    std::string_view complete_events;
     try {
-        whole = m_events.add(bytes);
+        complete_events = m_events.add(bytes);
     } catch (const http::response_error& error) {
         m_call->cancel();
-        fail_try(policy::try_outcome::may_have_run, policy::slot_outcome::broken, error.what());
+        fail_attempt(policy::try_outcome::may_have_run, policy::slot_outcome::broken, error.what());
         return;
     }
-    if (whole.empty()) {
+    if (complete_events.empty()) {
         return;
     }
-    note_event();
+    record_event_time();
     if (m_first_event == policy::duration{}) {
         m_first_event = clock::now() - m_slot_begin;
         m_journal.first_event(m_admitted);
     }
     begin_stream();
-    m_session->send_piece(whole);
-    if (m_session->unsent() > most_unsent) {
+    m_session->send_piece(complete_events);
+    if (m_session->unsent() > max_unsent_bytes) {
         m_call->pause();
     }
 }
 
 /// Records the time to the first event and the longest pause between events. Both are written to the log,
 /// since they are what the caller experiences.
-void request_exchange::note_event() {
+void request_exchange::record_event_time() {
     const auto now = clock::now();
-    if (!m_has_begun_answer) {
+    if (!m_has_begun_stream) {
         m_to_first = now - m_admitted.arrived;
     } else {
         m_longest_pause = std::max(m_longest_pause, now - m_last_event);
@@ -312,10 +313,10 @@
 }
 
 void request_exchange::begin_stream() {
-    if (m_has_begun_answer) {
+    if (m_has_begun_stream) {
         return;
     }
-    m_has_begun_answer = true;
+    m_has_begun_stream = true;
     const auto& response = m_call->response();
     m_session->begin_stream(response.status(), response.reason(), compose_passed_fields(response.fields()));
 }
@@ -326,37 +327,38 @@
     }
 }
 
-void request_exchange::take_complete() {
-    if (!m_passes_events) {
-        take_whole_answer();
+void request_exchange::handle_complete() {
+    if (!m_forwards_events) {
+        handle_complete_answer();
         return;
     }
     if (!m_events.is_whole()) {
-        fail_try(policy::try_outcome::may_have_run, policy::slot_outcome::broken,
-                 "a stream without its last event");
+        fail_attempt(policy::try_outcome::may_have_run, policy::slot_outcome::broken,
+                     "a stream without its last event");
         return;
     }
-    leave_slot(policy::slot_outcome::served);
+    release_slot(policy::slot_outcome::served);
     m_journal.answered(m_admitted, m_server_id, m_call->response().status(), m_attempts.tries() + 1,
                        answer_times());
     m_session->finish_stream();
     end();
 }
 
-void request_exchange::take_whole_answer() {
+void request_exchange::handle_complete_answer() {
     const auto& response = m_call->response();
     if (response.status() == misdirected) {
-        fail_try(policy::try_outcome::not_executed, policy::slot_outcome::replaced,
-                 "another server answers at its address");
+        fail_attempt(policy::try_outcome::not_executed, policy::slot_outcome::replaced,
+                     "another server answers at its address");
         return;
     }
     if (response.fields().find(m_context.fields.not_executed).has_value()) {
-        fail_try(policy::try_outcome::not_executed, policy::slot_outcome::refused, "the server refused it");
+        fail_attempt(policy::try_outcome::not_executed, policy::slot_outcome::refused,
+                     "the server refused it");
         return;
     }
-    if (m_has_begun_answer) {
-        fail_try(policy::try_outcome::may_have_run, policy::slot_outcome::failed,
-                 "the stream can't go on there");
+    if (m_has_begun_stream) {
+        fail_attempt(policy::try_outcome::may_have_run, policy::slot_outcome::failed,
+                     "the stream can't go on there");
         return;
     }
     const bool has_failed = response.status() >= first_server_error;
@@ -364,17 +366,17 @@
     if (has_failed) {
         const auto busy = clock::now() - m_slot_begin;
         m_attempts.record(m_slot, policy::try_outcome::may_have_run);
-        leave_slot(policy::slot_outcome::failed);
+        release_slot(policy::slot_outcome::failed);
         const bool goes_on = may_try_again();
         m_journal.try_failed(m_admitted, m_server_id, policy::slot_outcome::failed,
                              "status " + std::to_string(response.status()), m_attempts, goes_on, busy);
         if (goes_on) {
             m_call.reset();
-            ask_for_slot();
+            request_slot();
             return;
         }
     }
-    leave_slot(policy::slot_outcome::served);
+    release_slot(policy::slot_outcome::served);
     m_to_first = clock::now() - m_admitted.arrived;
     m_journal.answered(m_admitted, m_server_id, response.status(), tries, answer_times());
     m_session->answer(response.status(), response.reason(), compose_passed_fields(response.fields()),
@@ -382,61 +384,61 @@
     end();
 }
 
-void request_exchange::take_failure(call_failure what, std::string_view reason) {
+void request_exchange::handle_failure(call_failure what, std::string_view reason) {
     if (what == call_failure::unreachable) {
-        fail_try(policy::try_outcome::unreachable, policy::slot_outcome::unreachable, reason);
+        fail_attempt(policy::try_outcome::unreachable, policy::slot_outcome::unreachable, reason);
     } else {
-        fail_try(policy::try_outcome::may_have_run, policy::slot_outcome::broken, reason);
+        fail_attempt(policy::try_outcome::may_have_run, policy::slot_outcome::broken, reason);
     }
 }
 
-void request_exchange::fail_try(policy::try_outcome outcome, policy::slot_outcome slot,
-                                std::string_view reason) {
+void request_exchange::fail_attempt(policy::try_outcome outcome, policy::slot_outcome slot,
+                                    std::string_view reason) {
     const auto busy = clock::now() - m_slot_begin;
     // The slot scheduler refunds the quota of a request that didn't run when its slot is released.
     m_is_charged = outcome == policy::try_outcome::may_have_run;
     m_attempts.record(m_slot, outcome);
-    leave_slot(slot);
+    release_slot(slot);
     m_call.reset();
-    if (m_has_begun_answer) {
+    if (m_has_begun_stream) {
         m_events.break_off();
     }
     const bool goes_on = may_try_again();
     m_journal.try_failed(m_admitted, m_server_id, slot, reason, m_attempts, goes_on, busy);
     if (goes_on) {
-        ask_for_slot();
+        request_slot();
     } else {
-        end_unserved(error_kind::overloaded, reason, spread_retry(m_admitted.fingerprint));
+        end_without_answer(error_kind::overloaded, reason, choose_retry_after(m_admitted.fingerprint));
     }
 }
 
 /// Returns whether the request may be sent to another server. A stream of which the caller already has a part
 /// can only continue if its last event has an id, from which the next server resumes.
 bool request_exchange::may_try_again() const {
-    const bool can_go_on = !m_has_begun_answer || m_events.last_id().has_value();
+    const bool can_go_on = !m_has_begun_stream || m_events.last_id().has_value();
     return can_go_on && m_attempts.may_try_again() && m_admitted.time_left() > answer_margin;
 }
 
 // The answer.
 
-void request_exchange::take_timeout() {
+void request_exchange::handle_timeout() {
     const bool is_running = m_call != nullptr;
     if (is_running) {
         m_call->cancel();
         m_attempts.record(m_slot, policy::try_outcome::may_have_run);
     }
-    leave_slot(policy::slot_outcome::abandoned);
-    end_unserved(is_running ? error_kind::backend_stalled : error_kind::deadline_unreachable,
-                 is_running ? "its time is over while a server works on it" : "its time is over");
+    release_slot(policy::slot_outcome::abandoned);
+    end_without_answer(is_running ? error_kind::backend_stalled : error_kind::deadline_unreachable,
+                       is_running ? "its time is over while a server works on it" : "its time is over");
 }
 
 /// Answers a request that no backend server has answered. An error that promises "not run" is only sent when
 /// that is certain. A stream that has begun is aborted, so that the caller can't mistake its part for a
 /// complete answer.
-void request_exchange::end_unserved(error_kind kind, std::string_view reason,
-                                    std::optional<milliseconds> retry_after) {
-    leave_slot(policy::slot_outcome::abandoned);
-    if (m_has_begun_answer) {
+void request_exchange::end_without_answer(error_kind kind, std::string_view reason,
+                                          std::optional<milliseconds> retry_after) {
+    release_slot(policy::slot_outcome::abandoned);
+    if (m_has_begun_stream) {
         m_journal.cut(m_admitted, reason, m_attempts.tries(), m_events.count());
         m_is_over = true; // logged above as cut; cancel() must not log it as abandoned
         m_session->cut();
@@ -487,7 +489,7 @@
     m_is_over = true;
     m_timer.cancel();
     m_registration_timer.cancel();
-    leave_slot(policy::slot_outcome::abandoned);
+    release_slot(policy::slot_outcome::abandoned);
     m_call.reset();
 }
 
--- a/src/gateway/request_exchange.hpp
+++ b/src/gateway/request_exchange.hpp
@@ -54,34 +54,34 @@
     [[nodiscard]] bool has_time_to_finish() const;
 
     // The slot.
-    void ask_for_slot();
+    void request_slot();
     [[nodiscard]] policy::slot_request make_slot_request() const;
-    void take_grant(const policy::slot_grant& grant);
+    void handle_grant(const policy::slot_grant& grant);
     void wait_for_registration(const policy::slot_grant& grant);
     [[nodiscard]] bool is_waiting_to_use(const policy::slot_grant& grant) const;
     void use_slot(const policy::slot_grant& grant);
-    void take_refusal(const policy::slot_refusal& refusal);
-    void leave_slot(policy::slot_outcome outcome);
+    void handle_refusal(const policy::slot_refusal& refusal);
+    void release_slot(policy::slot_outcome outcome);
     [[nodiscard]] double count_output() const;
 
     // The call to a backend server.
     void send_to(std::shared_ptr<backend> server);
-    void take_head();
-    void take_body(std::string_view bytes);
-    void take_events(std::string_view bytes);
-    void take_complete();
-    void take_whole_answer();
-    void take_failure(call_failure what, std::string_view reason);
-    void fail_try(policy::try_outcome outcome, policy::slot_outcome slot, std::string_view reason);
+    void handle_head();
+    void handle_body(std::string_view bytes);
+    void handle_events(std::string_view bytes);
+    void handle_complete();
+    void handle_complete_answer();
+    void handle_failure(call_failure what, std::string_view reason);
+    void fail_attempt(policy::try_outcome outcome, policy::slot_outcome slot, std::string_view reason);
     [[nodiscard]] bool may_try_again() const;
 
     // The answer.
-    void note_event();
+    void record_event_time();
     [[nodiscard]] request_journal::answer_times answer_times() const;
     void begin_stream();
-    void take_timeout();
-    void end_unserved(error_kind kind, std::string_view reason,
-                      std::optional<milliseconds> retry_after = std::nullopt);
+    void handle_timeout();
+    void end_without_answer(error_kind kind, std::string_view reason,
+                            std::optional<milliseconds> retry_after = std::nullopt);
     void answer_error(error_kind kind, std::string_view reason, std::optional<milliseconds> retry_after);
     void end();
 
@@ -95,7 +95,7 @@
 
     bool m_is_admitted = false;
     policy::slot_ticket m_ticket = 0;
-    bool m_waits_for_slot = false;
+    bool m_is_waiting_for_slot = false;
     policy::server_key m_slot = 0; ///< Key of the server whose slot is held; 0: none.
     /// Id of the server that the request was last sent to; empty while it waits for a slot.
     std::string m_server_id;
@@ -111,10 +111,10 @@
 
     std::shared_ptr<backend_call> m_call;
     /// Whether the current response is a successful stream, forwarded event by event.
-    bool m_passes_events = false;
+    bool m_forwards_events = false;
     std::string m_answer; ///< Body of a response that is forwarded as a whole.
     event_relay m_events;
-    bool m_has_begun_answer = false; ///< Whether the head of a stream has been sent to the caller.
+    bool m_has_begun_stream = false; ///< Whether the head of a stream has been sent to the caller.
     bool m_is_over = false;
     timer_subscription m_timer; ///< First polls for a configuration, then fires at the request's deadline.
     /// Limits the wait for the registration of the server whose slot is held.
