--- a/src/gateway/client_session.cpp
+++ b/src/gateway/client_session.cpp
@@ -247,7 +247,7 @@
     answer(row.http_status, row.name, fields, body);
 }
 
-void client_session::cut() {
+void client_session::abort_answer() {
     close();
 }
 
--- a/src/gateway/client_session.hpp
+++ b/src/gateway/client_session.hpp
@@ -39,7 +39,7 @@
 
     /// Sends a complete answer. `fields` are complete header lines, each with its line end.
     void answer(unsigned status, std::string_view reason, std::string_view fields, std::string_view body);
-    /// Sends the head of a streamed answer, which ends with finish_stream() or cut().
+    /// Sends the head of a streamed answer, which ends with finish_stream() or abort_answer().
     void begin_stream(unsigned status, std::string_view reason, std::string_view fields);
     /// Sends bytes of the stream as one chunk.
     void send_piece(std::string_view bytes);
@@ -47,7 +47,7 @@
     void finish_stream();
     /// Closes the connection in the middle of an answer, so that the caller can't mistake what it has
     /// received for the complete answer.
-    void cut();
+    void abort_answer();
 
     /// Bytes that have been sent to this session and not yet written to the connection.
     [[nodiscard]] std::size_t unsent() const noexcept { return m_connection->unsent(); }
--- a/src/gateway/gateway_metrics.cpp
+++ b/src/gateway/gateway_metrics.cpp
@@ -45,7 +45,7 @@
         .add();
 }
 
-void gateway_metrics::count_cut(const admitted_request& request) {
+void gateway_metrics::count_aborted(const admitted_request& request) {
     m_registry
         .get_counter("borageford_gateway_cut_total", "Streams ended in the middle.",
                      {{"workspace", workspace_of(&request)}, {"tier", tier_of(&request)}})
@@ -59,7 +59,7 @@
         .add();
 }
 
-void gateway_metrics::count_try(const admitted_request& request, policy::slot_outcome outcome) {
+void gateway_metrics::count_attempt(const admitted_request& request, policy::slot_outcome outcome) {
     m_registry
         .get_counter("borageford_gateway_tries_total",
                      "What backend servers made of the requests sent to them.",
--- a/src/gateway/gateway_metrics.hpp
+++ b/src/gateway/gateway_metrics.hpp
@@ -24,11 +24,11 @@
     /// admitted.
     void count_refused(const admitted_request* request, error_kind kind);
     /// Counts a stream that was aborted in the middle.
-    void count_cut(const admitted_request& request);
+    void count_aborted(const admitted_request& request);
     /// Counts a caller that disconnected before the end of its answer.
     void count_abandoned(const admitted_request& request);
     /// Counts one attempt at a backend server by its outcome.
-    void count_try(const admitted_request& request, policy::slot_outcome outcome);
+    void count_attempt(const admitted_request& request, policy::slot_outcome outcome);
 
     /// Records the time from a request's arrival to a granted slot.
     void record_wait(const admitted_request& request, duration wait);
--- a/src/gateway/request_exchange.cpp
+++ b/src/gateway/request_exchange.cpp
@@ -367,10 +367,10 @@
         const auto busy = clock::now() - m_slot_begin;
         m_attempts.record(m_slot, policy::try_outcome::may_have_run);
         release_slot(policy::slot_outcome::failed);
-        const bool goes_on = may_try_again();
-        m_journal.try_failed(m_admitted, m_server_id, policy::slot_outcome::failed,
-                             "status " + std::to_string(response.status()), m_attempts, goes_on, busy);
-        if (goes_on) {
+        const bool will_retry = may_try_again();
+        m_journal.attempt_failed(m_admitted, m_server_id, policy::slot_outcome::failed,
+                                 "status " + std::to_string(response.status()), m_attempts, will_retry, busy);
+        if (will_retry) {
             m_call.reset();
             request_slot();
             return;
@@ -403,9 +403,9 @@
     if (m_has_begun_stream) {
         m_events.break_off();
     }
-    const bool goes_on = may_try_again();
-    m_journal.try_failed(m_admitted, m_server_id, slot, reason, m_attempts, goes_on, busy);
-    if (goes_on) {
+    const bool will_retry = may_try_again();
+    m_journal.attempt_failed(m_admitted, m_server_id, slot, reason, m_attempts, will_retry, busy);
+    if (will_retry) {
         request_slot();
     } else {
         end_without_answer(error_kind::overloaded, reason, choose_retry_after(m_admitted.fingerprint));
@@ -439,9 +439,9 @@
                                           std::optional<milliseconds> retry_after) {
     release_slot(policy::slot_outcome::abandoned);
     if (m_has_begun_stream) {
-        m_journal.cut(m_admitted, reason, m_attempts.tries(), m_events.count());
+        m_journal.aborted(m_admitted, reason, m_attempts.tries(), m_events.count());
         m_is_over = true; // logged above as cut; cancel() must not log it as abandoned
-        m_session->cut();
+        m_session->abort_answer();
         end();
         return;
     }
--- a/src/gateway/request_journal.cpp
+++ b/src/gateway/request_journal.cpp
@@ -47,7 +47,7 @@
 }
 
 void request_journal::placed(const admitted_request& request, const policy::slot_grant& grant,
-                             std::string_view backend, unsigned tries_before) {
+                             std::string_view backend, unsigned attempts_before) {
     m_context.metrics.record_wait(request, clock::now() - request.arrived);
     events::write(event_kind::request_placed, {{"request", request.id},
                                                {"ticket", grant.ticket},
@@ -60,20 +60,21 @@
                                                {"configuration", version_for(&request)},
                                                {"decided_by", to_string(m_context.slots.source())},
                                                {"waited_ms", age_ms(request)},
-                                               {"try", std::uint64_t(tries_before + 1)}});
+                                               {"try", std::uint64_t(attempts_before + 1)}});
 }
 
-void request_journal::try_failed(const admitted_request& request, std::string_view backend,
-                                 policy::slot_outcome outcome, std::string_view reason,
-                                 const policy::attempt_rule& attempts, bool goes_on, clock::duration busy) {
-    m_context.metrics.count_try(request, outcome);
+void request_journal::attempt_failed(const admitted_request& request, std::string_view backend,
+                                     policy::slot_outcome outcome, std::string_view reason,
+                                     const policy::attempt_rule& attempts, bool will_retry,
+                                     clock::duration busy) {
+    m_context.metrics.count_attempt(request, outcome);
     events::write(event_kind::request_try_failed, {{"request", request.id},
                                                    {"backend", backend},
                                                    {"outcome", to_string(outcome)},
                                                    {"reason", reason},
                                                    {"try", std::uint64_t(attempts.tries())},
                                                    {"runs", std::uint64_t(attempts.runs())},
-                                                   {"next", goes_on ? "again" : "end"},
+                                                   {"next", will_retry ? "again" : "end"},
                                                    {"busy_ms", to_ms(busy)}});
 }
 
@@ -83,7 +84,7 @@
 
 void request_journal::answered(const admitted_request& request, std::string_view backend, unsigned status,
                                unsigned tries, const answer_times& times) {
-    m_context.metrics.count_try(request, policy::slot_outcome::served);
+    m_context.metrics.count_attempt(request, policy::slot_outcome::served);
     m_context.metrics.count_answered(request, status, clock::now() - request.arrived);
     events::write(event_kind::request_answered, {{"request", request.id},
                                                  {"status", std::uint64_t(status)},
@@ -122,9 +123,9 @@
                    {"retry_after_ms", std::int64_t(what.retry_after.value_or(milliseconds(0)).count())}});
 }
 
-void request_journal::cut(const admitted_request& request, std::string_view reason, unsigned tries,
-                          std::uint64_t count) {
-    m_context.metrics.count_cut(request);
+void request_journal::aborted(const admitted_request& request, std::string_view reason, unsigned tries,
+                              std::uint64_t count) {
+    m_context.metrics.count_aborted(request);
     events::write(event_kind::request_cut, {{"request", request.id},
                                             {"reason", reason},
                                             {"route", route_of(&request)},
--- a/src/gateway/request_journal.hpp
+++ b/src/gateway/request_journal.hpp
@@ -21,14 +21,14 @@
 
     explicit request_journal(gateway_context& context) : m_context(context) {}
 
-    /// A slot was granted. `tries_before` is the number of earlier attempts.
+    /// A slot was granted. `attempts_before` is the number of earlier attempts.
     void placed(const admitted_request& request, const policy::slot_grant& grant, std::string_view backend,
-                unsigned tries_before);
-    /// An attempt failed. `goes_on` is whether another attempt follows, `busy` the time since the slot was
+                unsigned attempts_before);
+    /// An attempt failed. `will_retry` is whether another attempt follows, `busy` the time since the slot was
     /// granted.
-    void try_failed(const admitted_request& request, std::string_view backend, policy::slot_outcome outcome,
-                    std::string_view reason, const policy::attempt_rule& attempts, bool goes_on,
-                    clock::duration busy);
+    void attempt_failed(const admitted_request& request, std::string_view backend,
+                        policy::slot_outcome outcome, std::string_view reason,
+                        const policy::attempt_rule& attempts, bool will_retry, clock::duration busy);
     /// The first event of the current attempt was received. Only updates a metric.
     void first_event(const admitted_request& request);
     /// Times of an answer as its caller experiences them.
@@ -59,7 +59,8 @@
     /// The gateway answered with an error of its own. `request` is null if it wasn't admitted.
     void refused(const admitted_request* request, const refusal& what);
     /// A stream was aborted after `events` events.
-    void cut(const admitted_request& request, std::string_view reason, unsigned tries, std::uint64_t events);
+    void aborted(const admitted_request& request, std::string_view reason, unsigned tries,
+                 std::uint64_t events);
     /// The caller disconnected before the end of its answer. `stage` is "running" or "waiting".
     void abandoned(const admitted_request& request, std::string_view stage, std::string_view backend,
                    std::uint64_t events);
