--- a/src/gateway/backend.cpp
+++ b/src/gateway/backend.cpp
@@ -45,14 +45,14 @@
     };
     // Bytes that arrive while no request is open belong to no response. The connection can't be trusted any
     // more and is closed.
-    const auto take_end = [weak, drop](net::connection_end how) {
+    const auto handle_end = [weak, drop](net::connection_end how) {
         const auto self = weak.lock();
         if (self != nullptr && how == net::connection_end::failed) {
             self->note_break();
         }
         drop();
     };
-    connection->set_handlers({drop, take_end, {}});
+    connection->set_handlers({drop, handle_end, {}});
     connection->read();
     m_idle.push_back({std::move(connection), now, now + keep});
 }
--- a/src/gateway/backend_call.cpp
+++ b/src/gateway/backend_call.cpp
@@ -89,9 +89,10 @@
     m_reader.emplace(m_request.is_head_method ? http::response_reader::body_rule::none
                                               : http::response_reader::body_rule::expected);
     m_sent_before = m_connection->sent_bytes();
-    m_connection->set_handlers({[self = shared_from_this()] { self->take_input(); },
-                                [self = shared_from_this()](net::connection_end how) { self->take_end(how); },
-                                {}});
+    m_connection->set_handlers(
+        {[self = shared_from_this()] { self->handle_input(); },
+         [self = shared_from_this()](net::connection_end how) { self->handle_end(how); },
+         {}});
     const std::array<std::string_view, 2> pieces{m_request.head, m_request.body};
     m_connection->send(pieces);
     m_connection->read();
@@ -123,7 +124,7 @@
     }
 }
 
-void backend_call::take_input() {
+void backend_call::handle_input() {
     const auto self = shared_from_this();
     try {
         while (!m_is_over && read_response()) {
@@ -174,7 +175,7 @@
     return !echoed.has_value() || *echoed == m_request.request_id;
 }
 
-void backend_call::take_end(net::connection_end how) {
+void backend_call::handle_end(net::connection_end how) {
     if (m_is_over) {
         return;
     }
--- a/src/gateway/backend_call.hpp
+++ b/src/gateway/backend_call.hpp
@@ -70,8 +70,8 @@
 private:
     void connect();
     void send_on(std::shared_ptr<net::connection> connection);
-    void take_input();
-    void take_end(net::connection_end how);
+    void handle_input();
+    void handle_end(net::connection_end how);
     bool read_response();
     [[nodiscard]] bool belongs_to_this_call() const;
     void complete();
--- a/src/gateway/client_session.cpp
+++ b/src/gateway/client_session.cpp
@@ -20,13 +20,13 @@
 
 /// Above this number of pipelined bytes, reading pauses while a request is being answered; further bytes stay
 /// in the kernel.
-constexpr std::size_t most_held_input = 64U * 1024;
+constexpr std::size_t max_pending_input_bytes = 64U * 1024;
 /// How long the caller may still send on a connection that this process is closing. Closing at once would
 /// make the kernel send a reset, which could destroy the answer before the caller has read it.
-constexpr milliseconds linger{1000};
+constexpr milliseconds linger_time{1000};
 /// How often the idle time and the time limit for a request's head are checked.
 constexpr milliseconds time_check_period{500};
-constexpr std::size_t most_read_size = 64U * 1024;
+constexpr std::size_t max_read_size = 64U * 1024;
 
 http::request_limits reader_limits(const gateway_context& context) {
     const auto configuration = *context.configuration.read();
@@ -58,16 +58,16 @@
 
 void client_session::start() {
     const auto self = shared_from_this();
-    m_connection->set_handlers({[self] { self->take_input(); },
-                                [self](net::connection_end how) { self->take_end(how); },
+    m_connection->set_handlers({[self] { self->handle_input(); },
+                                [self](net::connection_end how) { self->handle_end(how); },
                                 [self] {
-                                    self->take_drained();
+                                    self->handle_drained();
                                 }});
     m_connection->read();
-    watch_time();
+    start_time_checks();
 }
 
-void client_session::watch_time() {
+void client_session::start_time_checks() {
     m_timer = m_context.timers.every(m_context.executor, time_check_period, [weak = weak_from_this()] {
         if (const auto self = weak.lock()) {
             self->check_time();
@@ -90,9 +90,9 @@
     }
 }
 
-void client_session::take_input() {
+void client_session::handle_input() {
     if (m_exchange != nullptr) {
-        if (m_connection->input().size() > most_held_input) {
+        if (m_connection->input().size() > max_pending_input_bytes) {
             m_connection->pause_reading();
         }
         return;
@@ -124,7 +124,7 @@
     }
     if (m_reads_request && m_reader.has_head() && !m_reader.is_complete()) {
         m_connection->set_read_size(
-            std::min(most_read_size, std::max<std::size_t>(4096, m_reader.missing_bytes())));
+            std::min(max_read_size, std::max<std::size_t>(4096, m_reader.missing_bytes())));
         if (!m_has_continued && m_reader.expects_continue()) {
             m_has_continued = true;
             m_connection->send("HTTP/1.1 100 Continue\r\n\r\n");
@@ -143,14 +143,14 @@
     exchange->start();
 }
 
-void client_session::take_end(net::connection_end) {
+void client_session::handle_end(net::connection_end) {
     close();
 }
 
-void client_session::take_drained() {
+void client_session::handle_drained() {
     if (m_exchange != nullptr) {
         const auto exchange = m_exchange;
-        exchange->take_drained();
+        exchange->handle_drained();
     }
 }
 
@@ -191,7 +191,7 @@
     }
 }
 
-void client_session::send_piece(std::string_view bytes) {
+void client_session::send_chunk(std::string_view bytes) {
     if (m_is_closed || bytes.empty()) {
         return;
     }
@@ -215,7 +215,7 @@
     if (!m_keeps_connection) {
         m_is_closed = true;
         m_timer.cancel();
-        m_connection->close_gently(linger);
+        m_connection->close_gently(linger_time);
         return;
     }
     m_connection->read();
@@ -259,7 +259,7 @@
     if (is_idle() && !m_is_closed) {
         m_is_closed = true;
         m_timer.cancel();
-        m_connection->close_gently(linger);
+        m_connection->close_gently(linger_time);
     }
 }
 
--- a/src/gateway/client_session.hpp
+++ b/src/gateway/client_session.hpp
@@ -42,7 +42,7 @@
     /// Sends the head of a streamed answer, which ends with finish_stream() or abort_answer().
     void begin_stream(unsigned status, std::string_view reason, std::string_view fields);
     /// Sends bytes of the stream as one chunk.
-    void send_piece(std::string_view bytes);
+    void send_chunk(std::string_view bytes);
     /// Sends the end of the stream.
     void finish_stream();
     /// Closes the connection in the middle of an answer, so that the caller can't mistake what it has
@@ -59,9 +59,9 @@
 private:
     using clock = std::chrono::steady_clock;
 
-    void take_input();
-    void take_end(net::connection_end how);
-    void take_drained();
+    void handle_input();
+    void handle_end(net::connection_end how);
+    void handle_drained();
     void read_requests();
     void begin_exchange();
     void refuse(error_kind kind, std::string_view detail,
@@ -69,7 +69,7 @@
     void end_answer();
     void send_head(unsigned status, std::string_view reason, std::string_view fields,
                    std::string_view framing);
-    void watch_time();
+    void start_time_checks();
     void check_time();
     void close();
 
--- a/src/gateway/request_exchange.cpp
+++ b/src/gateway/request_exchange.cpp
@@ -290,7 +290,7 @@
         m_journal.first_event(m_admitted);
     }
     begin_stream();
-    m_session->send_piece(complete_events);
+    m_session->send_chunk(complete_events);
     if (m_session->unsent() > max_unsent_bytes) {
         m_call->pause();
     }
@@ -321,7 +321,7 @@
     m_session->begin_stream(response.status(), response.reason(), compose_passed_fields(response.fields()));
 }
 
-void request_exchange::take_drained() {
+void request_exchange::handle_drained() {
     if (m_call != nullptr) {
         m_call->resume();
     }
--- a/src/gateway/request_exchange.hpp
+++ b/src/gateway/request_exchange.hpp
@@ -47,7 +47,7 @@
 
     /// Called when all bytes sent to the caller have left the process; resumes reading from the backend
     /// server.
-    void take_drained();
+    void handle_drained();
 
 private:
     void begin();
