--- a/src/gateway/backend.cpp
+++ b/src/gateway/backend.cpp
@@ -18,10 +18,10 @@
     m_record = std::move(record);
 }
 
-std::shared_ptr<net::connection> backend::take_idle(clock::duration longest_idle) {
+std::shared_ptr<net::connection> backend::take_idle(clock::duration max_idle) {
     const auto now = clock::now();
     close_expired(now);
-    if (m_idle.empty() || now - m_idle.back().since > longest_idle) {
+    if (m_idle.empty() || now - m_idle.back().since > max_idle) {
         return nullptr;
     }
     auto connection = std::move(m_idle.back().connection);
@@ -30,7 +30,7 @@
     return connection;
 }
 
-void backend::give_back(std::shared_ptr<net::connection> connection, clock::duration keep) {
+void backend::keep_idle(std::shared_ptr<net::connection> connection, clock::duration keep) {
     if (m_is_retired) {
         connection->close();
         return;
@@ -40,7 +40,7 @@
     const std::weak_ptr<backend> weak = weak_from_this();
     const auto drop = [weak, raw] {
         if (const auto self = weak.lock()) {
-            self->forget(raw);
+            self->drop_idle(raw);
         }
     };
     // Bytes that arrive while no request is open belong to no response. The connection can't be trusted any
@@ -48,7 +48,7 @@
     const auto handle_end = [weak, drop](net::connection_end how) {
         const auto self = weak.lock();
         if (self != nullptr && how == net::connection_end::failed) {
-            self->note_break();
+            self->record_connection_failure();
         }
         drop();
     };
@@ -57,7 +57,7 @@
     m_idle.push_back({std::move(connection), now, now + keep});
 }
 
-void backend::forget(const net::connection* ended) {
+void backend::drop_idle(const net::connection* ended) {
     const auto found = std::ranges::find_if(
         m_idle, [ended](const idle_connection& entry) { return entry.connection.get() == ended; });
     if (found != m_idle.end()) {
@@ -96,7 +96,7 @@
     close_idle();
     for (const auto& [raw, weak] : std::exchange(m_calls, {})) {
         if (const auto call = weak.lock()) {
-            call->take_restart();
+            call->handle_restart();
         }
     }
 }
--- a/src/gateway/backend.hpp
+++ b/src/gateway/backend.hpp
@@ -25,12 +25,12 @@
     /// changed.
     void set_record(routing::backend_record record);
 
-    /// Returns the most recently used idle connection if it has been idle for at most `longest_idle`, else
+    /// Returns the most recently used idle connection if it has been idle for at most `max_idle`, else
     /// null.
-    [[nodiscard]] std::shared_ptr<net::connection> take_idle(clock::duration longest_idle);
+    [[nodiscard]] std::shared_ptr<net::connection> take_idle(clock::duration max_idle);
 
     /// Keeps an open connection for the next request, for at most `keep`.
-    void give_back(std::shared_ptr<net::connection> connection, clock::duration keep);
+    void keep_idle(std::shared_ptr<net::connection> connection, clock::duration keep);
 
     void close_idle();
     /// Closes the idle connections whose keep time is over.
@@ -42,9 +42,11 @@
 
     /// Records that a connection to the server failed or couldn't be opened, which may mean that the server
     /// has ended.
-    void note_break() noexcept { m_last_break = clock::now(); }
+    void record_connection_failure() noexcept { m_last_connection_failure = clock::now(); }
     /// Time of the last failed connection to this start; the clock's minimum when none has failed.
-    [[nodiscard]] clock::time_point last_break() const noexcept { return m_last_break; }
+    [[nodiscard]] clock::time_point last_connection_failure() const noexcept {
+        return m_last_connection_failure;
+    }
 
     /// The server has restarted: closes the idle connections and notifies the running calls.
     void retire();
@@ -56,13 +58,13 @@
         clock::time_point until;
     };
 
-    void forget(const net::connection* ended);
+    void drop_idle(const net::connection* ended);
 
     routing::backend_record m_record;
     /// In the order of their last use; the most recently used one is last.
     std::vector<idle_connection> m_idle;
     std::unordered_map<const backend_call*, std::weak_ptr<backend_call>> m_calls;
-    clock::time_point m_last_break = clock::time_point::min();
+    clock::time_point m_last_connection_failure = clock::time_point::min();
     bool m_is_retired = false; ///< Once set, no connection is kept.
 };
 
--- a/src/gateway/backend_call.cpp
+++ b/src/gateway/backend_call.cpp
@@ -16,25 +16,25 @@
 
 /// Time limit for opening a connection. Within a region this takes a few milliseconds; a server that doesn't
 /// accept for this long is unresponsive or has a full listen queue, and another server is the better choice.
-constexpr milliseconds connect_limit{300};
+constexpr milliseconds connect_timeout{300};
 /// Longest idle time of a connection that is reused for a request that must not be retried. The server may be
 /// about to close a connection that has been idle for longer, which would leave it unknown whether the
 /// request ran.
-constexpr milliseconds longest_idle_for_unrepeatable{1000};
-constexpr milliseconds longest_idle{30000};
+constexpr milliseconds max_idle_without_retry{1000};
+constexpr milliseconds max_idle{30000};
 /// How long an idle connection is kept when the server doesn't announce its keep-alive time.
-constexpr milliseconds default_keep{4000};
+constexpr milliseconds default_keep_alive{4000};
 /// Subtracted from the keep-alive time that the server announces, so that the server doesn't close a
 /// connection while a request is being sent on it.
-constexpr milliseconds keep_margin{500};
+constexpr milliseconds keep_alive_margin{500};
 constexpr unsigned first_final_status = 200;
 
-milliseconds keep_time(const http::response_reader& response) {
-    const auto told = http::idle_time(response.fields());
-    if (!told.has_value()) {
-        return default_keep;
+milliseconds keep_alive_time(const http::response_reader& response) {
+    const auto announced = http::idle_time(response.fields());
+    if (!announced.has_value()) {
+        return default_keep_alive;
     }
-    return std::chrono::duration_cast<milliseconds>(*told) - keep_margin;
+    return std::chrono::duration_cast<milliseconds>(*announced) - keep_alive_margin;
 }
 
 } // namespace
@@ -49,7 +49,7 @@
 
 void backend_call::start() {
     m_server->add_call(shared_from_this());
-    const auto idle = m_request.is_repeatable ? longest_idle : longest_idle_for_unrepeatable;
+    const auto idle = m_request.is_retryable ? max_idle : max_idle_without_retry;
     auto connection = m_server->take_idle(idle);
     if (connection != nullptr) {
         send_on(std::move(connection));
@@ -69,16 +69,16 @@
             self->m_connect_timer.cancel();
             self->m_connecting.reset();
             if (error) {
-                self->m_server->note_break();
+                self->m_server->record_connection_failure();
                 self->fail(call_failure::unreachable, "connecting failed");
                 return;
             }
             self->send_on(std::make_shared<net::connection>(std::move(*socket)));
         });
-    m_connect_timer.expires_after(connect_limit);
+    m_connect_timer.expires_after(connect_timeout);
     m_connect_timer.async_wait([self = shared_from_this()](const boost::system::error_code& error) {
         if (!error && !self->m_is_over && self->m_connecting != nullptr) {
-            self->m_server->note_break();
+            self->m_server->record_connection_failure();
             self->fail(call_failure::unreachable, "connecting took too long");
         }
     });
@@ -98,10 +98,11 @@
     m_connection->read();
 }
 
-void backend_call::take_restart() {
+void backend_call::handle_restart() {
     const bool is_with_new_start =
-        m_connection == nullptr || (m_server->last_break() != backend::clock::time_point::min() &&
-                                    m_connection->opened_at() > m_server->last_break());
+        m_connection == nullptr ||
+        (m_server->last_connection_failure() != backend::clock::time_point::min() &&
+         m_connection->opened_at() > m_server->last_connection_failure());
     if (is_with_new_start) {
         return;
     }
@@ -141,28 +142,28 @@
     if (!m_reader->has_head()) {
         return false;
     }
-    if (!m_has_told_head && !m_is_surplus) {
+    if (!m_has_reported_head && !m_is_discarding) {
         const bool is_interim = m_reader->status() < first_final_status;
-        m_is_surplus = is_interim || !belongs_to_this_call();
-        m_is_poisoned = m_is_poisoned || (m_is_surplus && !is_interim);
-        if (!m_is_surplus) {
-            m_has_told_head = true;
-            const auto told = m_handlers;
-            told->on_head();
+        m_is_discarding = is_interim || !belongs_to_this_call();
+        m_must_close = m_must_close || (m_is_discarding && !is_interim);
+        if (!m_is_discarding) {
+            m_has_reported_head = true;
+            const auto to_call = m_handlers;
+            to_call->on_head();
         }
     }
-    if (m_is_surplus) {
+    if (m_is_discarding) {
         if (!m_reader->is_complete()) {
             return false;
         }
-        m_is_surplus = false;
+        m_is_discarding = false;
         m_reader.emplace(m_request.is_head_method ? http::response_reader::body_rule::none
                                                   : http::response_reader::body_rule::expected);
         return !m_connection->input().empty();
     }
     if (!m_is_over && !m_body.empty()) {
-        const auto told = m_handlers;
-        told->on_body(m_body);
+        const auto to_call = m_handlers;
+        to_call->on_body(m_body);
     }
     if (!m_is_over && m_reader->is_complete()) {
         complete();
@@ -181,18 +182,18 @@
     }
     const auto self = shared_from_this();
     if (how == net::connection_end::failed) {
-        m_server->note_break();
+        m_server->record_connection_failure();
     }
     const bool has_left = m_connection->sent_bytes() > m_sent_before;
     const auto failure = has_left ? call_failure::unknown : call_failure::unreachable;
-    if (how == net::connection_end::failed || !m_has_told_head) {
+    if (how == net::connection_end::failed || !m_has_reported_head) {
         fail(failure,
              how == net::connection_end::failed ? "the connection failed" : "closed without an answer");
         return;
     }
     try {
         m_reader->read_end();
-        m_is_poisoned = true;
+        m_must_close = true;
         complete();
     } catch (const http::response_error& error) {
         fail(call_failure::unknown, error.what());
@@ -203,27 +204,27 @@
     m_is_over = true;
     m_server->remove_call(this);
     release_connection();
-    const auto told = std::exchange(m_handlers, nullptr);
-    told->on_complete();
+    const auto to_call = std::exchange(m_handlers, nullptr);
+    to_call->on_complete();
 }
 
 void backend_call::release_connection() {
     const auto connection = std::exchange(m_connection, nullptr);
-    const bool is_clean = !m_is_poisoned && connection->input().empty() && m_reader->keeps_connection() &&
-                          connection->is_open();
-    const auto keep = keep_time(*m_reader);
+    const bool is_clean =
+        !m_must_close && connection->input().empty() && m_reader->keeps_connection() && connection->is_open();
+    const auto keep = keep_alive_time(*m_reader);
     if (is_clean && keep > milliseconds::zero()) {
-        m_server->give_back(connection, keep);
+        m_server->keep_idle(connection, keep);
     } else {
         connection->close();
     }
 }
 
 void backend_call::fail(call_failure what, std::string_view reason) {
-    const auto told = std::exchange(m_handlers, nullptr);
+    const auto to_call = std::exchange(m_handlers, nullptr);
     cancel();
-    if (told != nullptr) {
-        told->on_failure(what, reason);
+    if (to_call != nullptr) {
+        to_call->on_failure(what, reason);
     }
 }
 
--- a/src/gateway/backend_call.hpp
+++ b/src/gateway/backend_call.hpp
@@ -31,7 +31,7 @@
     std::string request_id;
     std::string request_id_name; ///< Name of the field in which the server echoes the request id.
     bool is_head_method = false;
-    bool is_repeatable = false;
+    bool is_retryable = false;
 };
 
 /// The handlers run on the executor, never from within start() or cancel(). Either on_complete or on_failure
@@ -62,7 +62,7 @@
     ///
     /// Without this, requests that were running on a server that crashed during a network partition and came
     /// back stayed on connections that nobody closed, until their callers gave up.
-    void take_restart();
+    void handle_restart();
 
     [[nodiscard]] const http::response_reader& response() const noexcept { return *m_reader; }
     [[nodiscard]] const std::shared_ptr<backend>& server() const noexcept { return m_server; }
@@ -89,12 +89,12 @@
     boost::asio::steady_timer m_connect_timer;
     std::shared_ptr<boost::asio::ip::tcp::socket> m_connecting;
     std::uint64_t m_sent_before = 0; ///< Bytes sent on the connection before this call.
-    bool m_has_told_head = false;
+    bool m_has_reported_head = false;
     /// The response being read belongs to another request, or is interim (1xx), and is discarded.
-    bool m_is_surplus = false;
+    bool m_is_discarding = false;
     /// A response to another request arrived on the connection, or the server has closed it: it is not
     /// reused.
-    bool m_is_poisoned = false;
+    bool m_must_close = false;
     bool m_is_over = false;
 };
 
--- a/src/gateway/request_exchange.cpp
+++ b/src/gateway/request_exchange.cpp
@@ -245,7 +245,7 @@
     request.request_id = m_admitted.id;
     request.request_id_name = m_context.fields.request_id;
     request.is_head_method = m_request.method == "HEAD";
-    request.is_repeatable = m_admitted.route->may_repeat();
+    request.is_retryable = m_admitted.route->may_repeat();
     const auto self = shared_from_this();
     m_call = std::make_shared<backend_call>(
         m_context.executor, std::move(server), std::move(request),
