--- a/src/gateway/backend_directory.cpp
+++ b/src/gateway/backend_directory.cpp
@@ -11,7 +11,7 @@
 
 /// Bounds the number of remembered keys. A grant names a server that its coordinator knew a moment ago; fewer
 /// servers than this are removed within that time.
-constexpr std::size_t most_former = 1024;
+constexpr std::size_t max_previous_keys = 1024;
 
 } // namespace
 
@@ -32,15 +32,15 @@
         entry->set_record(std::move(record));
         return;
     }
-    const auto former = std::exchange(entry, std::make_shared<backend>(std::move(record)));
+    const auto previous = std::exchange(entry, std::make_shared<backend>(std::move(record)));
     m_by_key[key] = entry;
-    std::erase(m_former, key);
-    if (former != nullptr) {
-        m_by_key.erase(former->record().key());
-        note_former(former->record().key());
-        former->retire();
+    std::erase(m_previous_keys, key);
+    if (previous != nullptr) {
+        m_by_key.erase(previous->record().key());
+        record_previous(previous->record().key());
+        previous->retire();
     }
-    tell_awaiting(key);
+    notify_awaiting(key);
 }
 
 void backend_directory::when_known(policy::server_key key, std::weak_ptr<void> waiter,
@@ -49,14 +49,14 @@
     m_awaited.emplace(key, awaiting{std::move(waiter), std::move(on_known)});
 }
 
-void backend_directory::tell_awaiting(policy::server_key key) {
+void backend_directory::notify_awaiting(policy::server_key key) {
     const auto [first, last] = m_awaited.equal_range(key);
-    std::vector<awaiting> told;
+    std::vector<awaiting> notified;
     for (auto entry = first; entry != last; ++entry) {
-        told.push_back(std::move(entry->second));
+        notified.push_back(std::move(entry->second));
     }
     m_awaited.erase(first, last);
-    for (const auto& entry : told) {
+    for (const auto& entry : notified) {
         if (const auto waiter = entry.waiter.lock()) {
             entry.on_known();
         }
@@ -68,21 +68,21 @@
     if (found != m_backends.end()) {
         found->second->close_idle();
         m_by_key.erase(found->second->record().key());
-        note_former(found->second->record().key());
+        record_previous(found->second->record().key());
         m_backends.erase(found);
     }
 }
 
-void backend_directory::note_former(policy::server_key key) {
-    std::erase(m_former, key);
-    m_former.push_back(key);
-    if (m_former.size() > most_former) {
-        m_former.pop_front();
+void backend_directory::record_previous(policy::server_key key) {
+    std::erase(m_previous_keys, key);
+    m_previous_keys.push_back(key);
+    if (m_previous_keys.size() > max_previous_keys) {
+        m_previous_keys.pop_front();
     }
 }
 
-bool backend_directory::is_former(policy::server_key key) const {
-    return std::ranges::find(m_former, key) != m_former.end();
+bool backend_directory::was_known(policy::server_key key) const {
+    return std::ranges::find(m_previous_keys, key) != m_previous_keys.end();
 }
 
 void backend_directory::close_expired(backend::clock::time_point now) {
--- a/src/gateway/backend_directory.hpp
+++ b/src/gateway/backend_directory.hpp
@@ -34,7 +34,7 @@
     [[nodiscard]] bool has_ready() const;
 
     /// Returns whether a server with this key was known recently and has since been removed or restarted.
-    [[nodiscard]] bool is_former(policy::server_key key) const;
+    [[nodiscard]] bool was_known(policy::server_key key) const;
 
     /// Calls `on_known` once, when a server with this key becomes known. The callback is dropped without a
     /// call if `waiter` has expired by then.
@@ -51,13 +51,13 @@
         std::function<void()> on_known;
     };
 
-    void note_former(policy::server_key key);
-    void tell_awaiting(policy::server_key key);
+    void record_previous(policy::server_key key);
+    void notify_awaiting(policy::server_key key);
 
     std::map<std::string, std::shared_ptr<backend>, std::less<>> m_backends;
     std::unordered_map<policy::server_key, std::shared_ptr<backend>> m_by_key;
     /// Keys that were known recently and no longer are, each once; the oldest is dropped first.
-    std::deque<policy::server_key> m_former;
+    std::deque<policy::server_key> m_previous_keys;
     /// Callbacks by the awaited key; none of these keys is known.
     std::unordered_multimap<policy::server_key, awaiting> m_awaited;
 };
--- a/src/gateway/request_exchange.cpp
+++ b/src/gateway/request_exchange.cpp
@@ -154,7 +154,7 @@
     m_events_before = m_events.count();
     m_is_charged = true;
     const auto& backends = m_context.backends;
-    if (backends.find(grant.server) == nullptr && !backends.is_former(grant.server)) {
+    if (backends.find(grant.server) == nullptr && !backends.was_known(grant.server)) {
         wait_for_registration(grant);
     } else {
         use_slot(grant);
--- a/tests/unit/test_gateway_roster.cpp
+++ b/tests/unit/test_gateway_roster.cpp
@@ -109,9 +109,9 @@
     CHECK(told == 1);
     servers.write("a", "engines@2", 7);
     CHECK(told == 1);
-    CHECK_FALSE(servers.backends().is_former(awaited));
+    CHECK_FALSE(servers.backends().was_known(awaited));
     servers.write("a", "engines@3", 8);
-    CHECK(servers.backends().is_former(awaited)); // no registration of this start will follow
+    CHECK(servers.backends().was_known(awaited)); // no registration of this start will follow
 }
 
 TEST_CASE("a server that was removed twice is remembered as long as other removed servers",
@@ -131,7 +131,7 @@
     for (int index = 0; index < others; ++index) {
         come_and_go("other-" + std::to_string(index));
     }
-    CHECK(directory.is_former(key));
+    CHECK(directory.was_known(key));
 }
 
 TEST_CASE("a request that has ended isn't told of the server that it waited for", "[gateway][roster]") {
