--- a/src/gateway/backend_roster.cpp
+++ b/src/gateway/backend_roster.cpp
@@ -50,14 +50,14 @@
     if (page.position.era < m_position.era) {
         return;
     }
-    if (begins_era(page.position)) {
+    if (is_new_era(page.position)) {
         begin_era(page.position, "store");
     }
     m_position = std::max(m_position, store::position{page.position.era, 0});
     std::set<std::string, std::less<>> present;
     for (const auto& row : page.rows) {
         present.insert(id_of(row));
-        take_present(id_of(row), {row.value, {page.position.era, row.version}});
+        apply_registration(id_of(row), {row.value, {page.position.era, row.version}});
     }
     const auto is_missing = [&](const auto& entry) {
         return !present.contains(entry.first);
@@ -66,7 +66,7 @@
         m_position = std::max(m_position,
                               page.position); // must precede the removals, which are recorded at m_position
     }
-    miss_all_but(present);
+    handle_absent(present);
     report_era();
 }
 
@@ -74,15 +74,15 @@
     const store::position at{m_position.era, change.now.version};
     m_position = std::max(m_position, at);
     if (change.is_removed) {
-        take_missing(id_of(change.now));
+        handle_missing(id_of(change.now));
     } else {
-        take_present(id_of(change.now), {change.now.value, at});
+        apply_registration(id_of(change.now), {change.now.value, at});
     }
 }
 
 /// Treats every known registration that isn't in `present` as missing, and drops the suspect ones that
 /// aren't.
-void backend_roster::miss_all_but(const std::set<std::string, std::less<>>& present) {
+void backend_roster::handle_absent(const std::set<std::string, std::less<>>& present) {
     std::vector<std::string> missing;
     for (const auto& [id, entry] : m_all) {
         if (!present.contains(id)) {
@@ -90,9 +90,9 @@
         }
     }
     for (const auto& id : missing) {
-        take_missing(id);
+        handle_missing(id);
     }
-    std::erase_if(m_doubted, [&](const auto& entry) { return !present.contains(entry.first); });
+    std::erase_if(m_suspects, [&](const auto& entry) { return !present.contains(entry.first); });
 }
 
 // A store that was restored from an older copy has lost the latest writes. Servers and operators write them
@@ -101,14 +101,14 @@
 
 /// Returns whether a read at this position is the first one of a new era. The first read of a process never
 /// is, since nothing older is known that could conflict with it.
-bool backend_roster::begins_era(store::position seen) const {
+bool backend_roster::is_new_era(store::position seen) const {
     return seen.era > m_position.era && m_position != store::position{};
 }
 
-void backend_roster::begin_era(store::position first_look, std::string_view source) {
+void backend_roster::begin_era(store::position first_read, std::string_view source) {
     m_era_report = era_report{m_position, source};
-    m_first_look = first_look;
-    m_position = {first_look.era, 0};
+    m_first_read = first_read;
+    m_position = {first_read.era, 0};
     m_watch.note_return_from_copy(steady_clock::now());
     m_rollouts.take_return();
 }
@@ -117,50 +117,49 @@
     if (!m_era_report.has_value()) {
         return;
     }
-    events::write(events::event_kind::store_era_changed,
-                  {{"era", m_position.era},
-                   {"former", m_era_report->former.era},
-                   {"held", m_era_report->former.version},
-                   {"version", m_first_look.version},
-                   {"source", m_era_report->source},
-                   {"missing", std::uint64_t(m_era_report->missing)},
-                   {"outdated", std::uint64_t(m_era_report->outdated)}});
+    events::write(events::event_kind::store_era_changed, {{"era", m_position.era},
+                                                          {"former", m_era_report->previous.era},
+                                                          {"held", m_era_report->previous.version},
+                                                          {"version", m_first_read.version},
+                                                          {"source", m_era_report->source},
+                                                          {"missing", std::uint64_t(m_era_report->missing)},
+                                                          {"outdated", std::uint64_t(m_era_report->stale)}});
     m_era_report.reset();
 }
 
 /// Returns whether a row at `at` may be older than the state known at `known`. Two neighbouring eras have the
 /// same changes up to the version of the copy. A row that was there at the first read of the new era, and
 /// whose version isn't above the known one, is either a row of the copy or was written anew under a reused
-/// version number. The two cases can't be told apart.
-bool backend_roster::may_be_outdated(store::position known, store::position at) const {
-    return known.era < at.era && at <= m_first_look && at.version <= known.version;
+/// version number. The two cases can't be distinguished.
+bool backend_roster::may_be_stale(store::position known, store::position at) const {
+    return known.era < at.era && at <= m_first_read && at.version <= known.version;
 }
 
 bool backend_roster::was_removed_after(const std::string& id, store::position at) const {
     const auto removed = m_removals.find(id);
-    return removed.has_value() && may_be_outdated(*removed, at);
+    return removed.has_value() && may_be_stale(*removed, at);
 }
 
 /// Sets aside a registration found in the older copy whose server is known to have been removed: its address
 /// may belong to another server by now. The registration is accepted once its row is written again, or once
 /// it has stood long enough that its server must have renewed it.
-void backend_roster::doubt(const std::string& id, registration entry) {
+void backend_roster::set_aside(const std::string& id, registration entry) {
     m_position = std::max(m_position, entry.position);
-    m_doubted.try_emplace(id,
-                          doubted_registration{std::move(entry), steady_clock::now() + m_registration_life});
-    note_outdated();
+    m_suspects.try_emplace(id,
+                           suspect_registration{std::move(entry), steady_clock::now() + m_registration_life});
+    count_stale();
 }
 
-void backend_roster::check_doubted() {
+void backend_roster::check_suspects() {
     const auto now = steady_clock::now();
     registrations renewed;
-    for (const auto& [id, doubted] : m_doubted) {
-        if (doubted.until <= now) {
-            renewed.emplace(id, doubted.entry);
+    for (const auto& [id, suspect] : m_suspects) {
+        if (suspect.until <= now) {
+            renewed.emplace(id, suspect.entry);
         }
     }
     for (const auto& [id, entry] : renewed) {
-        m_doubted.erase(id);
+        m_suspects.erase(id);
         accept(id, entry);
     }
 }
@@ -176,8 +175,8 @@
 backend_roster::update backend_roster::changes_after(store::position held) const {
     update result;
     result.position = m_position;
-    const bool is_of_other_era = held.era != m_position.era;
-    result.is_whole = is_of_other_era || held.version == 0 || !m_removals.reaches_back_to(held);
+    const bool is_other_era = held.era != m_position.era;
+    result.is_whole = is_other_era || held.version == 0 || !m_removals.reaches_back_to(held);
     result.missed = m_watch.missed();
     if (result.is_whole) {
         result.present = m_all;
@@ -197,14 +196,14 @@
     if (newer.position <= m_position) {
         return;
     }
-    const bool is_of_new_era = begins_era(newer.position);
+    const bool is_of_new_era = is_new_era(newer.position);
     if (is_of_new_era) {
         begin_era(newer.position, "peer");
     }
     std::set<std::string, std::less<>> present;
     for (const auto& [id, entry] : newer.present) {
         present.insert(id);
-        take_present(id, entry);
+        apply_registration(id, entry);
     }
     for (const auto& id : newer.missed) {
         m_watch.note_missed(id, steady_clock::now());
@@ -212,7 +211,7 @@
     m_position = std::max(m_position, newer.position);
     if (is_of_new_era) {
         // When the era began, the peer may have known fewer servers than this process.
-        miss_all_but(present);
+        handle_absent(present);
         report_era();
         return;
     }
@@ -225,67 +224,67 @@
         }
     }
     for (const auto& id : gone) {
-        m_doubted.erase(id);
+        m_suspects.erase(id);
         if (m_all.contains(id)) {
             remove(id, "not registered according to a peer with a newer state");
         }
     }
 }
 
-void backend_roster::take_present(const std::string& id, const registration& told) {
+void backend_roster::apply_registration(const std::string& id, const registration& received) {
     m_watch.note_present(id);
-    if (!m_all.contains(id) && was_removed_after(id, told.position)) {
-        doubt(id, told);
+    if (!m_all.contains(id) && was_removed_after(id, received.position)) {
+        set_aside(id, received);
         return;
     }
-    m_doubted.erase(id);
-    accept(id, told);
+    m_suspects.erase(id);
+    accept(id, received);
 }
 
-void backend_roster::accept(const std::string& id, const registration& told) {
+void backend_roster::accept(const std::string& id, const registration& received) {
     auto& known = m_all[id];
-    if (told.position <= known.position) {
+    if (received.position <= known.position) {
         return;
     }
-    m_position = std::max(m_position, told.position);
-    const bool is_told = known.position.version > 0 && known.value.empty();
-    const bool is_outdated = may_be_outdated(known.position, told.position) && !known.value.empty();
-    auto record = read(id, told.value, is_told);
-    known.position = told.position;
+    m_position = std::max(m_position, received.position);
+    const bool was_reported = known.position.version > 0 && known.value.empty();
+    const bool is_stale = may_be_stale(known.position, received.position) && !known.value.empty();
+    auto record = read(id, received.value, was_reported);
+    known.position = received.position;
     if (!record.has_value()) {
-        refuse_entry(id, known);
+        reject_row(id, known);
         return;
     }
     switch (m_starts.take(id, record->start)) {
     case policy::server_starts::verdict::superseded:
         return; // m_all keeps the value of the later start, which is also what other gateways receive
     case policy::server_starts::verdict::untold:
-        if (!is_told) {
+        if (!was_reported) {
             report_unreadable(id, "it names no start, but an earlier registration of the server did");
         }
-        refuse_entry(id, known);
+        reject_row(id, known);
         return;
     case policy::server_starts::verdict::restarted:
-        take_restart(*record);
+        handle_restart(*record);
         break;
     case policy::server_starts::verdict::first:
         break;
     case policy::server_starts::verdict::same:
-        if (is_outdated && record->state == routing::backend_state::ready) {
-            if (told.value != known.value) {
-                note_outdated();
+        if (is_stale && record->state == routing::backend_state::ready) {
+            if (received.value != known.value) {
+                count_stale();
             }
             return; // using the stale row would send requests to a server that has announced that it drains
         }
         break;
     }
-    known.value = told.value;
-    put_in_use(std::move(*record), told.position);
+    known.value = received.value;
+    put_in_use(std::move(*record), received.position);
 }
 
-void backend_roster::note_outdated() {
+void backend_roster::count_stale() {
     if (m_era_report.has_value()) {
-        ++m_era_report->outdated;
+        ++m_era_report->stale;
     }
 }
 
@@ -293,19 +292,19 @@
 /// wrote the row, it doesn't state that the server accepts work. A live server writes its row again with its
 /// next heartbeat, so it is out of use no longer than that. Continuing with the previous row would send
 /// requests to a server that may have announced, in a newer format unknown here, that it accepts none.
-void backend_roster::refuse_entry(const std::string& id, registration& known) {
+void backend_roster::reject_row(const std::string& id, registration& known) {
     known.value.clear();
     take_out_of_use(id);
 }
 
 /// Decodes a registration; nothing if it can't be decoded. The failure is logged once for as long as the id's
-/// row stays unusable (`is_told`), however often it is written.
+/// row stays unusable (`was_reported`), however often it is written.
 std::optional<routing::backend_record> backend_roster::read(const std::string& id, std::string_view value,
-                                                            bool is_told) const {
+                                                            bool was_reported) const {
     try {
         return m_speech.decode_backend(id, value);
     } catch (const std::exception& error) {
-        if (!is_told) {
+        if (!was_reported) {
             report_unreadable(id, error.what());
         }
         return std::nullopt;
@@ -342,26 +341,26 @@
     server->set_record(std::move(record));
 }
 
-void backend_roster::take_restart(const routing::backend_record& record) {
-    const auto former = m_backends.find_id(record.id);
-    if (former == nullptr) {
+void backend_roster::handle_restart(const routing::backend_record& record) {
+    const auto previous = m_backends.find_id(record.id);
+    if (previous == nullptr) {
         return;
     }
     events::write(
         events::event_kind::backend_restarted,
-        {{"backend", record.id}, {"start", record.start}, {"former_start", former->record().start}});
-    m_slots.take_restart(former->record().key());
+        {{"backend", record.id}, {"start", record.start}, {"former_start", previous->record().start}});
+    m_slots.take_restart(previous->record().key());
 }
 
-void backend_roster::take_missing(const std::string& id) {
-    m_doubted.erase(id);
+void backend_roster::handle_missing(const std::string& id) {
+    m_suspects.erase(id);
     if (!m_all.contains(id)) {
         return;
     }
     if (m_era_report.has_value()) {
         ++m_era_report->missing;
     }
-    if (has_left_for_good(id)) {
+    if (has_drained(id)) {
         remove(id, "no longer registered, after it had announced that it drains");
     } else if (m_watch.is_gone(id, steady_clock::now())) {
         remove(id, "no longer registered");
@@ -372,7 +371,7 @@
 
 /// Returns whether the server had announced that it drains, so that its registration vanished for that reason
 /// and not because of an outage.
-bool backend_roster::has_left_for_good(std::string_view id) const {
+bool backend_roster::has_drained(std::string_view id) const {
     const auto server = m_backends.find_id(id);
     return server != nullptr && server->record().state == routing::backend_state::draining;
 }
@@ -389,13 +388,13 @@
 }
 
 void backend_roster::tick() {
-    check_missed();
-    check_doubted();
+    remove_overdue();
+    check_suspects();
     m_rollouts.tick();
     m_backends.close_expired(steady_clock::now());
 }
 
-void backend_roster::check_missed() {
+void backend_roster::remove_overdue() {
     for (const auto& id : m_watch.take_expired(steady_clock::now())) {
         if (m_all.contains(id)) {
             remove(id, "not registered again after an outage of the store");
--- a/src/gateway/backend_roster.hpp
+++ b/src/gateway/backend_roster.hpp
@@ -83,42 +83,42 @@
 private:
     /// A suspect registration: it stands in an older copy of the store, but its server is known to have been
     /// removed.
-    struct doubted_registration {
+    struct suspect_registration {
         registration entry;
         /// A registration that is still in the store at this time must have been renewed by its server.
         std::chrono::steady_clock::time_point until;
     };
     /// Counts what the first read of a new era showed, for the log.
     struct era_report {
-        store::position former;
+        store::position previous;
         std::string_view source;
         std::size_t missing = 0;
-        std::size_t outdated = 0;
+        std::size_t stale = 0;
     };
 
-    void begin_era(store::position first_look, std::string_view source);
+    void begin_era(store::position first_read, std::string_view source);
     void report_era();
-    [[nodiscard]] bool begins_era(store::position seen) const;
-    [[nodiscard]] bool may_be_outdated(store::position known, store::position at) const;
+    [[nodiscard]] bool is_new_era(store::position seen) const;
+    [[nodiscard]] bool may_be_stale(store::position known, store::position at) const;
     [[nodiscard]] bool was_removed_after(const std::string& id, store::position at) const;
-    void doubt(const std::string& id, registration entry);
-    void note_outdated();
-    void check_doubted();
+    void set_aside(const std::string& id, registration entry);
+    void count_stale();
+    void check_suspects();
 
-    void take_present(const std::string& id, const registration& told);
-    void accept(const std::string& id, const registration& told);
-    void miss_all_but(const std::set<std::string, std::less<>>& present);
+    void apply_registration(const std::string& id, const registration& received);
+    void accept(const std::string& id, const registration& received);
+    void handle_absent(const std::set<std::string, std::less<>>& present);
     [[nodiscard]] std::optional<routing::backend_record> read(const std::string& id, std::string_view value,
-                                                              bool is_told) const;
-    void refuse_entry(const std::string& id, registration& known);
+                                                              bool was_reported) const;
+    void reject_row(const std::string& id, registration& known);
     void put_in_use(routing::backend_record record, store::position at);
     void take_out_of_use(const std::string& id);
-    void take_restart(const routing::backend_record& record);
-    void take_missing(const std::string& id);
-    [[nodiscard]] bool has_left_for_good(std::string_view id) const;
+    void handle_restart(const routing::backend_record& record);
+    void handle_missing(const std::string& id);
+    [[nodiscard]] bool has_drained(std::string_view id) const;
     void remove(const std::string& id, std::string_view reason);
     void tick();
-    void check_missed();
+    void remove_overdue();
     [[nodiscard]] std::string id_of(const store::row& row) const;
 
     boost::asio::any_io_executor m_executor;
@@ -132,12 +132,12 @@
     registrations m_all;
     store::position m_position;
     /// Position of the first read in the current era; later changes were written in this era.
-    store::position m_first_look;
+    store::position m_first_read;
     std::optional<era_report> m_era_report; ///< Set while the first read of a new era is being applied.
     removal_log m_removals;
     std::chrono::milliseconds m_registration_life;
     /// Suspect registrations by id; none of them is in m_all.
-    std::map<std::string, doubted_registration, std::less<>> m_doubted;
+    std::map<std::string, suspect_registration, std::less<>> m_suspects;
     timer_subscription m_timer;
 };
 
