--- a/src/gateway/backend_roster.cpp
+++ b/src/gateway/backend_roster.cpp
@@ -168,7 +168,7 @@
     m_watch.note_other_in_touch(steady_clock::now(), unbroken);
 }
 
-void backend_roster::take_outage(steady_clock::time_point answered) {
+void backend_roster::record_outage(steady_clock::time_point answered) {
     m_watch.note_outage(steady_clock::now(), answered);
 }
 
@@ -176,9 +176,9 @@
     update result;
     result.position = m_position;
     const bool is_other_era = held.era != m_position.era;
-    result.is_whole = is_other_era || held.version == 0 || !m_removals.reaches_back_to(held);
-    result.missed = m_watch.missed();
-    if (result.is_whole) {
+    result.is_complete = is_other_era || held.version == 0 || !m_removals.reaches_back_to(held);
+    result.retained = m_watch.missed();
+    if (result.is_complete) {
         result.present = m_all;
         return result;
     }
@@ -186,13 +186,13 @@
                          [held](const auto& entry) { return entry.second.position > held; });
     for (auto& id : m_removals.after(held)) {
         if (!m_all.contains(id)) {
-            result.gone.push_back(std::move(id));
+            result.removed.push_back(std::move(id));
         }
     }
     return result;
 }
 
-void backend_roster::take_update(const update& newer) {
+void backend_roster::apply_update(const update& newer) {
     if (newer.position <= m_position) {
         return;
     }
@@ -205,7 +205,7 @@
         present.insert(id);
         apply_registration(id, entry);
     }
-    for (const auto& id : newer.missed) {
+    for (const auto& id : newer.retained) {
         m_watch.note_missed(id, steady_clock::now());
     }
     m_position = std::max(m_position, newer.position);
@@ -215,15 +215,15 @@
         report_era();
         return;
     }
-    auto gone = newer.gone;
-    if (newer.is_whole) {
+    auto removed = newer.removed;
+    if (newer.is_complete) {
         for (const auto& [id, entry] : m_all) {
             if (!present.contains(id)) {
-                gone.push_back(id);
+                removed.push_back(id);
             }
         }
     }
-    for (const auto& id : gone) {
+    for (const auto& id : removed) {
         m_suspects.erase(id);
         if (m_all.contains(id)) {
             remove(id, "not registered according to a peer with a newer state");
--- a/src/gateway/backend_roster.hpp
+++ b/src/gateway/backend_roster.hpp
@@ -54,7 +54,7 @@
     /// Records that the store couldn't be reached, and that it last answered at `answered`. A registration
     /// that vanishes around an outage is retained for a while, since its server may only have been unable to
     /// renew it.
-    void take_outage(std::chrono::steady_clock::time_point answered = std::chrono::steady_clock::now());
+    void record_outage(std::chrono::steady_clock::time_point answered = std::chrono::steady_clock::now());
     /// Records that the store answers another gateway and has done so for `unbroken` without an interruption,
     /// so an outage seen only here doesn't explain a vanished registration.
     void note_other_in_touch(std::chrono::steady_clock::duration unbroken);
@@ -63,18 +63,18 @@
     struct update {
         store::position position; ///< The position that the receiver holds after applying the update.
         /// The update lists all known registrations; the receiver removes every other one.
-        bool is_whole = false;
+        bool is_complete = false;
         registrations present;
-        std::vector<std::string> gone; ///< Ids of removed registrations; empty if is_whole.
+        std::vector<std::string> removed; ///< Ids of removed registrations; empty if is_complete.
         /// Ids of retained registrations, whose servers are removed unless they register again soon. They are
         /// listed in every update, since a removal of this kind has no version in the store.
-        std::vector<std::string> missed{};
+        std::vector<std::string> retained{};
     };
-    /// Returns the changes after `held`. The update is whole if `held` has version 0 or is of another era,
+    /// Returns the changes after `held`. The update is complete if `held` has version 0 or is of another era,
     /// or if the removals since then are no longer remembered.
     [[nodiscard]] update changes_after(store::position held) const;
     /// Applies an update from another gateway; ignored unless it is newer than position().
-    void take_update(const update& newer);
+    void apply_update(const update& newer);
 
     /// Position of the last change that is known here.
     [[nodiscard]] store::position position() const noexcept { return m_position; }
--- a/src/gateway/peer_exchange.cpp
+++ b/src/gateway/peer_exchange.cpp
@@ -36,10 +36,11 @@
 constexpr unsigned status_ok = 200;
 constexpr unsigned status_not_found = 404;
 constexpr unsigned status_unavailable = 503;
-/// A small part of the memory of the smallest gateways, 88 MB. A whole update of 1,300 servers takes 0.4 MB.
+/// A small part of the memory of the smallest gateways, 88 MB. A complete update of 1,300 servers takes 0.4
+/// MB.
 constexpr std::size_t most_bytes_sending = 16U * 1024 * 1024;
 /// Answers up to this size are always sent: a configuration or a few changes must spread even while many
-/// peers request whole updates.
+/// peers request complete updates.
 constexpr std::size_t small_answer = 64U * 1024;
 
 http::exchange_limits limits() {
@@ -63,10 +64,10 @@
     }
     return {{"era", from.position.era},
             {"version", from.position.version},
-            {"is_whole", from.is_whole},
+            {"is_whole", from.is_complete},
             {"registrations", std::move(registrations)},
-            {"gone", json::value_from(from.gone)},
-            {"missed", json::value_from(from.missed)}};
+            {"gone", json::value_from(from.removed)},
+            {"missed", json::value_from(from.retained)}};
 }
 
 store::position decode_position(const json::object& from) {
@@ -76,10 +77,10 @@
 backend_roster::update decode(const json::object& from) {
     backend_roster::update result;
     result.position = decode_position(from);
-    result.is_whole = from.at("is_whole").as_bool();
-    result.gone = json::value_to<std::vector<std::string>>(from.at("gone"));
-    if (const auto* missed = from.if_contains("missed")) {
-        result.missed = json::value_to<std::vector<std::string>>(*missed);
+    result.is_complete = from.at("is_whole").as_bool();
+    result.removed = json::value_to<std::vector<std::string>>(from.at("gone"));
+    if (const auto* retained = from.if_contains("missed")) {
+        result.retained = json::value_to<std::vector<std::string>>(*retained);
     }
     for (const auto& [id, entry] : from.at("registrations").as_object()) {
         result.present[id] = {json::value_to<std::string>(entry.at("value")),
@@ -179,7 +180,7 @@
     }
     const auto update = m_backends.changes_after(held);
     auto text = json::serialize(encode(update));
-    if (update.is_whole) {
+    if (update.is_complete) {
         m_whole_update = text;
         m_whole_update_position = update.position;
     }
@@ -277,7 +278,7 @@
         const auto call = ask(backends_target(m_backends.position()));
         const auto received = co_await http::fetch(m_executor, peer, call, limits());
         if (received.head.status == status_ok) {
-            m_backends.take_update(decode(json::parse(received.body).as_object()));
+            m_backends.apply_update(decode(json::parse(received.body).as_object()));
         }
     } catch (const std::exception& error) {
         report_failure(peer, "backends", error.what());
--- a/src/gateway/peer_exchange.hpp
+++ b/src/gateway/peer_exchange.hpp
@@ -83,7 +83,7 @@
     std::function<bool()> m_is_store_well;
     /// Whether changes are learned from peers, and the store isn't polled.
     std::function<bool()> m_relies_on_peers;
-    /// The last whole update in encoded form. After all gateways were killed, each of them requests it, and
+    /// The last complete update in encoded form. After all gateways were killed, each of them requests it, and
     /// encoding thousands of registrations for each request would take seconds.
     std::string m_whole_update;
     store::position m_whole_update_position;
--- a/tests/unit/test_gateway_roster.cpp
+++ b/tests/unit/test_gateway_roster.cpp
@@ -17,10 +17,10 @@
     ahead.register_server("a", 3);
     ahead.register_server("b", 4);
     const auto update = ahead.roster().changes_after({});
-    CHECK(update.is_whole);
+    CHECK(update.is_complete);
     known_servers behind;
     behind.register_server("left long ago", 1);
-    behind.roster().take_update(update);
+    behind.roster().apply_update(update);
     CHECK(behind.knows("a"));
     CHECK(behind.knows("b"));
     CHECK_FALSE(behind.knows("left long ago"));
@@ -40,10 +40,10 @@
     ahead.register_server("server-8", 201);
     ahead.register_server("new", 202);
     const auto update = ahead.roster().changes_after(behind.roster().position());
-    CHECK_FALSE(update.is_whole);
+    CHECK_FALSE(update.is_complete);
     CHECK(update.present.size() == 2);
-    CHECK(update.gone == std::vector<std::string>{"server-7"});
-    behind.roster().take_update(update);
+    CHECK(update.removed == std::vector<std::string>{"server-7"});
+    behind.roster().apply_update(update);
     CHECK_FALSE(behind.knows("server-7"));
     CHECK(behind.knows("new"));
     CHECK(behind.roster().all().size() == 100);
@@ -57,7 +57,7 @@
     ahead.unregister_server("a", 7);
     ahead.register_server("a", 8);
     const auto update = ahead.roster().changes_after({0, 6});
-    CHECK(update.gone.empty());
+    CHECK(update.removed.empty());
     CHECK(update.present.contains("a"));
 }
 
@@ -66,15 +66,15 @@
     // version changes, so a gateway that only receives updates from peers would keep it forever.
     known_servers ahead;
     ahead.register_server("a", 5);
-    ahead.roster().take_outage();
+    ahead.roster().record_outage();
     ahead.unregister_server("a", 6);
     const auto update = ahead.roster().changes_after({0, 5});
-    CHECK(update.missed == std::vector<std::string>{"a"});
+    CHECK(update.retained == std::vector<std::string>{"a"});
     known_servers behind;
     behind.register_server("a", 5);
-    behind.roster().take_update(update);
+    behind.roster().apply_update(update);
     CHECK(behind.knows("a"));
-    CHECK(behind.roster().changes_after({0, 5}).missed == std::vector<std::string>{"a"});
+    CHECK(behind.roster().changes_after({0, 5}).retained == std::vector<std::string>{"a"});
 }
 
 TEST_CASE("a server that had told that it leaves isn't missed after an outage", "[gateway][roster]") {
@@ -83,7 +83,7 @@
     here.write("a", "engines", 5);
     here.write("b", "engines", 6);
     here.write("a", "leaving engines", 7);
-    here.roster().take_outage();
+    here.roster().record_outage();
     here.unregister_server("a", 8);
     here.unregister_server("b", 9);
     CHECK_FALSE(here.knows("a"));
@@ -183,15 +183,15 @@
         ahead.unregister_server(id, ++version);
     }
     const auto update = ahead.roster().changes_after(behind.roster().position());
-    CHECK(update.is_whole);
-    behind.roster().take_update(update);
+    CHECK(update.is_complete);
+    behind.roster().apply_update(update);
     CHECK_FALSE(behind.knows("first"));
 }
 
 TEST_CASE("news that is no newer is passed over", "[gateway][roster]") {
     known_servers here;
     here.register_server("a", 9);
-    here.roster().take_update({{0, 9}, true, {}, {}});
+    here.roster().apply_update({{0, 9}, true, {}, {}});
     CHECK(here.knows("a"));
 }
 
@@ -212,7 +212,7 @@
     here.write("a", "engines@1", 7);
     CHECK(here.usable("a") == present);
     known_servers other;
-    other.roster().take_update(here.roster().changes_after({}));
+    other.roster().apply_update(here.roster().changes_after({}));
     CHECK(other.usable("a") == present);
 }
 
@@ -229,7 +229,7 @@
     CHECK(here.usable("struck") == 0);
     // A gateway that receives its registrations from this one ends in the same state.
     known_servers other;
-    other.roster().take_update(here.roster().changes_after({}));
+    other.roster().apply_update(here.roster().changes_after({}));
     CHECK(other.usable("good") != 0);
     CHECK(other.usable("struck") == 0);
     // The undecodable bytes are neither kept nor passed on, since JSON can't represent them.
--- a/tests/unit/test_gateway_store_return.cpp
+++ b/tests/unit/test_gateway_store_return.cpp
@@ -107,7 +107,7 @@
     SECTION("well when it is written again") {
         here.write("c", "engines", 60);
         CHECK(here.usable("c") != 0);
-        CHECK(here.roster().changes_after({2, 50}).missed.empty());
+        CHECK(here.roster().changes_after({2, 50}).retained.empty());
     }
     SECTION("whatever others say of their view of the store") {
         here.roster().note_other_in_touch(1h);
@@ -156,7 +156,7 @@
     peer.write("b", "leaving engines", 200);
     here.read_all({2, 50}, {{"a", "engines", 10}, {"b", "engines", 20}});
     here.write("a", "leaving engines", 60);
-    here.roster().take_update(peer.roster().changes_after({}));
+    here.roster().apply_update(peer.roster().changes_after({}));
     here.read_all({1, 300}, {{"a", "engines", 300}});
     CHECK(here.usable("a") == 0);
     CHECK(here.usable("b") != 0);
@@ -176,7 +176,7 @@
     }
     saw.read_all({2, 50}, copy);
     started.read_all({2, 50}, copy);
-    slept.roster().take_update(saw.roster().changes_after(slept.roster().position()));
+    slept.roster().apply_update(saw.roster().changes_after(slept.roster().position()));
     CHECK(slept.roster().position().era == 2);
     CHECK(slept.usable("a") == 0);
     CHECK(slept.usable("c") != 0);
@@ -185,7 +185,7 @@
         each->write("a", "leaving engines", 60);
         each->write("c", "engines", 61);
     }
-    slept.roster().take_update(saw.roster().changes_after(slept.roster().position()));
+    slept.roster().apply_update(saw.roster().changes_after(slept.roster().position()));
     for (auto* each : {&saw, &slept, &started}) {
         CHECK(each->usable("a") == 0);
         CHECK(each->usable("b") != 0);
@@ -194,13 +194,13 @@
     }
 }
 
-TEST_CASE("a gateway in a previous era gets a whole update", "[gateway][store_return]") {
+TEST_CASE("a gateway in a previous era gets a complete update", "[gateway][store_return]") {
     // Guards against comparing versions of different eras.
     known_servers ahead;
     ahead.read_all({2, 50}, {{"a", "engines", 10}});
     ahead.write("b", "engines", 60);
-    CHECK(ahead.roster().changes_after({1, 55}).is_whole);
-    CHECK_FALSE(ahead.roster().changes_after({2, 55}).is_whole);
+    CHECK(ahead.roster().changes_after({1, 55}).is_complete);
+    CHECK_FALSE(ahead.roster().changes_after({2, 55}).is_complete);
 }
 
 TEST_CASE("a store that begins to tell eras changes nothing", "[gateway][store_return]") {
