--- a/src/gateway/backend_roster.cpp
+++ b/src/gateway/backend_roster.cpp
@@ -27,12 +27,12 @@
 } // namespace
 
 backend_roster::backend_roster(asio::any_io_executor executor, timer_service& timers,
-                               const deployment& speech, backend_directory& backends,
+                               const deployment& current_deployment, backend_directory& backends,
                                coordination::slot_broker& slots, rollout_keeper& rollouts,
                                std::chrono::milliseconds registration_life)
     : m_executor(std::move(executor)),
       m_timers(timers),
-      m_speech(speech),
+      m_deployment(current_deployment),
       m_backends(backends),
       m_slots(slots),
       m_rollouts(rollouts),
@@ -43,7 +43,7 @@
 }
 
 std::string backend_roster::id_of(const store::row& row) const {
-    return row.key.substr(m_speech.backend_table.size() + 1);
+    return row.key.substr(m_deployment.backend_table.size() + 1);
 }
 
 void backend_roster::take_all(const store::row_page& page) {
@@ -302,7 +302,7 @@
 std::optional<routing::backend_record> backend_roster::read(const std::string& id, std::string_view value,
                                                             bool was_reported) const {
     try {
-        return m_speech.decode_backend(id, value);
+        return m_deployment.decode_backend(id, value);
     } catch (const std::exception& error) {
         if (!was_reported) {
             report_unreadable(id, error.what());
--- a/src/gateway/backend_roster.hpp
+++ b/src/gateway/backend_roster.hpp
@@ -37,8 +37,9 @@
 
     /// `registration_life` is the time after which the store removes a registration that its server hasn't
     /// renewed.
-    backend_roster(boost::asio::any_io_executor executor, timer_service& timers, const deployment& speech,
-                   backend_directory& backends, coordination::slot_broker& slots, rollout_keeper& rollouts,
+    backend_roster(boost::asio::any_io_executor executor, timer_service& timers,
+                   const deployment& current_deployment, backend_directory& backends,
+                   coordination::slot_broker& slots, rollout_keeper& rollouts,
                    std::chrono::milliseconds registration_life = std::chrono::milliseconds(4500));
 
     /// Starts the timer that removes overdue registrations and drives the roll-outs.
@@ -123,7 +124,7 @@
 
     boost::asio::any_io_executor m_executor;
     timer_service& m_timers;
-    const deployment& m_speech;
+    const deployment& m_deployment;
     backend_directory& m_backends;
     coordination::slot_broker& m_slots;
     rollout_keeper& m_rollouts;
--- a/src/gateway/configuration_keeper.cpp
+++ b/src/gateway/configuration_keeper.cpp
@@ -26,7 +26,7 @@
 void configuration_keeper::take(std::string_view document, std::string_view source) {
     std::shared_ptr<const routing::routing_table> table;
     try {
-        table = std::make_shared<const routing::routing_table>(m_speech.decode_configuration(document));
+        table = std::make_shared<const routing::routing_table>(m_deployment.decode_configuration(document));
     } catch (const std::exception& error) {
         events::write(events::event_kind::configuration_unreadable,
                       {{"source", source}, {"reason", error.what()}});
--- a/src/gateway/configuration_keeper.hpp
+++ b/src/gateway/configuration_keeper.hpp
@@ -17,9 +17,9 @@
 /// configuration delivers an older document.
 class configuration_keeper {
 public:
-    configuration_keeper(const deployment& speech, routing_snapshot& configuration,
+    configuration_keeper(const deployment& current_deployment, routing_snapshot& configuration,
                          coordination::slot_broker& slots)
-        : m_speech(speech), m_configuration(configuration), m_slots(slots) {}
+        : m_deployment(current_deployment), m_configuration(configuration), m_slots(slots) {}
 
     /// Decodes a document as written by the operator and puts it in force if its version is newer. A document
     /// that can't be decoded is logged and ignored. `source` is only logged.
@@ -33,7 +33,7 @@
 private:
     void take_allowances(const routing::routing_table& table);
 
-    const deployment& m_speech;
+    const deployment& m_deployment;
     routing_snapshot& m_configuration;
     coordination::slot_broker& m_slots;
     std::uint64_t m_version = 0;
--- a/src/gateway/gateway_process.cpp
+++ b/src/gateway/gateway_process.cpp
@@ -58,32 +58,34 @@
 
 class gateway_process {
 public:
-    gateway_process(std::string settings_file, gateway_settings settings, const deployment& speech)
+    gateway_process(std::string settings_file, gateway_settings settings,
+                    const deployment& current_deployment)
         : m_settings_file(std::move(settings_file)),
           m_settings(std::move(settings)),
-          m_speech(speech),
+          m_deployment(current_deployment),
           m_runtime(1),
           m_configuration(nullptr),
           m_table(m_runtime.executor(), m_settings.common.platform, m_settings.common.platform_timeout,
-                  speech.format),
+                  current_deployment.format),
           m_slots(m_runtime.executor(), m_runtime.timers(), make_broker_settings(), make_observers()),
-          m_context{m_runtime.executor(), m_runtime.timers(), m_settings, speech.fields,
+          m_context{m_runtime.executor(), m_runtime.timers(), m_settings, current_deployment.fields,
                     m_configuration,      m_backends,         m_slots,    m_metrics},
-          m_configuration_keeper(speech, m_configuration, m_slots),
+          m_configuration_keeper(current_deployment, m_configuration, m_slots),
           m_rollouts(m_backends, m_slots),
           m_rollout_recorder(
-              m_runtime.executor(), m_runtime.timers(), m_table, speech,
+              m_runtime.executor(), m_runtime.timers(), m_table, current_deployment,
               [this](const routing::rollout_status& status) { m_rollouts.take_status(status); }),
-          m_roster(m_runtime.executor(), m_runtime.timers(), speech, m_backends, m_slots, m_rollouts,
-                   m_settings.registration_life()),
+          m_roster(m_runtime.executor(), m_runtime.timers(), current_deployment, m_backends, m_slots,
+                   m_rollouts, m_settings.registration_life()),
           m_exchange(
               m_runtime.executor(), m_settings.peers_listen, m_configuration_keeper, m_roster,
               [this] { return is_store_well(); },
               [this] { return follower_duty() == policy::follower_duty::rely; }),
           m_configuration_follower(m_runtime.executor(), m_runtime.timers(), m_table,
-                                   speech.configuration_table, make_pace(), make_configuration_handlers()),
-          m_backend_follower(m_runtime.executor(), m_runtime.timers(), m_table, speech.backend_table,
-                             make_pace(), make_backend_handlers()),
+                                   current_deployment.configuration_table, make_pace(),
+                                   make_configuration_handlers()),
+          m_backend_follower(m_runtime.executor(), m_runtime.timers(), m_table,
+                             current_deployment.backend_table, make_pace(), make_backend_handlers()),
           m_acceptor(m_runtime.executor()),
           m_stop(m_context, m_acceptor, [this] { m_runtime.finish(); }),
           m_readiness(
@@ -145,8 +147,8 @@
         m_registry.add_gauge("borageford_gateway_store_era",
                              "Rises by one each time the store comes back from an older copy; 0: not told.",
                              {}, [this] { return static_cast<double>(m_roster.position().era); });
-        add_store_gauges(m_speech.configuration_table, m_configuration_follower);
-        add_store_gauges(m_speech.backend_table, m_backend_follower);
+        add_store_gauges(m_deployment.configuration_table, m_configuration_follower);
+        add_store_gauges(m_deployment.backend_table, m_backend_follower);
     }
 
     void add_store_gauges(const std::string& table, const store_follower& follower) {
@@ -290,9 +292,9 @@
 
     void take_operators_row(const store::row_change& change) {
         const auto& row = change.now;
-        if (row.key == m_speech.configuration_key && !row.value.empty()) {
+        if (row.key == m_deployment.configuration_key && !row.value.empty()) {
             m_configuration_keeper.take(row.value, "store");
-        } else if (row.key.starts_with(m_speech.rollout_prefix)) {
+        } else if (row.key.starts_with(m_deployment.rollout_prefix)) {
             take_rollout(change);
         }
     }
@@ -301,11 +303,11 @@
     /// force until its row is removed.
     void take_rollout(const store::row_change& change) {
         if (change.is_removed) {
-            m_rollouts.withdraw_order(change.now.key.substr(m_speech.rollout_prefix.size()));
+            m_rollouts.withdraw_order(change.now.key.substr(m_deployment.rollout_prefix.size()));
             return;
         }
         try {
-            m_rollouts.set_order(m_speech.decode_rollout(change.now.value));
+            m_rollouts.set_order(m_deployment.decode_rollout(change.now.value));
         } catch (const std::exception& error) {
             events::write(events::event_kind::configuration_unreadable,
                           {{"source", change.now.key}, {"reason", error.what()}});
@@ -369,7 +371,7 @@
 
     std::string m_settings_file;
     gateway_settings m_settings;
-    const deployment& m_speech;
+    const deployment& m_deployment;
     process::runtime m_runtime;
     metrics::registry m_registry;
     gateway_metrics m_metrics{m_registry};
@@ -395,7 +397,7 @@
 
 } // namespace
 
-int run_gateway(const std::string& settings_file, const deployment& speech) {
+int run_gateway(const std::string& settings_file, const deployment& current_deployment) {
     std::vector<settings::problem> problems;
     const auto text = settings::read_file(settings_file, problems);
     const auto document = settings::parse_ini(text, settings_file, problems);
@@ -406,7 +408,7 @@
     }
     log::start(log::format::json, read.common.log_level, "gateway");
     events::start("gateway", read.common.vm, read.common.log_level);
-    gateway_process(settings_file, std::move(read), speech).run();
+    gateway_process(settings_file, std::move(read), current_deployment).run();
 }
 
 } // namespace borageford::gateway
--- a/src/gateway/rollout_recorder.cpp
+++ b/src/gateway/rollout_recorder.cpp
@@ -24,11 +24,11 @@
 } // namespace
 
 rollout_recorder::rollout_recorder(asio::any_io_executor executor, timer_service& timers, store::table& table,
-                                   const deployment& speech, status_listener on_known)
+                                   const deployment& current_deployment, status_listener on_known)
     : m_executor(std::move(executor)),
       m_timers(timers),
       m_table(table),
-      m_speech(speech),
+      m_deployment(current_deployment),
       m_on_known(std::move(on_known)) {}
 
 void rollout_recorder::record(const routing::rollout_status& status) {
@@ -64,13 +64,13 @@
 /// Returns false when another write intervened, and the row has to be read again.
 asio::awaitable<bool> rollout_recorder::try_once(const routing::rollout_status& wanted,
                                                  std::uint64_t number) {
-    const auto key = m_speech.rollout_status_prefix + wanted.service;
+    const auto key = m_deployment.rollout_status_prefix + wanted.service;
     const auto row = co_await m_table.read(key);
     if (!is_latest(wanted.service, number)) {
         co_return true;
     }
     if (row.has_value()) {
-        const auto found = m_speech.decode_rollout_status(wanted.service, row->value);
+        const auto found = m_deployment.decode_rollout_status(wanted.service, row->value);
         const bool is_same = found.to == wanted.to;
         if (is_same && (found.state != routing::rollout_state::running || found.state == wanted.state)) {
             m_on_known(found);
@@ -79,7 +79,7 @@
     }
     store::transaction change;
     change.conditions.push_back({key, row.has_value() ? row->version : 0});
-    change.puts.push_back({key, m_speech.encode_rollout_status(wanted)});
+    change.puts.push_back({key, m_deployment.encode_rollout_status(wanted)});
     const auto result = co_await m_table.transact(change);
     if (result.committed && is_latest(wanted.service, number)) {
         m_on_known(wanted);
--- a/src/gateway/rollout_recorder.hpp
+++ b/src/gateway/rollout_recorder.hpp
@@ -25,7 +25,7 @@
 
     /// `on_known` receives the state that stands in the store after each successful record().
     rollout_recorder(boost::asio::any_io_executor executor, timer_service& timers, store::table& table,
-                     const deployment& speech, status_listener on_known);
+                     const deployment& current_deployment, status_listener on_known);
 
     /// Retries until the state or a final state of the same roll-out stands in the store, or until record()
     /// is called again for the same service.
@@ -39,7 +39,7 @@
     boost::asio::any_io_executor m_executor;
     timer_service& m_timers;
     store::table& m_table;
-    const deployment& m_speech;
+    const deployment& m_deployment;
     status_listener m_on_known;
     std::map<std::string, std::uint64_t> m_latest; ///< Sequence number of the last record() by service name.
 };
