--- a/src/gateway/backend_roster.cpp
+++ b/src/gateway/backend_roster.cpp
@@ -110,7 +110,7 @@
     m_first_read = first_read;
     m_position = {first_read.era, 0};
     m_watch.note_return_from_copy(steady_clock::now());
-    m_rollouts.take_return();
+    m_rollouts.handle_store_restore();
 }
 
 void backend_roster::report_era() {
@@ -320,9 +320,9 @@
                                                           {"start", record.start},
                                                           {"era", at.era},
                                                           {"version", at.version}});
-        m_rollouts.give_slots(record);
+        m_rollouts.offer_slots(record);
     } else {
-        m_rollouts.take_slots(record);
+        m_rollouts.withdraw_slots(record);
         events::write(events::event_kind::backend_draining,
                       {{"backend", record.id}, {"era", at.era}, {"version", at.version}});
     }
@@ -336,7 +336,7 @@
         return;
     }
     auto record = server->record();
-    m_rollouts.take_slots(record);
+    m_rollouts.withdraw_slots(record);
     record.state = routing::backend_state::draining;
     server->set_record(std::move(record));
 }
@@ -381,7 +381,7 @@
     m_removals.add(id, m_position);
     m_starts.forget(id);
     if (const auto server = m_backends.find_id(id)) {
-        m_rollouts.take_slots(server->record());
+        m_rollouts.withdraw_slots(server->record());
         m_backends.remove(id);
     }
     events::write(events::event_kind::backend_gone, {{"backend", id}, {"reason", reason}});
--- a/src/gateway/gateway_process.cpp
+++ b/src/gateway/gateway_process.cpp
@@ -184,9 +184,9 @@
                     hear_peer(peer, held);
                 },
                 [this](const policy::slot_scheduler::health_change& change) { report_health(change); },
-                [this](policy::server_key server) { m_rollouts.note_grant(server); },
+                [this](policy::server_key server) { m_rollouts.record_grant(server); },
                 [this](const policy::slot_release& ended) {
-                    m_rollouts.note_release(ended);
+                    m_rollouts.record_release(ended);
                 }};
     }
 
--- a/src/gateway/rollout_keeper.hpp
+++ b/src/gateway/rollout_keeper.hpp
@@ -25,7 +25,7 @@
     struct observers {
         /// Returns whether this process coordinates the slots of all gateways, and has done so for a short
         /// settling time.
-        std::function<bool()> decides;
+        std::function<bool()> is_coordinating;
         /// Records a state in the store, unless a final state of the same roll-out stands there. The state
         /// that then stands in the store is reported to take_status().
         std::function<void(const routing::rollout_status&)> record;
@@ -42,20 +42,20 @@
     void take_status(const routing::rollout_status& status);
     /// Records the outcomes of the roll-outs again, after the store was restored from an older copy and may
     /// have lost them.
-    void take_return();
+    void handle_store_restore();
 
     /// Handles a server that accepts work, when it is added or its record changes: makes its slots available,
     /// or withholds them if a roll-out requires it.
-    void give_slots(const routing::backend_record& record);
+    void offer_slots(const routing::backend_record& record);
     /// Removes the slots of a server that no longer accepts work.
-    void take_slots(const routing::backend_record& record);
+    void withdraw_slots(const routing::backend_record& record);
     /// Returns whether the server accepts work but its slots are withheld, because its version is being
     /// rolled out or was replaced.
-    [[nodiscard]] bool is_held_back(std::string_view id) const { return m_held_back.contains(id); }
+    [[nodiscard]] bool is_held_back(std::string_view id) const { return m_withheld.contains(id); }
 
     // Grants and releases of slots seen by this process while it coordinates.
-    void note_grant(policy::server_key server);
-    void note_release(const policy::slot_release& ended);
+    void record_grant(policy::server_key server);
+    void record_release(const policy::slot_release& ended);
 
     /// Advances the roll-outs. Must be called several times a second.
     void tick();
@@ -64,28 +64,28 @@
     struct rollout {
         policy::rollout_course course;
         /// Id of the one server of the new version that may get requests now; empty: none.
-        std::string open{};
-        std::string last_open{};  ///< The last non-empty value of `open`.
-        bool is_recorded = false; ///< Whether the running state was passed to observers::record.
-        bool has_former = false;  ///< Whether servers of other versions accepted work at the last review().
+        std::string canary{};
+        std::string last_canary{}; ///< The last non-empty value of `canary`.
+        bool is_recorded = false;  ///< Whether the running state was passed to observers::record.
+        bool has_previous = false; ///< Whether servers of other versions accepted work at the last review().
     };
 
     [[nodiscard]] rollout* find(std::string_view service);
-    [[nodiscard]] bool is_to_hold_back(const routing::backend_record& record);
+    [[nodiscard]] bool should_withhold(const routing::backend_record& record);
     [[nodiscard]] bool has_other_versions(std::string_view service, std::string_view than) const;
-    [[nodiscard]] bool is_former_idle(std::string_view service, std::string_view to) const;
-    void follow_decider(const std::string& service, rollout& moving);
-    void advance(const std::string& service, rollout& moving);
-    void choose_open(const std::string& service, rollout& moving);
-    void record_verdict(const std::string& service, const rollout& moving) const;
-    void report(const std::string& service, const rollout& moving) const;
+    [[nodiscard]] bool is_previous_idle(std::string_view service, std::string_view to) const;
+    void follow_coordination(const std::string& service, rollout& current);
+    void advance(const std::string& service, rollout& current);
+    void choose_canary(const std::string& service, rollout& current);
+    void record_verdict(const std::string& service, const rollout& current) const;
+    void report(const std::string& service, const rollout& current) const;
     void review(std::string_view service);
 
     const backend_directory& m_backends;
     coordination::slot_broker& m_slots;
     observers m_observers;
     std::map<std::string, rollout, std::less<>> m_rollouts; ///< Keyed by service name.
-    std::set<std::string, std::less<>> m_held_back;         ///< Ids of the servers whose slots are withheld.
+    std::set<std::string, std::less<>> m_withheld;          ///< Ids of the servers whose slots are withheld.
 };
 
 } // namespace borageford::gateway
