--- a/src/gateway/configuration_keeper.cpp
+++ b/src/gateway/configuration_keeper.cpp
@@ -23,7 +23,7 @@
 
 } // namespace
 
-void configuration_keeper::take(std::string_view document, std::string_view source) {
+void configuration_keeper::apply(std::string_view document, std::string_view source) {
     std::shared_ptr<const routing::routing_table> table;
     try {
         table = std::make_shared<const routing::routing_table>(m_deployment.decode_configuration(document));
@@ -35,12 +35,12 @@
     if (table->version() <= m_version) {
         return;
     }
-    const auto former = std::exchange(m_version, table->version());
+    const auto previous = std::exchange(m_version, table->version());
     m_document = document;
-    take_allowances(*table);
+    apply_quotas(*table);
     events::write(events::event_kind::configuration_in_force,
                   {{"version", m_version},
-                   {"former", former},
+                   {"former", previous},
                    {"source", source},
                    {"routes", std::uint64_t(table->document().routes.size())},
                    {"workspaces", std::uint64_t(table->document().workspaces.size())},
@@ -48,16 +48,16 @@
     m_configuration.replace(std::move(table));
 }
 
-void configuration_keeper::take_allowances(const routing::routing_table& table) {
+void configuration_keeper::apply_quotas(const routing::routing_table& table) {
     std::set<policy::workspace_key> present;
     for (const auto& workspace : table.document().workspaces) {
         const auto key = hash_bytes(workspace.name);
         present.insert(key);
         m_slots.set_allowance(key, {workspace.rate, workspace.burst});
     }
-    std::vector<policy::workspace_key> gone;
-    std::ranges::set_difference(m_workspaces, present, std::back_inserter(gone));
-    for (const auto key : gone) {
+    std::vector<policy::workspace_key> removed;
+    std::ranges::set_difference(m_workspaces, present, std::back_inserter(removed));
+    for (const auto key : removed) {
         m_slots.remove_allowance(key);
     }
     m_workspaces = std::move(present);
--- a/src/gateway/configuration_keeper.hpp
+++ b/src/gateway/configuration_keeper.hpp
@@ -23,7 +23,7 @@
 
     /// Decodes a document as written by the operator and puts it in force if its version is newer. A document
     /// that can't be decoded is logged and ignored. `source` is only logged.
-    void take(std::string_view document, std::string_view source);
+    void apply(std::string_view document, std::string_view source);
 
     /// Version of the configuration in force; 0: none is known yet.
     [[nodiscard]] std::uint64_t version() const noexcept { return m_version; }
@@ -31,7 +31,7 @@
     [[nodiscard]] const std::string& document() const noexcept { return m_document; }
 
 private:
-    void take_allowances(const routing::routing_table& table);
+    void apply_quotas(const routing::routing_table& table);
 
     const deployment& m_deployment;
     routing_snapshot& m_configuration;
--- a/src/gateway/gateway_process.cpp
+++ b/src/gateway/gateway_process.cpp
@@ -293,7 +293,7 @@
     void take_operators_row(const store::row_change& change) {
         const auto& row = change.now;
         if (row.key == m_deployment.configuration_key && !row.value.empty()) {
-            m_configuration_keeper.take(row.value, "store");
+            m_configuration_keeper.apply(row.value, "store");
         } else if (row.key.starts_with(m_deployment.rollout_prefix)) {
             take_rollout(change);
         }
--- a/src/gateway/peer_exchange.cpp
+++ b/src/gateway/peer_exchange.cpp
@@ -265,7 +265,7 @@
         const auto call = ask(configuration_target);
         const auto received = co_await http::fetch(m_executor, peer, call, limits());
         if (received.head.status == status_ok) {
-            m_configuration.take(received.body, "peer");
+            m_configuration.apply(received.body, "peer");
         }
     } catch (const std::exception& error) {
         report_failure(peer, "configuration", error.what());
