--- a/src/gateway/gateway_process.cpp
+++ b/src/gateway/gateway_process.cpp
@@ -160,7 +160,7 @@
         m_registry.add_gauge("borageford_gateway_store_question_age_seconds",
                              "Time since the open question about the table was asked; 0: none is open.",
                              {{"table", table}},
-                             [&follower] { return seconds(follower.question_age()).count(); });
+                             [&follower] { return seconds(follower.poll_age()).count(); });
     }
 
     coordination::broker_settings make_broker_settings() const {
@@ -208,10 +208,10 @@
         // The confirmation only counts if the peer holds the same version: otherwise this gateway or the peer
         // is behind.
         if (held.configuration == m_configuration_keeper.version()) {
-            m_configuration_follower.hear_confirmation({held.backends.era, held.configuration_confirmed});
+            m_configuration_follower.record_confirmation({held.backends.era, held.configuration_confirmed});
         }
         if (held.backends == m_roster.position()) {
-            m_backend_follower.hear_confirmation({held.backends.era, held.backends_confirmed});
+            m_backend_follower.record_confirmation({held.backends.era, held.backends_confirmed});
         }
     }
 
@@ -229,15 +229,15 @@
         return {m_configuration_keeper.version(),
                 m_roster.position(),
                 is_in_touch(),
-                told_confirmation(m_configuration_follower),
-                told_confirmation(m_backend_follower),
+                recent_confirmation(m_configuration_follower),
+                recent_confirmation(m_backend_follower),
                 std::chrono::duration_cast<milliseconds>(m_backend_follower.unbroken())};
     }
 
     /// Returns the confirmation to report, in ms of the store's clock; 0: none. Only one era is reported, the
     /// era of the registrations, so a confirmation of another era is left out.
-    [[nodiscard]] std::uint64_t told_confirmation(const store_follower& follower) const {
-        const auto told = follower.told_confirmation();
+    [[nodiscard]] std::uint64_t recent_confirmation(const store_follower& follower) const {
+        const auto told = follower.recent_confirmation();
         return told.era == m_roster.position().era ? told.milliseconds : 0;
     }
 
--- a/src/gateway/store_follower.cpp
+++ b/src/gateway/store_follower.cpp
@@ -23,22 +23,22 @@
 /// Delay between a change and the next poll, so that several changes come in one answer. Backend servers
 /// register and drain in groups, and each poll is a call that is paid for. Bounded by the time in which a
 /// change must be in force.
-constexpr milliseconds gathering_time{400};
+constexpr milliseconds batching_delay{400};
 /// Delays after a failed call. They are short enough to notice the end of an outage well within the time in
 /// which a new configuration must be in force, and long enough not to add load to a store in trouble.
 constexpr milliseconds first_retry_delay{250};
-constexpr milliseconds longest_retry_delay{800};
+constexpr milliseconds max_retry_delay{800};
 /// Longest delay for a gateway on which no other gateway relies. When the store is back, it learns this from
 /// the gateways that follow the store.
-constexpr milliseconds longest_delay_of_others{3000};
+constexpr milliseconds max_retry_delay_if_not_followed{3000};
 /// How often a gateway that relies on others checks whether it still may.
-constexpr milliseconds duty_check_period{100};
+constexpr milliseconds role_check_period{100};
 /// How often it is checked whether an open read has to be repeated.
 constexpr milliseconds repeat_check_period{100};
 /// Range of the period after which an unanswered first read is repeated. It is about a hundred times the
 /// store's usual 4 ms, so a store that is slowed down by a factor of 50 still answers the first read.
-constexpr milliseconds least_first_read_period{300};
-constexpr milliseconds most_first_read_period{600};
+constexpr milliseconds min_first_read_period{300};
+constexpr milliseconds max_first_read_period{600};
 
 } // namespace
 
@@ -48,7 +48,7 @@
       m_timers(timers),
       m_table(table),
       m_table_name(std::move(table_name)),
-      m_pace(pace),
+      m_schedule(pace),
       m_handlers(std::move(to_call)),
       m_random(static_cast<unsigned>(identifier::random().low)) {}
 
@@ -60,7 +60,7 @@
     for (;;) {
         std::string failure;
         try {
-            take_known_position();
+            apply_known_position();
             if (m_position.version == 0) {
                 co_await read_all();
             }
@@ -69,8 +69,8 @@
             failure = error.what();
         }
         if (!failure.empty()) {
-            m_question.reset();
-            note_lost(failure);
+            m_poll.reset();
+            record_loss(failure);
             m_handlers.on_outage();
             const auto delay = next_delay();
             co_await pause(m_timers, delay);
@@ -78,60 +78,60 @@
     }
 }
 
-void store_follower::take_known_position() {
-    if (const auto known = m_handlers.known_position(); known > m_forgotten) {
+void store_follower::apply_known_position() {
+    if (const auto known = m_handlers.known_position(); known > m_dropped_history) {
         m_position = std::max(m_position, known);
     }
 }
 
 /// Adds the known era to a position that has none: once the store has reported an era, an answer without one
 /// is of the current era.
-store::position store_follower::complete(store::position told) const {
-    return {told.era > 0 ? told.era : m_position.era, told.version};
+store::position store_follower::add_era(store::position received) const {
+    return {received.era > 0 ? received.era : m_position.era, received.version};
 }
 
 /// Throws store_error for an answer of a previous era. Such an answer was sent before the store was restored
 /// from an older copy, for instance on a connection opened before, and its changes may not exist in the
 /// restored store.
-void store_follower::refuse_former(store::position told) const {
-    if (told.era < std::max(m_position.era, m_handlers.known_position().era)) {
+void store_follower::reject_previous_era(store::position received) const {
+    if (received.era < std::max(m_position.era, m_handlers.known_position().era)) {
         throw store::store_error(store::effect::none, "an answer of a previous era");
     }
 }
 
 /// Returns whether the position is of a new era, so that everything has to be read again.
-bool store_follower::take_era(store::position told) {
-    if (told.era == m_position.era) {
+bool store_follower::apply_era(store::position received) {
+    if (received.era == m_position.era) {
         return false;
     }
     m_confirmation.note_failure(clock::now());
-    m_position = {told.era, 0};
+    m_position = {received.era, 0};
     return true;
 }
 
 /// Waits while this gateway relies on others, then skips the changes that they have reported in the meantime.
-asio::awaitable<void> store_follower::wait_while_told() {
-    m_relies = m_handlers.read_duty() == policy::follower_duty::rely;
-    if (!m_relies) {
+asio::awaitable<void> store_follower::wait_while_relying() {
+    m_relies_on_others = m_handlers.read_role() == policy::follower_duty::rely;
+    if (!m_relies_on_others) {
         co_return;
     }
-    while (m_handlers.read_duty() == policy::follower_duty::rely) {
-        co_await pause(m_timers, duty_check_period);
+    while (m_handlers.read_role() == policy::follower_duty::rely) {
+        co_await pause(m_timers, role_check_period);
     }
-    m_relies = false;
-    take_known_position();
+    m_relies_on_others = false;
+    apply_known_position();
 }
 
 asio::awaitable<void> store_follower::read_all() {
-    note_asked();
+    record_poll_start();
     // Randomized, since one gateway's answer is enough for all: the gateways pass it on.
-    const auto period = draw_between(least_first_read_period, most_first_read_period);
+    const auto period = draw_between(min_first_read_period, max_first_read_period);
     auto all = co_await store::read_all_repeatedly(m_executor, m_timers, m_table, m_table_name + "/", period);
-    all.position = complete(all.position);
-    refuse_former(all.position);
-    static_cast<void>(take_era(all.position));
+    all.position = add_era(all.position);
+    reject_previous_era(all.position);
+    static_cast<void>(apply_era(all.position));
     m_position = all.position;
-    note_answered(all.position, all.store_time);
+    record_answer(all.position, all.store_time);
     m_handlers.on_all(all);
 }
 
@@ -139,7 +139,7 @@
 /// hundreds of gateways together exceed the store's rate limit, each early call is one more refusal.
 milliseconds store_follower::next_delay() {
     const auto most =
-        policy::is_relied_on(m_handlers.read_duty()) ? longest_retry_delay : longest_delay_of_others;
+        policy::is_relied_on(m_handlers.read_role()) ? max_retry_delay : max_retry_delay_if_not_followed;
     const auto longest = std::min(first_retry_delay * (1U << std::min(m_failures, 4U)), most);
     ++m_failures;
     return draw_between(longest / 2, longest);
@@ -150,11 +150,11 @@
     return milliseconds(spread(m_random));
 }
 
-store_follower::clock::duration store_follower::question_age() const {
-    return m_question.has_value() ? clock::now() - m_question->asked_at : clock::duration::zero();
+store_follower::clock::duration store_follower::poll_age() const {
+    return m_poll.has_value() ? clock::now() - m_poll->asked_at : clock::duration::zero();
 }
 
-void store_follower::note_lost(std::string_view reason) {
+void store_follower::record_loss(std::string_view reason) {
     m_is_in_touch = false;
     m_confirmation.note_failure(clock::now());
     if (!m_lost_since.has_value()) {
@@ -163,14 +163,14 @@
     }
 }
 
-void store_follower::note_answered(store::position at, std::uint64_t store_time) {
-    m_question.reset();
+void store_follower::record_answer(store::position at, std::uint64_t store_time) {
+    m_poll.reset();
     m_answered_at = clock::now();
     m_confirmation.note_answer({at.era, store_time}, m_answered_at);
-    note_regained(at);
+    record_recovery(at);
 }
 
-void store_follower::note_regained(store::position at) {
+void store_follower::record_recovery(store::position at) {
     m_is_in_touch = true;
     m_failures = 0;
     if (!m_lost_since.has_value()) {
@@ -189,60 +189,60 @@
 /// be reached.
 asio::awaitable<void> store_follower::follow() {
     for (;;) {
-        co_await wait_while_told();
-        const auto page = co_await ask_for_changes();
+        co_await wait_while_relying();
+        const auto page = co_await poll_changes();
         if (!page.has_value()) {
-            m_forgotten = std::exchange(m_position, {m_position.era, 0});
+            m_dropped_history = std::exchange(m_position, {m_position.era, 0});
             co_return;
         }
-        const auto at = complete(page->position);
-        refuse_former(at);
-        if (take_era(at)) {
+        const auto at = add_era(page->position);
+        reject_previous_era(at);
+        if (apply_era(at)) {
             co_return;
         }
-        note_answered(at, page->store_time);
+        record_answer(at, page->store_time);
         for (const auto& change : page->changes) {
             m_handlers.on_change(change);
         }
         m_position = at;
         if (!page->changes.empty()) {
-            co_await pause(m_timers, gathering_time);
+            co_await pause(m_timers, batching_delay);
         }
     }
 }
 
-asio::awaitable<std::optional<store::change_page>> store_follower::ask_for_changes() {
-    change_question question(m_executor);
+asio::awaitable<std::optional<store::change_page>> store_follower::poll_changes() {
+    change_poll poll(m_executor);
     // After an outage the first poll doesn't wait for a change, to learn soon whether the store is back.
     const auto age = m_confirmation.age(clock::now());
-    note_asked();
-    ask(question, m_is_in_touch ? m_pace.wait(m_handlers.read_duty(), age) : clock::duration::zero());
-    const auto watch = m_timers.every(m_executor, repeat_check_period, [&] { repeat_if_due(question); });
-    co_return co_await question.first_answer();
+    record_poll_start();
+    start_poll(poll, m_is_in_touch ? m_schedule.wait(m_handlers.read_role(), age) : clock::duration::zero());
+    const auto watch = m_timers.every(m_executor, repeat_check_period, [&] { repeat_if_due(poll); });
+    co_return co_await poll.first_answer();
 }
 
-void store_follower::ask(change_question& question, clock::duration wait) {
-    m_question->repeated_at = clock::now();
-    m_question->answer_due = m_question->repeated_at + m_pace.answer_limit(wait);
+void store_follower::start_poll(change_poll& poll, clock::duration wait) {
+    m_poll->repeated_at = clock::now();
+    m_poll->answer_due = m_poll->repeated_at + m_schedule.answer_limit(wait);
     const auto open = std::chrono::duration_cast<milliseconds>(wait);
-    question.ask(m_table.changes(m_table_name, m_position.version, open));
+    poll.ask(m_table.changes(m_table_name, m_position.version, open));
 }
 
-void store_follower::repeat_if_due(change_question& question) {
+void store_follower::repeat_if_due(change_poll& poll) {
     const auto now = clock::now();
-    const auto duty = m_handlers.read_duty();
-    const bool is_told = duty == policy::follower_duty::rely;
-    const bool is_stale = m_pace.is_stale(duty, m_confirmation.age(now));
-    if (is_told || !is_stale || now - m_question->repeated_at < m_pace.repeat_delay(duty)) {
+    const auto role = m_handlers.read_role();
+    const bool relies_on_others = role == policy::follower_duty::rely;
+    const bool is_stale = m_schedule.is_stale(role, m_confirmation.age(now));
+    if (relies_on_others || !is_stale || now - m_poll->repeated_at < m_schedule.repeat_delay(role)) {
         return;
     }
     // Also called when only the confirmations of other gateways are missing: the store may be accepting no
     // heartbeats of servers either.
     m_handlers.on_outage();
-    if (now >= m_question->answer_due) {
-        note_lost("a poll was not answered in time");
+    if (now >= m_poll->answer_due) {
+        record_loss("a poll was not answered in time");
     }
-    ask(question, clock::duration::zero());
+    start_poll(poll, clock::duration::zero());
 }
 
 } // namespace borageford::gateway
--- a/src/gateway/store_follower.hpp
+++ b/src/gateway/store_follower.hpp
@@ -41,7 +41,7 @@
         /// gateway. Version 0: no changes are known, but the store is in that era.
         std::function<store::position()> known_position;
         /// Returns the current role, which decides whether and how often this gateway polls the store.
-        std::function<policy::follower_duty()> read_duty;
+        std::function<policy::follower_duty()> read_role;
     };
 
     store_follower(boost::asio::any_io_executor executor, timer_service& timers, store::table& table,
@@ -51,13 +51,15 @@
 
     /// Another gateway holds the same version, and reports that the store confirmed it at `answered`, a time
     /// of the store's clock.
-    void hear_confirmation(policy::store_moment answered) { m_confirmation.hear(answered, clock::now()); }
+    void record_confirmation(policy::store_moment answered) { m_confirmation.hear(answered, clock::now()); }
     /// Returns the latest confirmation, to be reported to other gateways together with the held version;
     /// empty unless it is recent. See policy::confirmation.
-    [[nodiscard]] policy::store_moment told_confirmation() const { return m_confirmation.news(clock::now()); }
+    [[nodiscard]] policy::store_moment recent_confirmation() const {
+        return m_confirmation.news(clock::now());
+    }
 
     /// Returns whether this gateway polls the store and the store answered the last call.
-    [[nodiscard]] bool is_in_touch() const noexcept { return m_is_in_touch && !m_relies; }
+    [[nodiscard]] bool is_in_touch() const noexcept { return m_is_in_touch && !m_relies_on_others; }
     /// Returns when the held state was last confirmed, to this gateway or to another one.
     [[nodiscard]] clock::time_point confirmed_at() const noexcept { return m_confirmation.noted_at(); }
     /// Returns for how long the store has answered without interruption, as far as this gateway can tell;
@@ -66,20 +68,20 @@
         return is_in_touch() ? m_confirmation.unbroken(clock::now()) : clock::duration::zero();
     }
     /// Returns whether the held state was confirmed recently, to this gateway or to another one.
-    [[nodiscard]] bool is_current() const { return m_pace.is_current(m_confirmation.age(clock::now())); }
+    [[nodiscard]] bool is_current() const { return m_schedule.is_current(m_confirmation.age(clock::now())); }
 
     /// Returns the time since the store last answered a read of the table; before the first answer, the time
     /// since construction.
     [[nodiscard]] clock::duration answer_age() const { return clock::now() - m_answered_at; }
     /// Returns the time since the open read was started; zero if none is open.
-    [[nodiscard]] clock::duration question_age() const;
+    [[nodiscard]] clock::duration poll_age() const;
 
 private:
     /// The answer is empty when the store has dropped the history after the requested version.
-    using change_question = store::repeated_question<std::optional<store::change_page>>;
+    using change_poll = store::repeated_question<std::optional<store::change_page>>;
 
     /// When the open read was started, and when it was last repeated.
-    struct open_question {
+    struct open_poll {
         clock::time_point asked_at;
         clock::time_point repeated_at{};
         /// An unresponsive store is assumed if the last repetition has no answer by then.
@@ -88,19 +90,19 @@
 
     boost::asio::awaitable<void> run();
     boost::asio::awaitable<void> read_all();
-    void note_asked() { m_question = open_question{clock::now()}; }
-    void note_answered(store::position at, std::uint64_t store_time);
-    [[nodiscard]] store::position complete(store::position told) const;
-    void refuse_former(store::position told) const;
-    [[nodiscard]] bool take_era(store::position told);
-    void note_lost(std::string_view reason);
-    void note_regained(store::position at);
+    void record_poll_start() { m_poll = open_poll{clock::now()}; }
+    void record_answer(store::position at, std::uint64_t store_time);
+    [[nodiscard]] store::position add_era(store::position received) const;
+    void reject_previous_era(store::position received) const;
+    [[nodiscard]] bool apply_era(store::position received);
+    void record_loss(std::string_view reason);
+    void record_recovery(store::position at);
     boost::asio::awaitable<void> follow();
-    boost::asio::awaitable<void> wait_while_told();
-    boost::asio::awaitable<std::optional<store::change_page>> ask_for_changes();
-    void ask(change_question& question, clock::duration wait);
-    void repeat_if_due(change_question& question);
-    void take_known_position();
+    boost::asio::awaitable<void> wait_while_relying();
+    boost::asio::awaitable<std::optional<store::change_page>> poll_changes();
+    void start_poll(change_poll& poll, clock::duration wait);
+    void repeat_if_due(change_poll& poll);
+    void apply_known_position();
     [[nodiscard]] std::chrono::milliseconds next_delay();
     [[nodiscard]] std::chrono::milliseconds draw_between(std::chrono::milliseconds least,
                                                          std::chrono::milliseconds most);
@@ -109,19 +111,19 @@
     timer_service& m_timers;
     store::table& m_table;
     std::string m_table_name;
-    policy::follower_pace m_pace;
-    policy::confirmation m_confirmation{clock::now(), m_pace.longest_gap()};
+    policy::follower_pace m_schedule;
+    policy::confirmation m_confirmation{clock::now(), m_schedule.longest_gap()};
     /// Position up to which all changes have been applied; version 0: everything has to be read. Its era
     /// never decreases.
     store::position m_position;
-    store::position m_forgotten; ///< The store has dropped the history after this position.
+    store::position m_dropped_history; ///< The store has dropped the history after this position.
     bool m_is_in_touch = false;
     /// Whether changes are currently learned from other gateways, and the store isn't polled.
-    bool m_relies = false;
+    bool m_relies_on_others = false;
     unsigned m_failures = 0; ///< Failed calls since the last answer.
     std::optional<clock::time_point> m_lost_since;
     clock::time_point m_answered_at = clock::now();
-    std::optional<open_question> m_question;
+    std::optional<open_poll> m_poll;
     handlers m_handlers;
     std::minstd_rand m_random;
 };
--- a/tests/unit/test_store_follower.cpp
+++ b/tests/unit/test_store_follower.cpp
@@ -29,7 +29,7 @@
 /// An emulated store and one follower of it, both on the test's thread.
 class followed_table {
 public:
-    explicit followed_table(follower_duty duty) : m_duty(duty) {
+    explicit followed_table(follower_duty role) : m_role(role) {
         write("first");
         m_follower.start();
         run_until([&] { return m_held == "first"; });
@@ -49,7 +49,9 @@
     }
 
     /// Reports a confirmation received by another gateway that holds the same state.
-    void hear(std::uint64_t store_time) { m_follower.hear_confirmation({first_era, store_time}); }
+    void report_confirmation(std::uint64_t store_time) {
+        m_follower.record_confirmation({first_era, store_time});
+    }
 
     void write(const std::string& value) {
         store::transaction change;
@@ -58,7 +60,7 @@
     }
 
     /// Makes the store unresponsive until it has lost the follower's open poll.
-    void lose_question() {
+    void lose_poll() {
         m_store.set_state(store_state::silent);
         run_until([&] { return m_store.unanswered() > 0; });
     }
@@ -74,11 +76,11 @@
                 [this](const store::row_change& change) { m_held = change.now.value; },
                 [this] { ++m_outages; }, [this] { return m_known; },
                 [this] {
-                    return m_duty;
+                    return m_role;
                 }};
     }
 
-    follower_duty m_duty;
+    follower_duty m_role;
     store::position m_known;
     std::string m_held;
     int m_outages = 0;
@@ -96,9 +98,9 @@
 
 TEST_CASE("a change is heard of although the store lost the open question", "[gateway][store_follower]") {
     // Guards against keeping the previous configuration until the lost poll times out.
-    const auto duty = GENERATE(follower_duty::confirm, follower_duty::follow, follower_duty::stand_by);
-    followed_table table(duty);
-    table.lose_question();
+    const auto role = GENERATE(follower_duty::confirm, follower_duty::follow, follower_duty::stand_by);
+    followed_table table(role);
+    table.lose_poll();
     table.store().set_state(store_state::well);
     table.write("second");
     table.run_until([&] { return table.held() == "second"; });
@@ -121,7 +123,7 @@
     // Guards against removing servers whose registrations vanished only because the store accepted no
     // heartbeats.
     followed_table table(follower_duty::follow);
-    table.lose_question();
+    table.lose_poll();
     table.run_until([&] { return !table.follower().is_in_touch(); });
     CHECK(table.outages() > 0);
     CHECK_FALSE(table.follower().is_current());
@@ -132,7 +134,7 @@
 TEST_CASE("repeated polls are cancelled with the first answer", "[gateway][store_follower]") {
     // Guards against connections to the store that accumulate with each outage.
     followed_table table(follower_duty::follow);
-    table.lose_question();
+    table.lose_poll();
     table.run_until([&] { return table.store().unanswered() > 2; });
     table.store().set_state(store_state::well);
     table.run_until([&] { return table.store().unanswered() == 0; });
@@ -142,15 +144,15 @@
 TEST_CASE("a confirmation received by another gateway counts", "[gateway][store_follower]") {
     // Guards against one call from each gateway for each confirmation.
     followed_table table(follower_duty::follow);
-    table.lose_question();
+    table.lose_poll();
     table.run_until([&] { return !table.follower().is_current(); });
-    table.hear(1); // a time of the store's clock long before its last answer
+    table.report_confirmation(1); // a time of the store's clock long before its last answer
     CHECK_FALSE(table.follower().is_current());
     auto store_time = far_ahead;
     table.run_until([&] {
-        table.hear(++store_time);
+        table.report_confirmation(++store_time);
         return table.follower().is_current() &&
-               table.follower().told_confirmation() == policy::store_moment{first_era, store_time};
+               table.follower().recent_confirmation() == policy::store_moment{first_era, store_time};
     });
 }
 
