--- a/src/gateway/gateway_process.cpp
+++ b/src/gateway/gateway_process.cpp
@@ -79,7 +79,7 @@
                    m_rollouts, m_settings.registration_life()),
           m_exchange(
               m_runtime.executor(), m_settings.peers_listen, m_configuration_keeper, m_roster,
-              [this] { return is_store_well(); },
+              [this] { return is_store_available(); },
               [this] { return follower_duty() == policy::follower_duty::rely; }),
           m_configuration_follower(m_runtime.executor(), m_runtime.timers(), m_table,
                                    current_deployment.configuration_table, make_pace(),
@@ -100,7 +100,7 @@
 
     [[noreturn]] void run() {
         m_context.on_unknown_server = [this] {
-            m_exchange.want_backends();
+            m_exchange.fetch_backends_at_once();
         };
         m_rollouts.observe_with({[this] { return decides_for_all(); },
                                  [this](const routing::rollout_status& status) {
@@ -198,7 +198,7 @@
     }
 
     void hear_peer(const asio::ip::address& peer, const coordination::slot_broker::versions& held) {
-        m_exchange.hear(peer, held.configuration, held.backends);
+        m_exchange.record_versions(peer, held.configuration, held.backends);
         // A peer in a previous era has not seen the restored store, so its report says nothing about the
         // store now.
         if (held.is_in_touch && held.backends.era >= m_roster.position().era) {
@@ -215,14 +215,15 @@
         }
     }
 
-    [[nodiscard]] bool is_store_well() const {
+    [[nodiscard]] bool is_store_available() const {
         return m_configuration_follower.is_in_touch() && m_backend_follower.is_in_touch();
     }
 
     /// Returns whether to report to other gateways that the store answers this one. An overdue answer doesn't
     /// count.
     [[nodiscard]] bool is_in_touch() const {
-        return is_store_well() && m_configuration_follower.is_current() && m_backend_follower.is_current();
+        return is_store_available() && m_configuration_follower.is_current() &&
+               m_backend_follower.is_current();
     }
 
     [[nodiscard]] coordination::slot_broker::versions held_versions() const {
@@ -259,7 +260,8 @@
     /// store until they report a newer version; then it reads that from the store itself.
     [[nodiscard]] policy::follower_duty configuration_duty() const {
         const auto duty = follower_duty();
-        const bool is_behind = duty == policy::follower_duty::rely && m_exchange.hears_newer_configuration();
+        const bool is_behind =
+            duty == policy::follower_duty::rely && m_exchange.has_reported_newer_configuration();
         return is_behind ? policy::follower_duty::stand_by : duty;
     }
 
--- a/src/gateway/peer_exchange.cpp
+++ b/src/gateway/peer_exchange.cpp
@@ -28,20 +28,20 @@
 constexpr std::string_view backends_path = "/backends";
 /// How long this gateway waits for the store before it asks a peer. A store that works delivers a change
 /// soon, together with other changes.
-constexpr milliseconds patience_with_store{700};
-constexpr milliseconds patience_without_store{100};
+constexpr milliseconds delay_with_store{700};
+constexpr milliseconds delay_without_store{100};
 constexpr milliseconds exchange_limit{500};
 /// A peer that hasn't reported for longer than this may be gone.
-constexpr milliseconds heard_life{1000};
+constexpr milliseconds report_lifetime{1000};
 constexpr unsigned status_ok = 200;
 constexpr unsigned status_not_found = 404;
 constexpr unsigned status_unavailable = 503;
 /// A small part of the memory of the smallest gateways, 88 MB. A complete update of 1,300 servers takes 0.4
 /// MB.
-constexpr std::size_t most_bytes_sending = 16U * 1024 * 1024;
+constexpr std::size_t max_bytes_sending = 16U * 1024 * 1024;
 /// Answers up to this size are always sent: a configuration or a few changes must spread even while many
 /// peers request complete updates.
-constexpr std::size_t small_answer = 64U * 1024;
+constexpr std::size_t max_uncounted_bytes = 64U * 1024;
 
 http::exchange_limits limits() {
     http::exchange_limits result;
@@ -51,7 +51,7 @@
     return result;
 }
 
-http::request ask(std::string_view target) {
+http::request make_get_request(std::string_view target) {
     return {"GET", std::string(target), {}, ""};
 }
 
@@ -116,8 +116,8 @@
                                                   : std::nullopt;
 }
 
-void report_question(const asio::ip::tcp::endpoint& peer, std::string_view what, store::position held,
-                     store::position offered) {
+void log_fetch(const asio::ip::tcp::endpoint& peer, std::string_view what, store::position held,
+               store::position offered) {
     events::write(events::event_kind::peer_asked, {{"peer", http::to_string(peer)},
                                                    {"what", what},
                                                    {"held_era", held.era},
@@ -126,44 +126,44 @@
                                                    {"offered", offered.version}});
 }
 
-void report_failure(const asio::ip::tcp::endpoint& peer, std::string_view what, std::string_view reason) {
+void log_failure(const asio::ip::tcp::endpoint& peer, std::string_view what, std::string_view reason) {
     events::write(events::event_kind::peer_failed,
                   {{"peer", http::to_string(peer)}, {"what", what}, {"reason", reason}});
 }
 
 } // namespace
 
-bool peer_exchange::lag::is_due(milliseconds patience, clock::time_point now) {
+bool peer_exchange::lag::is_due(milliseconds delay, clock::time_point now) {
     if (since == clock::time_point::max()) {
         since = now;
     }
-    if (is_asking || now - since < patience) {
+    if (is_fetching || now - since < delay) {
         return false;
     }
     since = clock::time_point::max();
-    is_asking = true;
+    is_fetching = true;
     return true;
 }
 
 peer_exchange::peer_exchange(asio::any_io_executor executor, const asio::ip::tcp::endpoint& local,
                              configuration_keeper& configuration, backend_roster& backends,
-                             std::function<bool()> is_store_well, std::function<bool()> relies_on_peers)
+                             std::function<bool()> is_store_available, std::function<bool()> relies_on_peers)
     : m_executor(std::move(executor)),
       m_local(local),
       m_configuration(configuration),
       m_backends(backends),
-      m_is_store_well(std::move(is_store_well)),
+      m_is_store_available(std::move(is_store_available)),
       m_relies_on_peers(std::move(relies_on_peers)),
-      m_sending(most_bytes_sending, small_answer),
+      m_sending(max_bytes_sending, max_uncounted_bytes),
       m_server(
           m_executor, {},
           [this](const http::request& received, http::response_writer& writer) -> asio::awaitable<void> {
-              auto whole = answer(received); // must outlive the write
-              const auto sending = m_sending.try_take(whole.body.size());
+              auto response = answer(received); // must outlive the write
+              const auto sending = m_sending.try_take(response.body.size());
               if (!sending.has_value()) {
-                  whole = http::make_response(status_unavailable, "text/plain", "");
+                  response = http::make_response(status_unavailable, "text/plain", "");
               }
-              co_await writer.write(whole);
+              co_await writer.write(response);
           },
           [](error_kind kind, std::string_view detail) {
               return http::make_response(answer_for(kind).http_status, "text/plain", std::string(detail));
@@ -174,15 +174,15 @@
 }
 
 std::string peer_exchange::encode_changes_after(store::position held) {
-    const bool wants_all = held.version == 0 || held.era != m_backends.position().era;
-    if (wants_all && !m_whole_update.empty() && m_whole_update_position == m_backends.position()) {
-        return m_whole_update;
+    const bool needs_all = held.version == 0 || held.era != m_backends.position().era;
+    if (needs_all && !m_complete_update.empty() && m_complete_update_position == m_backends.position()) {
+        return m_complete_update;
     }
     const auto update = m_backends.changes_after(held);
     auto text = json::serialize(encode(update));
     if (update.is_complete) {
-        m_whole_update = text;
-        m_whole_update_position = update.position;
+        m_complete_update = text;
+        m_complete_update_position = update.position;
     }
     return text;
 }
@@ -199,60 +199,60 @@
 
 /// Returns how long a newer configuration must have been known before a peer is asked for it. A document may
 /// be large, and the store has more bandwidth than the few gateways that report to all others.
-milliseconds peer_exchange::configuration_patience() const {
-    return m_is_store_well() || m_relies_on_peers() ? patience_with_store : patience_without_store;
+milliseconds peer_exchange::configuration_delay() const {
+    return m_is_store_available() || m_relies_on_peers() ? delay_with_store : delay_without_store;
 }
 
 /// Returns the same for registrations, of which only the changes are sent.
-milliseconds peer_exchange::backend_patience() const {
-    if (m_wants_backends || m_relies_on_peers()) {
+milliseconds peer_exchange::backend_delay() const {
+    if (m_fetches_backends_at_once || m_relies_on_peers()) {
         return milliseconds(0);
     }
-    return m_is_store_well() ? patience_with_store : patience_without_store;
+    return m_is_store_available() ? delay_with_store : delay_without_store;
 }
 
-bool peer_exchange::hears_newer_configuration() const {
-    return std::ranges::any_of(m_heard, [held = m_configuration.version()](const auto& entry) {
+bool peer_exchange::has_reported_newer_configuration() const {
+    return std::ranges::any_of(m_reports, [held = m_configuration.version()](const auto& entry) {
         return entry.second.configuration > held;
     });
 }
 
 /// Gateways are often replaced by others with new addresses, so peers that no longer report are dropped.
-void peer_exchange::note_heard(const asio::ip::address& peer, const heard_peer& heard) {
-    m_heard[peer] = heard;
-    if (heard.at >= m_next_forgetting) {
-        std::erase_if(m_heard, [&](const auto& entry) { return heard.at - entry.second.at > heard_life; });
-        m_next_forgetting = heard.at + heard_life;
+void peer_exchange::record_report(const asio::ip::address& peer, const peer_report& report) {
+    m_reports[peer] = report;
+    if (report.at >= m_next_cleanup) {
+        std::erase_if(m_reports,
+                      [&](const auto& entry) { return report.at - entry.second.at > report_lifetime; });
+        m_next_cleanup = report.at + report_lifetime;
     }
 }
 
-void peer_exchange::hear(const asio::ip::address& peer, std::uint64_t configuration,
-                         store::position backends) {
+void peer_exchange::record_versions(const asio::ip::address& peer, std::uint64_t configuration,
+                                    store::position backends) {
     const auto now = clock::now();
-    note_heard(peer, {configuration, backends, now});
-    if (configuration > m_configuration.version() &&
-        m_configuration_lag.is_due(configuration_patience(), now)) {
-        const auto address = choose_peer(&heard_peer::configuration, m_configuration.version(), now);
+    record_report(peer, {configuration, backends, now});
+    if (configuration > m_configuration.version() && m_configuration_lag.is_due(configuration_delay(), now)) {
+        const auto address = choose_peer(&peer_report::configuration, m_configuration.version(), now);
         // Documents have versions of their own, which a restore of the store doesn't reset: the era is 0.
-        report_question(address, "configuration", {0, m_configuration.version()}, {0, configuration});
-        asio::co_spawn(m_executor, ask_for_configuration(address), asio::detached);
+        log_fetch(address, "configuration", {0, m_configuration.version()}, {0, configuration});
+        asio::co_spawn(m_executor, fetch_configuration(address), asio::detached);
     }
-    if (backends > m_backends.position() && m_backend_lag.is_due(backend_patience(), now)) {
-        m_wants_backends = false;
-        const auto address = choose_peer(&heard_peer::backends, m_backends.position(), now);
-        report_question(address, "backends", m_backends.position(), backends);
-        asio::co_spawn(m_executor, ask_for_backends(address), asio::detached);
+    if (backends > m_backends.position() && m_backend_lag.is_due(backend_delay(), now)) {
+        m_fetches_backends_at_once = false;
+        const auto address = choose_peer(&peer_report::backends, m_backends.position(), now);
+        log_fetch(address, "backends", m_backends.position(), backends);
+        asio::co_spawn(m_executor, fetch_backends(address), asio::detached);
     }
 }
 
 /// Draws any peer that is ahead. All gateways learn of a change from the coordinator, which would otherwise
 /// have to answer each of them.
 template <typename Version>
-asio::ip::tcp::endpoint peer_exchange::choose_peer(Version heard_peer::* version, const Version& held,
+asio::ip::tcp::endpoint peer_exchange::choose_peer(Version peer_report::* version, const Version& held,
                                                    clock::time_point now) {
     std::vector<asio::ip::address> ahead;
-    for (const auto& [peer, heard] : m_heard) {
-        if (heard.*version > held && now - heard.at <= heard_life) {
+    for (const auto& [peer, report] : m_reports) {
+        if (report.*version > held && now - report.at <= report_lifetime) {
             ahead.push_back(peer);
         }
     }
@@ -260,30 +260,30 @@
     return {ahead.at(choice(m_random)), m_local.port()};
 }
 
-asio::awaitable<void> peer_exchange::ask_for_configuration(asio::ip::tcp::endpoint peer) {
+asio::awaitable<void> peer_exchange::fetch_configuration(asio::ip::tcp::endpoint peer) {
     try {
-        const auto call = ask(configuration_target);
+        const auto call = make_get_request(configuration_target);
         const auto received = co_await http::fetch(m_executor, peer, call, limits());
         if (received.head.status == status_ok) {
             m_configuration.apply(received.body, "peer");
         }
     } catch (const std::exception& error) {
-        report_failure(peer, "configuration", error.what());
+        log_failure(peer, "configuration", error.what());
     }
-    m_configuration_lag.is_asking = false;
+    m_configuration_lag.is_fetching = false;
 }
 
-asio::awaitable<void> peer_exchange::ask_for_backends(asio::ip::tcp::endpoint peer) {
+asio::awaitable<void> peer_exchange::fetch_backends(asio::ip::tcp::endpoint peer) {
     try {
-        const auto call = ask(backends_target(m_backends.position()));
+        const auto call = make_get_request(backends_target(m_backends.position()));
         const auto received = co_await http::fetch(m_executor, peer, call, limits());
         if (received.head.status == status_ok) {
             m_backends.apply_update(decode(json::parse(received.body).as_object()));
         }
     } catch (const std::exception& error) {
-        report_failure(peer, "backends", error.what());
+        log_failure(peer, "backends", error.what());
     }
-    m_backend_lag.is_asking = false;
+    m_backend_lag.is_fetching = false;
 }
 
 } // namespace borageford::gateway
