--- a/src/gateway/admitted_request.cpp
+++ b/src/gateway/admitted_request.cpp
@@ -49,34 +49,34 @@
 }
 
 /// Token counts stated by the caller: those of the prompt, and the maximum of the output.
-struct told_tokens {
+struct stated_tokens {
     double prompt = 0;
-    double most_output = 0;
+    double max_output = 0;
 };
 
-told_tokens read_tokens(const gateway_context& context, const http::field_list& fields) {
-    told_tokens result;
-    const auto told = fields.find(context.fields.tokens);
-    if (!told.has_value()) {
+stated_tokens read_tokens(const gateway_context& context, const http::field_list& fields) {
+    stated_tokens result;
+    const auto stated = fields.find(context.fields.tokens);
+    if (!stated.has_value()) {
         return result;
     }
-    const auto comma = told->find(',');
-    result.prompt = static_cast<double>(parse_number(told->substr(0, comma)).value_or(0));
+    const auto comma = stated->find(',');
+    result.prompt = static_cast<double>(parse_number(stated->substr(0, comma)).value_or(0));
     if (comma != std::string_view::npos) {
-        result.most_output = static_cast<double>(parse_number(told->substr(comma + 1)).value_or(0));
+        result.max_output = static_cast<double>(parse_number(stated->substr(comma + 1)).value_or(0));
     }
     return result;
 }
 
-double count_units(const routing::workspace* workspace, const told_tokens& tokens) {
+double count_units(const routing::workspace* workspace, const stated_tokens& tokens) {
     if (workspace == nullptr) {
         return 0;
     }
     if (workspace->unit == routing::allowance_unit::requests) {
         return 1;
     }
-    const double told = tokens.prompt + tokens.most_output;
-    return told > 0 ? told : workspace->plain_tokens;
+    const double stated = tokens.prompt + tokens.max_output;
+    return stated > 0 ? stated : workspace->plain_tokens;
 }
 
 } // namespace
@@ -98,13 +98,13 @@
     result.service = &result.configuration->choose_service(*result.route, draw());
     result.id = fields.find(context.fields.request_id).value_or("");
     auto limit = result.route->timeout;
-    if (const auto told = parse_number(fields.find(context.fields.deadline))) {
-        limit = std::min(limit, milliseconds(*told));
+    if (const auto stated = parse_number(fields.find(context.fields.deadline))) {
+        limit = std::min(limit, milliseconds(*stated));
     }
     result.deadline = arrived + limit;
     const auto tokens = read_tokens(context, fields);
     const auto expected = parse_number(fields.find(context.fields.expected_length));
-    result.cost = {tokens.prompt, expected ? static_cast<double>(*expected) : tokens.most_output};
+    result.cost = {tokens.prompt, expected ? static_cast<double>(*expected) : tokens.max_output};
     result.units = count_units(result.workspace, tokens);
     const int of_workspace = result.workspace != nullptr ? result.workspace->tier.value_or(0) : 0;
     result.tier = policy::combine_tiers(of_workspace, result.route->tier);
--- a/src/gateway/backend_roster.cpp
+++ b/src/gateway/backend_roster.cpp
@@ -176,7 +176,7 @@
     update result;
     result.position = m_position;
     const bool is_other_era = held.era != m_position.era;
-    result.is_complete = is_other_era || held.version == 0 || !m_removals.reaches_back_to(held);
+    result.is_complete = is_other_era || held.version == 0 || !m_removals.has_all_since(held);
     result.retained = m_watch.missed();
     if (result.is_complete) {
         result.present = m_all;
--- a/src/gateway/gateway_context.hpp
+++ b/src/gateway/gateway_context.hpp
@@ -30,7 +30,7 @@
 struct stop_times {
     /// Every request is accepted until this time; afterwards only those whose deadline isn't later
     /// than ends_at.
-    std::chrono::steady_clock::time_point takes_all_until;
+    std::chrono::steady_clock::time_point accepts_all_until;
     /// The process exits then at the latest.
     std::chrono::steady_clock::time_point ends_at;
 };
--- a/src/gateway/gateway_process.cpp
+++ b/src/gateway/gateway_process.cpp
@@ -51,7 +51,7 @@
 constexpr milliseconds log_flush_period{50};
 
 /// Draws a number in [0, 1).
-double draw_share() {
+double draw_fraction() {
     std::random_device source;
     return std::uniform_real_distribution<double>(0, 1)(source);
 }
@@ -80,12 +80,12 @@
           m_exchange(
               m_runtime.executor(), m_settings.peers_listen, m_configuration_keeper, m_roster,
               [this] { return is_store_available(); },
-              [this] { return follower_duty() == policy::follower_duty::rely; }),
+              [this] { return current_role() == policy::follower_duty::rely; }),
           m_configuration_follower(m_runtime.executor(), m_runtime.timers(), m_table,
-                                   current_deployment.configuration_table, make_pace(),
+                                   current_deployment.configuration_table, make_poll_schedule(),
                                    make_configuration_handlers()),
           m_backend_follower(m_runtime.executor(), m_runtime.timers(), m_table,
-                             current_deployment.backend_table, make_pace(), make_backend_handlers()),
+                             current_deployment.backend_table, make_poll_schedule(), make_backend_handlers()),
           m_acceptor(m_runtime.executor()),
           m_stop(m_context, m_acceptor, [this] { m_runtime.finish(); }),
           m_readiness(
@@ -102,7 +102,7 @@
         m_context.on_unknown_server = [this] {
             m_exchange.fetch_backends_at_once();
         };
-        m_rollouts.observe_with({[this] { return decides_for_all(); },
+        m_rollouts.observe_with({[this] { return is_settled_coordinator(); },
                                  [this](const routing::rollout_status& status) {
                                      m_rollout_recorder.record(status);
                                  }});
@@ -181,7 +181,7 @@
         using coordination::slot_broker;
         return {[this] { return held_versions(); },
                 [this](const asio::ip::address& peer, const slot_broker::versions& held) {
-                    hear_peer(peer, held);
+                    record_peer(peer, held);
                 },
                 [this](const policy::slot_scheduler::health_change& change) { report_health(change); },
                 [this](policy::server_key server) { m_rollouts.record_grant(server); },
@@ -192,12 +192,12 @@
 
     /// Returns whether this process decides about roll-outs. It waits for settling_time, since several
     /// gateways may briefly consider themselves the coordinator while it changes.
-    [[nodiscard]] bool decides_for_all() const {
+    [[nodiscard]] bool is_settled_coordinator() const {
         return m_slots.source() == coordination::slot_source::own_coordination &&
                std::chrono::steady_clock::now() - m_slots.source_since() >= settling_time;
     }
 
-    void hear_peer(const asio::ip::address& peer, const coordination::slot_broker::versions& held) {
+    void record_peer(const asio::ip::address& peer, const coordination::slot_broker::versions& held) {
         m_exchange.record_versions(peer, held.configuration, held.backends);
         // A peer in a previous era has not seen the restored store, so its report says nothing about the
         // store now.
@@ -245,31 +245,31 @@
     store_follower::handlers make_configuration_handlers() {
         return {[this](const store::row_page& page) {
                     for (const auto& row : page.rows) {
-                        take_operators_row({row, false});
+                        apply_operator_row({row, false});
                     }
                 },
-                [this](const store::row_change& change) { take_operators_row(change); }, [] {},
+                [this](const store::row_change& change) { apply_operator_row(change); }, [] {},
                 // Configuration documents have versions of their own, so only the era is known.
                 [this] { return store::position{m_roster.position().era, 0}; },
                 [this] {
-                    return configuration_duty();
+                    return configuration_role();
                 }};
     }
 
     /// Returns the role for the configuration's table. A gateway that relies on others needs nothing from the
     /// store until they report a newer version; then it reads that from the store itself.
-    [[nodiscard]] policy::follower_duty configuration_duty() const {
-        const auto duty = follower_duty();
+    [[nodiscard]] policy::follower_duty configuration_role() const {
+        const auto role = current_role();
         const bool is_behind =
-            duty == policy::follower_duty::rely && m_exchange.has_reported_newer_configuration();
-        return is_behind ? policy::follower_duty::stand_by : duty;
+            role == policy::follower_duty::rely && m_exchange.has_reported_newer_configuration();
+        return is_behind ? policy::follower_duty::stand_by : role;
     }
 
-    [[nodiscard]] policy::follower_pace make_pace() const {
-        return {std::min(m_settings.configuration_limit, m_settings.drain_limit), draw_share()};
+    [[nodiscard]] policy::follower_pace make_poll_schedule() const {
+        return {std::min(m_settings.configuration_limit, m_settings.drain_limit), draw_fraction()};
     }
 
-    [[nodiscard]] policy::follower_duty follower_duty() const {
+    [[nodiscard]] policy::follower_duty current_role() const {
         if (m_slots.source() == coordination::slot_source::own_coordination) {
             return policy::follower_duty::confirm;
         }
@@ -292,18 +292,18 @@
                        {"failure_share", change.failure_share}});
     }
 
-    void take_operators_row(const store::row_change& change) {
+    void apply_operator_row(const store::row_change& change) {
         const auto& row = change.now;
         if (row.key == m_deployment.configuration_key && !row.value.empty()) {
             m_configuration_keeper.apply(row.value, "store");
         } else if (row.key.starts_with(m_deployment.rollout_prefix)) {
-            take_rollout(change);
+            apply_rollout_order(change);
         }
     }
 
     /// Sets or withdraws a roll-out order. An order that is missing from an older copy of the store stays in
     /// force until its row is removed.
-    void take_rollout(const store::row_change& change) {
+    void apply_rollout_order(const store::row_change& change) {
         if (change.is_removed) {
             m_rollouts.withdraw_order(change.now.key.substr(m_deployment.rollout_prefix.size()));
             return;
@@ -322,7 +322,7 @@
                 [this] { m_roster.record_outage(m_backend_follower.confirmed_at()); },
                 [this] { return m_roster.position(); },
                 [this] {
-                    return follower_duty();
+                    return current_role();
                 }};
     }
 
@@ -394,7 +394,8 @@
     http::server m_readiness;
     metrics_endpoint m_metrics_server;
     timer_subscription m_flush_timer;
-    policy::follower_choice m_follower_choice{static_cast<double>(m_settings.store_followers), draw_share()};
+    policy::follower_choice m_follower_choice{static_cast<double>(m_settings.store_followers),
+                                              draw_fraction()};
 };
 
 } // namespace
--- a/src/gateway/graceful_stop.cpp
+++ b/src/gateway/graceful_stop.cpp
@@ -15,7 +15,7 @@
 /// callers are sent to this process and are served, and idle connections stay open for them.
 constexpr milliseconds balancer_delay{2600};
 /// Reserved before the time at which the process is killed, for the last bytes to be sent.
-constexpr milliseconds last_moment{300};
+constexpr milliseconds exit_margin{300};
 
 } // namespace
 
@@ -26,18 +26,18 @@
 void graceful_stop::begin() {
     m_begin = clock::now();
     m_context.stopping =
-        stop_times{m_begin + balancer_delay, m_begin + m_context.settings.stop_limit - last_moment};
+        stop_times{m_begin + balancer_delay, m_begin + m_context.settings.stop_limit - exit_margin};
     events::write(events::event_kind::stop_requested,
                   {{"requests", std::uint64_t(m_context.requests_in_progress)},
                    {"connections", std::uint64_t(m_context.sessions.size())}});
     m_context.slots.leave();
-    m_timer = m_context.timers.every(m_context.executor, check_period, [this] { go_on(); });
+    m_timer = m_context.timers.every(m_context.executor, check_period, [this] { check_progress(); });
 }
 
-void graceful_stop::go_on() {
+void graceful_stop::check_progress() {
     const auto now = clock::now();
     const bool is_over = now >= m_context.stopping->ends_at;
-    if (now < m_context.stopping->takes_all_until && !is_over) {
+    if (now < m_context.stopping->accepts_all_until && !is_over) {
         return;
     }
     close_idle_sessions();
--- a/src/gateway/graceful_stop.hpp
+++ b/src/gateway/graceful_stop.hpp
@@ -26,7 +26,7 @@
 private:
     using clock = std::chrono::steady_clock;
 
-    void go_on();
+    void check_progress();
     void finish();
     void close_idle_sessions();
 
--- a/src/gateway/peer_exchange.cpp
+++ b/src/gateway/peer_exchange.cpp
@@ -159,7 +159,7 @@
           m_executor, {},
           [this](const http::request& received, http::response_writer& writer) -> asio::awaitable<void> {
               auto response = answer(received); // must outlive the write
-              const auto sending = m_sending.try_take(response.body.size());
+              const auto sending = m_sending.try_acquire(response.body.size());
               if (!sending.has_value()) {
                   response = http::make_response(status_unavailable, "text/plain", "");
               }
--- a/src/gateway/removal_log.cpp
+++ b/src/gateway/removal_log.cpp
@@ -11,13 +11,13 @@
 
 /// Number of remembered removals; they take a few kilobytes in each process. A gateway that has missed more
 /// requests the whole state.
-constexpr std::size_t most_known = 500;
+constexpr std::size_t max_removals = 500;
 
 } // namespace
 
 void removal_log::add(std::string_view id, store::position at) {
     m_removed.emplace(at, id);
-    if (m_removed.size() > most_known) {
+    if (m_removed.size() > max_removals) {
         m_begin = m_removed.begin()->first;
         m_removed.erase(m_removed.begin());
     }
--- a/src/gateway/removal_log.hpp
+++ b/src/gateway/removal_log.hpp
@@ -19,7 +19,7 @@
     void add(std::string_view id, store::position at);
 
     /// Returns whether all removals after a position are still remembered.
-    [[nodiscard]] bool reaches_back_to(store::position from) const noexcept { return from >= m_begin; }
+    [[nodiscard]] bool has_all_since(store::position from) const noexcept { return from >= m_begin; }
     /// Returns the ids removed after a position; an id that was removed several times is listed as often.
     [[nodiscard]] std::vector<std::string> after(store::position from) const;
     /// Returns the position of the id's last removal; nothing if it was never removed or the removal is no
--- a/src/gateway/request_exchange.cpp
+++ b/src/gateway/request_exchange.cpp
@@ -105,7 +105,7 @@
 /// seconds: when all gateways are restarted in turn, each may still be finishing long streams when the last
 /// one is told to stop.
 bool request_exchange::has_time_to_finish() const {
-    if (!m_context.is_stopping() || clock::now() <= m_context.stopping->takes_all_until) {
+    if (!m_context.is_stopping() || clock::now() <= m_context.stopping->accepts_all_until) {
         return true;
     }
     return m_admitted.deadline <= m_context.stopping->ends_at;
--- a/src/gateway/send_budget.hpp
+++ b/src/gateway/send_budget.hpp
@@ -12,9 +12,8 @@
 /// the meantime.
 class send_budget {
 public:
-    /// `most_bytes` is the limit. Answers of up to `uncounted` bytes are always allowed and don't count.
-    send_budget(std::size_t most_bytes, std::size_t uncounted) noexcept
-        : m_most(most_bytes), m_uncounted(uncounted) {}
+    /// `limit` is the limit. Answers of up to `uncounted` bytes are always allowed and don't count.
+    send_budget(std::size_t limit, std::size_t uncounted) noexcept : m_limit(limit), m_uncounted(uncounted) {}
 
     /// Bytes that count as being sent until this object is destroyed. It must not outlive the budget.
     class share {
@@ -39,9 +38,9 @@
 
     /// Reserves bytes for an answer. Returns nothing if the limit would be exceeded; an answer is always
     /// allowed if no other one is being sent.
-    [[nodiscard]] std::optional<share> try_take(std::size_t bytes) noexcept {
+    [[nodiscard]] std::optional<share> try_acquire(std::size_t bytes) noexcept {
         const auto counted = bytes > m_uncounted ? bytes : 0;
-        if (counted > 0 && m_used > 0 && m_used + counted > m_most) {
+        if (counted > 0 && m_used > 0 && m_used + counted > m_limit) {
             return std::nullopt;
         }
         m_used += counted;
@@ -49,7 +48,7 @@
     }
 
 private:
-    std::size_t m_most;
+    std::size_t m_limit;
     std::size_t m_uncounted;
     std::size_t m_used = 0;
 };
--- a/tests/failure/test_gateway_coordination.cpp
+++ b/tests/failure/test_gateway_coordination.cpp
@@ -36,7 +36,7 @@
     return call;
 }
 
-bool has_said(child_process& process, const std::string& text) {
+bool has_logged(child_process& process, const std::string& text) {
     return process.output_text().find(text) != std::string::npos;
 }
 
@@ -98,8 +98,8 @@
     const auto before = count_served(site, others, 40, "before-");
     site.process(coordinator).kill();
     wait_until("another coordinates", [&] {
-        return has_said(site.process(others[0]), R"("to":"own_coordination")") ||
-               has_said(site.process(others[1]), R"("to":"own_coordination")");
+        return has_logged(site.process(others[0]), R"("to":"own_coordination")") ||
+               has_logged(site.process(others[1]), R"("to":"own_coordination")");
     });
     const auto after = count_served(site, others, 40, "after-");
     CHECK(before >= 8);
--- a/tests/failure/test_gateway_restarts.cpp
+++ b/tests/failure/test_gateway_restarts.cpp
@@ -43,7 +43,7 @@
     return answer;
 }
 
-bool has_said(gateway_site& site, const std::string& text) {
+bool has_logged(gateway_site& site, const std::string& text) {
     return site.process(0).output_text().find(text) != std::string::npos;
 }
 
@@ -55,7 +55,7 @@
     gateway_site site(one_server(routing::route_kind::idempotent));
     CHECK(answer_over_restart(site, "lost").status == 200);
     CHECK(site.runs_of("lost", 0) == 1); // at the new start
-    CHECK(has_said(site, R"("event":"backend_restarted")"));
+    CHECK(has_logged(site, R"("event":"backend_restarted")"));
 }
 
 TEST_CASE("gateway: a call that may run once isn't sent to the new start", "[gateway][restart]") {
@@ -80,7 +80,7 @@
         static_cast<void>(site.store().rows().transact(change));
     });
     wait_until("both entries are told of", [&] {
-        return has_said(site, R"("backend":"bytes")") && has_said(site, R"("backend":"state")");
+        return has_logged(site, R"("backend":"bytes")") && has_logged(site, R"("backend":"state")");
     });
     for (int index = 0; index < 20; ++index) {
         CHECK(site.send(0, make_call("/plain/x", "after-" + std::to_string(index))).status == 200);
--- a/tests/failure/test_gateway_rollout.cpp
+++ b/tests/failure/test_gateway_rollout.cpp
@@ -34,7 +34,7 @@
     return options;
 }
 
-bool log_tells(gateway_site& site, const std::string& text) {
+bool has_logged(gateway_site& site, const std::string& text) {
     return site.process(0).output_text().find(text) != std::string::npos;
 }
 
@@ -72,7 +72,7 @@
           "[gateway][rollout]") {
     gateway_site site(site_of_versions(1));
     site.order_rollout({"plain", "v2", 25s});
-    wait_until("the order is known", [&] { return log_tells(site, R"("event":"rollout_ordered")"); });
+    wait_until("the order is known", [&] { return has_logged(site, R"("event":"rollout_ordered")"); });
     static_cast<void>(send_until_over(site, "completed"));
     const auto former = runs_at(site, 0) + runs_at(site, 1);
     for (int index = 0; index < 10; ++index) {
@@ -90,7 +90,7 @@
         }
     });
     site.order_rollout({"plain", "v2", 60s});
-    wait_until("the order is known", [&] { return log_tells(site, R"("event":"rollout_ordered")"); });
+    wait_until("the order is known", [&] { return has_logged(site, R"("event":"rollout_ordered")"); });
     const auto before = runs_at(site, 2) + runs_at(site, 3);
     const auto sent = send_until_over(site, "rolled_back");
     const auto exposed = runs_at(site, 2) + runs_at(site, 3);
@@ -111,7 +111,7 @@
         static_cast<void>(site.store().rows().transact(change));
     });
     site.order_rollout({"plain", "v2", 60s});
-    wait_until("the former verdict is known", [&] { return log_tells(site, R"("phase":"rolled_back")"); });
+    wait_until("the former verdict is known", [&] { return has_logged(site, R"("phase":"rolled_back")"); });
     const auto exposed = runs_at(site, 2) + runs_at(site, 3);
     for (int index = 0; index < 20; ++index) {
         CHECK(site.send(0, make_call("/plain/x", "after-" + std::to_string(index))).status == 200);
--- a/tests/failure/test_gateway_store_return.cpp
+++ b/tests/failure/test_gateway_store_return.cpp
@@ -25,7 +25,7 @@
 }
 
 /// Restores the store to an earlier moment. Only the test writes the lost rows again.
-void return_to(gateway_site& site, clock::time_point moment) {
+void restore_store(gateway_site& site, clock::time_point moment) {
     site.on_emulator([&] { static_cast<void>(site.store().rows().restore(moment)); });
 }
 
@@ -51,7 +51,7 @@
         site.register_backend(0, "ready");
     }
     write_until_seen(site, 0, 2);
-    return_to(site, copied_at);
+    restore_store(site, copied_at);
     write_until_seen(site, 0, 3);
     site.register_backend(0, "draining");
     wait_for_log(site, 0, R"("event":"backend_draining")");
@@ -68,7 +68,7 @@
     const auto copied_at = clock::now();
     site.register_backend(0, "draining");
     wait_for_log(site, 0, R"("event":"backend_draining")");
-    return_to(site, copied_at);
+    restore_store(site, copied_at);
     write_until_seen(site, 0, 2);
     wait_for_era(site, 0, 2);
     for (int index = 0; index < 10; ++index) {
@@ -90,7 +90,7 @@
     for (std::size_t gateway = 0; gateway < 2; ++gateway) {
         wait_for_status(site, gateway, keyed_call("a", "new-key"), 200);
     }
-    return_to(site, copied_at);
+    restore_store(site, copied_at);
     write_until_seen(site, 0, 1);
     site.process(1).kill();
     site.start_gateway(1); // it reads the older document first
@@ -115,7 +115,7 @@
     }
     write_until_seen(site, 2, 2);
     site.process(2).freeze();
-    return_to(site, copied_at);
+    restore_store(site, copied_at);
     write_until_seen(site, 0, 3);
     site.register_backend(1, "draining");
     wait_for_log(site, 0, R"("event":"backend_draining")");
@@ -154,7 +154,7 @@
     const auto copied_at = clock::now();
     write_until_seen(site, 0, 2);
     const auto before = site.on_emulator([&] { return site.store().calls(); });
-    return_to(site, copied_at);
+    restore_store(site, copied_at);
     write_until_seen(site, 0, 3);
     for (std::size_t gateway = 0; gateway < gateways; ++gateway) {
         wait_for_era(site, gateway, 2);
--- a/tests/unit/test_gateway_roster.cpp
+++ b/tests/unit/test_gateway_roster.cpp
@@ -149,21 +149,21 @@
     // back. If it answered all of them at once, it would hold so many copies that it would be killed for its
     // memory use.
     send_budget budget(100, 10);
-    auto first = budget.try_take(60);
+    auto first = budget.try_acquire(60);
     REQUIRE(first.has_value());
-    CHECK_FALSE(budget.try_take(60).has_value());
+    CHECK_FALSE(budget.try_acquire(60).has_value());
     {
-        const auto small = budget.try_take(40);
+        const auto small = budget.try_acquire(40);
         CHECK(small.has_value());
-        CHECK_FALSE(budget.try_take(11).has_value());
-        CHECK(budget.try_take(10).has_value()); // too small to count
+        CHECK_FALSE(budget.try_acquire(11).has_value());
+        CHECK(budget.try_acquire(10).has_value()); // too small to count
     }
     const auto moved = std::move(*first);
     first.reset();
-    CHECK_FALSE(budget.try_take(60).has_value()); // still being sent
+    CHECK_FALSE(budget.try_acquire(60).has_value()); // still being sent
     {
         send_budget fresh(100, 10);
-        CHECK(fresh.try_take(500).has_value()); // a single answer is always allowed
+        CHECK(fresh.try_acquire(500).has_value()); // a single answer is always allowed
     }
 }
 
--- a/tests/unit/test_gateway_store_return.cpp
+++ b/tests/unit/test_gateway_store_return.cpp
@@ -167,26 +167,26 @@
           "[gateway][store_return]") {
     const std::vector<known_servers::entry> copy{{"a", "engines", 10}, {"b", "engines", 20}};
     known_servers saw;
-    known_servers slept;
+    known_servers missed_it;
     known_servers started;
-    for (auto* each : {&saw, &slept}) {
+    for (auto* each : {&saw, &missed_it}) {
         make_first_era(*each);
         each->write("a", "leaving engines", 100);
         each->write("c", "engines", 101);
     }
     saw.read_all({2, 50}, copy);
     started.read_all({2, 50}, copy);
-    slept.roster().apply_update(saw.roster().changes_after(slept.roster().position()));
-    CHECK(slept.roster().position().era == 2);
-    CHECK(slept.usable("a") == 0);
-    CHECK(slept.usable("c") != 0);
+    missed_it.roster().apply_update(saw.roster().changes_after(missed_it.roster().position()));
+    CHECK(missed_it.roster().position().era == 2);
+    CHECK(missed_it.usable("a") == 0);
+    CHECK(missed_it.usable("c") != 0);
     // The servers write their rows again.
     for (auto* each : {&saw, &started}) {
         each->write("a", "leaving engines", 60);
         each->write("c", "engines", 61);
     }
-    slept.roster().apply_update(saw.roster().changes_after(slept.roster().position()));
-    for (auto* each : {&saw, &slept, &started}) {
+    missed_it.roster().apply_update(saw.roster().changes_after(missed_it.roster().position()));
+    for (auto* each : {&saw, &missed_it, &started}) {
         CHECK(each->usable("a") == 0);
         CHECK(each->usable("b") != 0);
         CHECK(each->usable("c") != 0);
