--- a/src/gateway/backend_roster.cpp
+++ b/src/gateway/backend_roster.cpp
@@ -63,8 +63,8 @@
         return !present.contains(entry.first);
     };
     if (std::ranges::any_of(m_all, is_missing)) {
-        m_position = std::max(m_position,
-                              page.position); // must precede the removals, which are recorded at m_position
+        // This must precede the removals, which are recorded at m_position.
+        m_position = std::max(m_position, page.position);
     }
     handle_absent(present);
     report_era();
@@ -320,7 +320,7 @@
                                                           {"start", record.start},
                                                           {"era", at.era},
                                                           {"version", at.version}});
-        m_rollouts.offer_slots(record);
+        m_rollouts.update_slots(record);
     } else {
         m_rollouts.withdraw_slots(record);
         events::write(events::event_kind::backend_draining,
--- a/src/gateway/gateway_process.cpp
+++ b/src/gateway/gateway_process.cpp
@@ -238,8 +238,8 @@
     /// Returns the confirmation to report, in ms of the store's clock; 0: none. Only one era is reported, the
     /// era of the registrations, so a confirmation of another era is left out.
     [[nodiscard]] std::uint64_t recent_confirmation(const store_follower& follower) const {
-        const auto told = follower.recent_confirmation();
-        return told.era == m_roster.position().era ? told.milliseconds : 0;
+        const auto confirmation = follower.recent_confirmation();
+        return confirmation.era == m_roster.position().era ? confirmation.milliseconds : 0;
     }
 
     store_follower::handlers make_configuration_handlers() {
@@ -261,7 +261,7 @@
     [[nodiscard]] policy::follower_duty configuration_role() const {
         const auto role = current_role();
         const bool is_behind =
-            role == policy::follower_duty::rely && m_exchange.has_reported_newer_configuration();
+            role == policy::follower_duty::rely && m_exchange.has_peer_with_newer_configuration();
         return is_behind ? policy::follower_duty::stand_by : role;
     }
 
--- a/src/gateway/peer_exchange.cpp
+++ b/src/gateway/peer_exchange.cpp
@@ -211,7 +211,7 @@
     return m_is_store_available() ? delay_with_store : delay_without_store;
 }
 
-bool peer_exchange::has_reported_newer_configuration() const {
+bool peer_exchange::has_peer_with_newer_configuration() const {
     return std::ranges::any_of(m_reports, [held = m_configuration.version()](const auto& entry) {
         return entry.second.configuration > held;
     });
--- a/src/gateway/peer_exchange.hpp
+++ b/src/gateway/peer_exchange.hpp
@@ -39,7 +39,7 @@
                          store::position backends);
 
     /// Returns whether a peer has recently reported a newer configuration than the one held here.
-    [[nodiscard]] bool has_reported_newer_configuration() const;
+    [[nodiscard]] bool has_peer_with_newer_configuration() const;
 
     /// Makes the next peer that is ahead be asked for registrations at once. Called when a slot was granted
     /// at a server that is unknown here.
--- a/src/gateway/request_journal.cpp
+++ b/src/gateway/request_journal.cpp
@@ -83,7 +83,7 @@
 }
 
 void request_journal::answered(const admitted_request& request, std::string_view backend, unsigned status,
-                               unsigned tries, const answer_times& times) {
+                               unsigned attempts, const answer_times& times) {
     m_context.metrics.count_attempt(request, policy::slot_outcome::served);
     m_context.metrics.count_answered(request, status, clock::now() - request.arrived);
     events::write(event_kind::request_answered, {{"request", request.id},
@@ -91,7 +91,7 @@
                                                  {"backend", backend},
                                                  {"route", route_of(&request)},
                                                  {"workspace", workspace_of(&request)},
-                                                 {"tries", std::uint64_t(tries)},
+                                                 {"tries", std::uint64_t(attempts)},
                                                  {"waited_ms", to_ms(times.waited)},
                                                  {"first_ms", to_ms(times.first_event)},
                                                  {"to_first_ms", to_ms(times.to_first)},
@@ -119,18 +119,18 @@
                    {"configuration", version_for(request)},
                    {"decided_by", to_string(m_context.slots.source())},
                    {"held_ms", to_ms(clock::now() - what.arrived)},
-                   {"tries", std::uint64_t(what.tries)},
+                   {"tries", std::uint64_t(what.attempts)},
                    {"retry_after_ms", std::int64_t(what.retry_after.value_or(milliseconds(0)).count())}});
 }
 
-void request_journal::aborted(const admitted_request& request, std::string_view reason, unsigned tries,
+void request_journal::aborted(const admitted_request& request, std::string_view reason, unsigned attempts,
                               std::uint64_t count) {
     m_context.metrics.count_aborted(request);
     events::write(event_kind::request_cut, {{"request", request.id},
                                             {"reason", reason},
                                             {"route", route_of(&request)},
                                             {"workspace", workspace_of(&request)},
-                                            {"tries", std::uint64_t(tries)},
+                                            {"tries", std::uint64_t(attempts)},
                                             {"events", count},
                                             {"total_ms", age_ms(request)}});
 }
--- a/src/gateway/request_journal.hpp
+++ b/src/gateway/request_journal.hpp
@@ -41,8 +41,8 @@
         clock::duration longest_pause{}; ///< The longest time between two events.
         std::uint64_t events = 0;
     };
-    void answered(const admitted_request& request, std::string_view backend, unsigned status, unsigned tries,
-                  const answer_times& times);
+    void answered(const admitted_request& request, std::string_view backend, unsigned status,
+                  unsigned attempts, const answer_times& times);
 
     /// What was known when a request was refused.
     struct refusal {
@@ -52,14 +52,14 @@
         std::string_view host;
         std::string_view target;
         policy::slot_ticket ticket = 0; ///< 0: no slot was requested.
-        unsigned tries = 0;
+        unsigned attempts = 0;
         clock::time_point arrived;
         std::optional<std::chrono::milliseconds> retry_after;
     };
     /// The gateway answered with an error of its own. `request` is null if it wasn't admitted.
     void refused(const admitted_request* request, const refusal& what);
     /// A stream was aborted after `events` events.
-    void aborted(const admitted_request& request, std::string_view reason, unsigned tries,
+    void aborted(const admitted_request& request, std::string_view reason, unsigned attempts,
                  std::uint64_t events);
     /// The caller disconnected before the end of its answer. `stage` is "running" or "waiting".
     void abandoned(const admitted_request& request, std::string_view stage, std::string_view backend,
--- a/src/gateway/rollout_keeper.cpp
+++ b/src/gateway/rollout_keeper.cpp
@@ -78,7 +78,7 @@
                         is_good ? routing::rollout_state::completed : routing::rollout_state::rolled_back});
 }
 
-void rollout_keeper::offer_slots(const routing::backend_record& record) {
+void rollout_keeper::update_slots(const routing::backend_record& record) {
     if (!should_withhold(record)) {
         m_withheld.erase(record.id);
         m_slots.set_server(record.key(), hash_bytes(record.service), record.slots,
@@ -147,7 +147,7 @@
     if (current->course.phase() == rollout_phase::probing && is_over_share) {
         const auto server_id = std::exchange(current->canary, {});
         if (const auto canary = m_backends.find_id(server_id)) {
-            offer_slots(canary->record());
+            update_slots(canary->record());
         }
     }
 }
@@ -241,7 +241,7 @@
         const auto& record = server->record();
         const bool concerns = record.service == service && takes_work(record);
         if (concerns && should_withhold(record) != m_withheld.contains(id)) {
-            offer_slots(record);
+            update_slots(record);
         }
     }
 }
--- a/src/gateway/rollout_keeper.hpp
+++ b/src/gateway/rollout_keeper.hpp
@@ -46,7 +46,7 @@
 
     /// Handles a server that accepts work, when it is added or its record changes: makes its slots available,
     /// or withholds them if a roll-out requires it.
-    void offer_slots(const routing::backend_record& record);
+    void update_slots(const routing::backend_record& record);
     /// Removes the slots of a server that no longer accepts work.
     void withdraw_slots(const routing::backend_record& record);
     /// Returns whether the server accepts work but its slots are withheld, because its version is being
--- a/src/gateway/send_budget.hpp
+++ b/src/gateway/send_budget.hpp
@@ -12,7 +12,8 @@
 /// the meantime.
 class send_budget {
 public:
-    /// `limit` is the limit. Answers of up to `uncounted` bytes are always allowed and don't count.
+    /// `limit` is the number of bytes that may be sent at a time. Answers of up to `uncounted` bytes are
+    /// always allowed and don't count.
     send_budget(std::size_t limit, std::size_t uncounted) noexcept : m_limit(limit), m_uncounted(uncounted) {}
 
     /// Bytes that count as being sent until this object is destroyed. It must not outlive the budget.
