--- a/src/gateway/event_relay.cpp
+++ b/src/gateway/event_relay.cpp
@@ -24,9 +24,9 @@
 
 std::string_view event_relay::add(std::string_view bytes) {
     const auto before = m_splitter.count();
-    const auto whole = m_splitter.add(bytes);
-    if (whole.empty()) {
-        return whole;
+    const auto complete_events = m_splitter.add(bytes);
+    if (complete_events.empty()) {
+        return complete_events;
     }
     if (m_continues) {
         check_continuation();
@@ -34,7 +34,7 @@
     }
     m_count += m_splitter.count() - before;
     m_last_id = m_splitter.last_id().has_value() ? m_splitter.last_id() : m_last_id;
-    return whole;
+    return complete_events;
 }
 
 void event_relay::check_continuation() const {
--- a/src/gateway/removal_log.cpp
+++ b/src/gateway/removal_log.cpp
@@ -10,7 +10,7 @@
 namespace {
 
 /// Number of remembered removals; they take a few kilobytes in each process. A gateway that has missed more
-/// requests the whole state.
+/// requests the complete state.
 constexpr std::size_t max_removals = 500;
 
 } // namespace
