--- a/src/gateway/request_exchange.cpp
+++ b/src/gateway/request_exchange.cpp
@@ -111,7 +111,7 @@
     return m_admitted.deadline <= m_context.stopping->ends_at;
 }
 
-// The slot.
+// Obtaining and releasing the slot.
 
 policy::slot_request request_exchange::make_slot_request() const {
     policy::slot_request wanted;
@@ -235,7 +235,7 @@
     return events * (engine.has_value() ? engine->tokens_per_event : 1);
 }
 
-// The call to a backend server.
+// Calling a backend server.
 
 void request_exchange::send_to(std::shared_ptr<backend> server) {
     backend_request request;
@@ -419,7 +419,7 @@
     return can_go_on && m_attempts.may_try_again() && m_admitted.time_left() > answer_margin;
 }
 
-// The answer.
+// Answering the caller.
 
 void request_exchange::handle_timeout() {
     const bool is_running = m_call != nullptr;
@@ -440,7 +440,7 @@
     release_slot(policy::slot_outcome::abandoned);
     if (m_has_begun_stream) {
         m_journal.aborted(m_admitted, reason, m_attempts.tries(), m_events.count());
-        m_is_over = true; // logged above as cut; cancel() must not log it as abandoned
+        m_is_over = true; // keeps cancel(), which abort_answer() calls, from logging the request once more
         m_session->abort_answer();
         end();
         return;
--- a/src/gateway/request_exchange.hpp
+++ b/src/gateway/request_exchange.hpp
@@ -53,7 +53,7 @@
     void begin();
     [[nodiscard]] bool has_time_to_finish() const;
 
-    // The slot.
+    // Obtaining and releasing the slot.
     void request_slot();
     [[nodiscard]] policy::slot_request make_slot_request() const;
     void handle_grant(const policy::slot_grant& grant);
@@ -64,7 +64,7 @@
     void release_slot(policy::slot_outcome outcome);
     [[nodiscard]] double count_output() const;
 
-    // The call to a backend server.
+    // Calling a backend server.
     void send_to(std::shared_ptr<backend> server);
     void handle_head();
     void handle_body(std::string_view bytes);
@@ -75,7 +75,7 @@
     void fail_attempt(policy::try_outcome outcome, policy::slot_outcome slot, std::string_view reason);
     [[nodiscard]] bool may_try_again() const;
 
-    // The answer.
+    // Answering the caller.
     void record_event_time();
     [[nodiscard]] request_journal::answer_times answer_times() const;
     void begin_stream();
--- a/src/gateway/request_journal.hpp
+++ b/src/gateway/request_journal.hpp
@@ -44,7 +44,7 @@
     void answered(const admitted_request& request, std::string_view backend, unsigned status,
                   unsigned attempts, const answer_times& times);
 
-    /// What was known when a request was refused.
+    /// Details of a refused request, for the log.
     struct refusal {
         error_kind kind = error_kind::internal;
         std::string_view request_id;
--- a/tests/failure/test_gateway_configuration.cpp
+++ b/tests/failure/test_gateway_configuration.cpp
@@ -17,16 +17,16 @@
 }
 
 /// Returns a site whose calls to the store don't time out during a test.
-site_options forgetful_site(std::size_t servers, std::size_t gateways) {
+site_options site_without_store_timeout(std::size_t servers, std::size_t gateways) {
     auto options = plain_site(servers, gateways);
     options.store_timeout = std::chrono::minutes(1);
     return options;
 }
 
 /// Makes the store unresponsive until it has lost each gateway's two open polls, and then available again.
-void lose_open_questions(gateway_site& site, std::size_t gateways) {
+void lose_open_polls(gateway_site& site, std::size_t gateways) {
     set_store(site, store_state::silent);
-    wait_until("all questions are lost",
+    wait_until("all polls are lost",
                [&] { return site.on_emulator([&] { return site.store().unanswered(); }) >= 2 * gateways; });
     set_store(site, store_state::well);
 }
@@ -151,18 +151,18 @@
         return site.process(0).output_text().find("\"backend\":\"" + id + "\"") != std::string::npos;
     };
     set_store(site, store_state::busy);
-    wait_until("the outage is seen",
+    wait_until("the outage is logged",
                [&] { return site.process(0).output_text().find(R"("store_lost")") != std::string::npos; });
     site.start_backend(3, plain_backend("server-3"));
-    const auto former = site.on_emulator([&] {
+    const auto before = site.on_emulator([&] {
         site.store().rows().forget_history();
         site.store().set_state(store_state::well);
         return site.store().calls();
     });
     wait_until("the server that registered meanwhile is known", [&] { return knows("server-3"); });
     site.start_backend(4, plain_backend("server-4"));
-    wait_until("the next one is known", [&] { return knows("server-4"); });
-    CHECK(site.on_emulator([&] { return site.store().calls(); }) - former < 40);
+    wait_until("the next server is known", [&] { return knows("server-4"); });
+    CHECK(site.on_emulator([&] { return site.store().calls(); }) - before < 40);
 }
 
 TEST_CASE("gateway: requests go on while the store is away, and its return is noticed",
@@ -189,11 +189,11 @@
     // The store is unresponsive for a moment and loses all open polls. No gateway may go on waiting for their
     // answers.
     constexpr std::size_t gateways = 3;
-    auto options = forgetful_site(1, gateways);
+    auto options = site_without_store_timeout(1, gateways);
     const auto base = options.configuration;
     options.configuration = with_key(base, 5, "old-key");
     gateway_site site(options);
-    lose_open_questions(site, gateways);
+    lose_open_polls(site, gateways);
     site.configure(with_key(base, 6, "new-key"));
     for (std::size_t gateway = 0; gateway < gateways; ++gateway) {
         wait_for_status(site, gateway, keyed_call("a", "new-key"), 200);
@@ -205,11 +205,11 @@
           "[gateway][membership]") {
     // The same for backend servers: requests would be sent to a server that has shut down.
     constexpr std::size_t gateways = 3;
-    gateway_site site(forgetful_site(2, gateways));
-    lose_open_questions(site, gateways);
+    gateway_site site(site_without_store_timeout(2, gateways));
+    lose_open_polls(site, gateways);
     site.register_backend(0, "draining");
     for (std::size_t gateway = 0; gateway < gateways; ++gateway) {
-        wait_until("the server is known to leave", [&] {
+        wait_until("the server is known to drain", [&] {
             const auto text = site.process(gateway).output_text();
             return text.find(R"("event":"backend_draining")") != std::string::npos;
         });
@@ -219,10 +219,10 @@
 TEST_CASE("gateway: its metrics distinguish an unresponsive store from one without changes",
           "[gateway][metrics]") {
     // During an incident both looked the same: no log line, and the previous version in force.
-    gateway_site site(forgetful_site(1, 1));
+    gateway_site site(site_without_store_timeout(1, 1));
     set_store(site, store_state::silent);
     for (const std::string table : {"op", "servers"}) {
-        wait_until("the last answer is old and a question is open", [&] {
+        wait_until("the last answer is old and a poll is open", [&] {
             return store_gauge(site, 0, "answer_age_seconds", table) > 1 &&
                    store_gauge(site, 0, "question_age_seconds", table) > 1;
         });
@@ -234,16 +234,16 @@
     // Each poll is a call that is paid for, and hundreds of gateways that poll for confirmations would
     // overload the store.
     constexpr std::size_t gateways = 3;
-    constexpr double unasked_seconds = 5;
+    constexpr double min_unpolled_seconds = 5;
     gateway_site site(plain_site(1, gateways));
     for (const std::string table : {"op", "servers"}) {
-        wait_until("all but one haven't asked for some limits", [&] {
-            std::size_t unasked = 0;
+        wait_until("all gateways but one have stopped polling", [&] {
+            std::size_t unpolled = 0;
             for (std::size_t gateway = 0; gateway < gateways; ++gateway) {
                 const auto age = store_gauge(site, gateway, "answer_age_seconds", table);
-                unasked += age > unasked_seconds ? 1 : 0;
+                unpolled += age > min_unpolled_seconds ? 1 : 0;
             }
-            return unasked == gateways - 1;
+            return unpolled == gateways - 1;
         });
     }
 }
@@ -323,6 +323,6 @@
         return site.process(0).output_text().find(R"("event":"backend_missed")") != std::string::npos;
     });
     CHECK(site.send(0, make_call("/plain/x", "missed")).status == 200);
-    wait_until("a server that stays away is gone",
+    wait_until("a server that stays away is removed",
                [&] { return site.send(0, make_call("/plain/x", "gone")).status == 503; });
 }
--- a/tests/failure/test_gateway_coordination.cpp
+++ b/tests/failure/test_gateway_coordination.cpp
@@ -44,7 +44,7 @@
 /// coordinator's index.
 std::size_t wait_for_coordinator(gateway_site& site, std::size_t gateways) {
     std::size_t coordinator = 0;
-    wait_until("all gateways ask one coordinator", [&] {
+    wait_until("all gateways use one coordinator", [&] {
         std::size_t asking = 0;
         for (std::size_t index = 0; index < gateways; ++index) {
             const auto text = site.process(index).output_text();
@@ -97,7 +97,7 @@
     }
     const auto before = count_served(site, others, 40, "before-");
     site.process(coordinator).kill();
-    wait_until("another coordinates", [&] {
+    wait_until("another gateway coordinates", [&] {
         return has_logged(site.process(others[0]), R"("to":"own_coordination")") ||
                has_logged(site.process(others[1]), R"("to":"own_coordination")");
     });
--- a/tests/failure/test_gateway_restarts.cpp
+++ b/tests/failure/test_gateway_restarts.cpp
@@ -28,7 +28,7 @@
 }
 
 void wait_for_run(gateway_site& site, const std::string& request) {
-    wait_until("the former start runs the request", [&] { return site.runs_of(request) == 1; });
+    wait_until("the previous start runs the request", [&] { return site.runs_of(request) == 1; });
 }
 
 /// Returns the answer to a request at a server that stops responding when it receives the request and then
@@ -79,7 +79,7 @@
                                                     "slots":500,"state":"paused","cold_remaining_ms":0})"});
         static_cast<void>(site.store().rows().transact(change));
     });
-    wait_until("both entries are told of", [&] {
+    wait_until("both rows are logged", [&] {
         return has_logged(site, R"("backend":"bytes")") && has_logged(site, R"("backend":"state")");
     });
     for (int index = 0; index < 20; ++index) {
--- a/tests/failure/test_gateway_rollout.cpp
+++ b/tests/failure/test_gateway_rollout.cpp
@@ -15,7 +15,7 @@
 namespace {
 
 /// The new version may get at most this share of the requests, plus a fixed number, before it is evaluated.
-constexpr double exposed_share = 0.1;
+constexpr double max_exposed_share = 0.1;
 constexpr std::size_t exposed_slack = 50;
 
 emulator::backend_options backend_of_version(const std::string& id, const std::string& version) {
@@ -25,7 +25,7 @@
     return options;
 }
 
-site_options site_of_versions(std::size_t gateways) {
+site_options site_with_two_versions(std::size_t gateways) {
     site_options options;
     options.gateways = gateways;
     options.configuration = plain_configuration(routing::route_kind::idempotent);
@@ -70,20 +70,20 @@
 
 TEST_CASE("gateway: a good version is completed, and the former one gets nothing more",
           "[gateway][rollout]") {
-    gateway_site site(site_of_versions(1));
+    gateway_site site(site_with_two_versions(1));
     site.order_rollout({"plain", "v2", 25s});
     wait_until("the order is known", [&] { return has_logged(site, R"("event":"rollout_ordered")"); });
     static_cast<void>(send_until_over(site, "completed"));
-    const auto former = runs_at(site, 0) + runs_at(site, 1);
+    const auto previous_runs = runs_at(site, 0) + runs_at(site, 1);
     for (int index = 0; index < 10; ++index) {
         CHECK(site.send(0, make_call("/plain/x", "after-" + std::to_string(index))).status == 200);
     }
-    CHECK(runs_at(site, 0) + runs_at(site, 1) == former);
+    CHECK(runs_at(site, 0) + runs_at(site, 1) == previous_runs);
 }
 
 TEST_CASE("gateway: a bad version is rolled back, and got few requests", "[gateway][rollout]") {
     // Guards against a version that fails half of a service's requests before anybody notices.
-    gateway_site site(site_of_versions(1));
+    gateway_site site(site_with_two_versions(1));
     site.on_emulator([&] {
         for (const std::size_t server : {2U, 3U}) {
             site.backend(server).set_fault(emulator::backend_fault::error);
@@ -94,7 +94,8 @@
     const auto before = runs_at(site, 2) + runs_at(site, 3);
     const auto sent = send_until_over(site, "rolled_back");
     const auto exposed = runs_at(site, 2) + runs_at(site, 3);
-    CHECK(static_cast<double>(exposed - before) <= exposed_share * static_cast<double>(sent) + exposed_slack);
+    CHECK(static_cast<double>(exposed - before) <=
+          max_exposed_share * static_cast<double>(sent) + exposed_slack);
     for (int index = 0; index < 10; ++index) {
         CHECK(site.send(0, make_call("/plain/x", "after-" + std::to_string(index))).status == 200);
     }
@@ -104,14 +105,15 @@
 TEST_CASE("gateway: a successor keeps to what was decided", "[gateway][rollout]") {
     // All gateways were killed after a roll-back. A new one must not give the rejected version requests
     // again.
-    gateway_site site(site_of_versions(1));
+    gateway_site site(site_with_two_versions(1));
     site.on_emulator([&] {
         store::transaction change;
         change.puts.push_back({"status/rollout/plain", R"({"state":"rolled_back","to":"v2"})"});
         static_cast<void>(site.store().rows().transact(change));
     });
     site.order_rollout({"plain", "v2", 60s});
-    wait_until("the former verdict is known", [&] { return has_logged(site, R"("phase":"rolled_back")"); });
+    wait_until("the recorded roll-back is known",
+               [&] { return has_logged(site, R"("phase":"rolled_back")"); });
     const auto exposed = runs_at(site, 2) + runs_at(site, 3);
     for (int index = 0; index < 20; ++index) {
         CHECK(site.send(0, make_call("/plain/x", "after-" + std::to_string(index))).status == 200);
--- a/tests/failure/test_gateway_stop.cpp
+++ b/tests/failure/test_gateway_stop.cpp
@@ -37,7 +37,7 @@
     pending_call running(site.callers(0), make_call("/plain/x", "running"));
     wait_until("the request runs", [&] { return site.runs_of("running") == 1; });
     site.process(0).terminate();
-    wait_until("it isn't ready any more", [&] { return !site.is_ready(0); });
+    wait_until("the gateway isn't ready any more", [&] { return !site.is_ready(0); });
     const auto late = site.send(0, make_call("/plain/x", "late"));
     CHECK(late.status == 200);
     CHECK(late.header("Connection") == "close");
@@ -72,7 +72,7 @@
     pending_call running(site.callers(0), make_call("/plain/x", "running"));
     wait_until("the request runs", [&] { return site.runs_of("running") == 1; });
     site.process(0).terminate();
-    wait_until("it isn't ready any more", [&] { return !site.is_ready(0); });
+    wait_until("the gateway isn't ready any more", [&] { return !site.is_ready(0); });
     site.process(0).terminate();
     const auto answer = running.wait();
     CHECK(answer.status == 200);
@@ -132,12 +132,12 @@
     const auto answers = exchange_raw(site.callers(0), many, hang_guard);
     CHECK(count_lines(answers, "HTTP/1.1 404") == 3000);
     // Each refusal has its own line or is counted in a later one.
-    wait_until("every refusal is told or counted", [&] {
+    wait_until("every refusal is logged or counted", [&] {
         const auto text = site.process(0).output_text();
-        const bool tells_left_out = text.find("\"left_out\":") != std::string::npos;
+        const bool has_left_out = text.find("\"left_out\":") != std::string::npos;
         // Omitted lines are only counted in the next line that is written, so one more request is needed.
         static_cast<void>(site.send(0, make_call("/elsewhere", "one more")));
-        return count_lines(text, "request_refused") == 3000 || tells_left_out;
+        return count_lines(text, "request_refused") == 3000 || has_left_out;
     });
     CHECK(count_lines(site.process(0).output_text(), "request_refused") >= 100);
 }
--- a/tests/failure/test_gateway_store_return.cpp
+++ b/tests/failure/test_gateway_store_return.cpp
@@ -16,7 +16,7 @@
 using clock = std::chrono::steady_clock;
 
 void wait_for_log(gateway_site& site, std::size_t gateway, const std::string& text) {
-    wait_until("the log tells " + text,
+    wait_until("the log contains " + text,
                [&] { return site.process(gateway).output_text().find(text) != std::string::npos; });
 }
 
@@ -35,7 +35,7 @@
 }
 
 /// Registers another server and waits until the gateway has learned of it, and thus has read the store again.
-void write_until_seen(gateway_site& site, std::size_t gateway, std::size_t server) {
+void register_marker(gateway_site& site, std::size_t gateway, std::size_t server) {
     site.start_backend(server, plain_backend("marker-" + std::to_string(server)));
     wait_for_log(site, gateway, "\"backend\":\"marker-" + std::to_string(server) + "\"");
 }
@@ -50,9 +50,9 @@
     for (int index = 0; index < 3; ++index) {
         site.register_backend(0, "ready");
     }
-    write_until_seen(site, 0, 2);
+    register_marker(site, 0, 2);
     restore_store(site, copied_at);
-    write_until_seen(site, 0, 3);
+    register_marker(site, 0, 3);
     site.register_backend(0, "draining");
     wait_for_log(site, 0, R"("event":"backend_draining")");
     for (int index = 0; index < 10; ++index) {
@@ -69,7 +69,7 @@
     site.register_backend(0, "draining");
     wait_for_log(site, 0, R"("event":"backend_draining")");
     restore_store(site, copied_at);
-    write_until_seen(site, 0, 2);
+    register_marker(site, 0, 2);
     wait_for_era(site, 0, 2);
     for (int index = 0; index < 10; ++index) {
         const auto id = "call-" + std::to_string(index);
@@ -91,7 +91,7 @@
         wait_for_status(site, gateway, keyed_call("a", "new-key"), 200);
     }
     restore_store(site, copied_at);
-    write_until_seen(site, 0, 1);
+    register_marker(site, 0, 1);
     site.process(1).kill();
     site.start_gateway(1); // it reads the older document first
     site.wait_until_ready(1);
@@ -113,10 +113,10 @@
     for (int index = 0; index < 3; ++index) {
         site.register_backend(1, "ready");
     }
-    write_until_seen(site, 2, 2);
+    register_marker(site, 2, 2);
     site.process(2).freeze();
     restore_store(site, copied_at);
-    write_until_seen(site, 0, 3);
+    register_marker(site, 0, 3);
     site.register_backend(1, "draining");
     wait_for_log(site, 0, R"("event":"backend_draining")");
     site.process(2).thaw();
@@ -130,12 +130,12 @@
     gateway_site site(plain_site(2, 2));
     for (std::size_t round = 0; round < 2; ++round) {
         const auto copied_at = clock::now();
-        write_until_seen(site, 0, 2 + 2 * round);
+        register_marker(site, 0, 2 + 2 * round);
         site.on_emulator([&] {
             site.store().set_state(store_state::partly);
             static_cast<void>(site.store().rows().restore(copied_at));
         });
-        write_until_seen(site, 0, 3 + 2 * round);
+        register_marker(site, 0, 3 + 2 * round);
         site.on_emulator([&] { site.store().set_state(store_state::well); });
     }
     site.register_backend(0, "draining");
@@ -152,10 +152,10 @@
     constexpr std::size_t gateways = 3;
     gateway_site site(plain_site(2, gateways));
     const auto copied_at = clock::now();
-    write_until_seen(site, 0, 2);
+    register_marker(site, 0, 2);
     const auto before = site.on_emulator([&] { return site.store().calls(); });
     restore_store(site, copied_at);
-    write_until_seen(site, 0, 3);
+    register_marker(site, 0, 3);
     for (std::size_t gateway = 0; gateway < gateways; ++gateway) {
         wait_for_era(site, gateway, 2);
     }
--- a/tests/unit/test_gateway_roster.cpp
+++ b/tests/unit/test_gateway_roster.cpp
@@ -101,14 +101,14 @@
     record.start = 2;
     const auto awaited = record.key();
     const auto request = std::make_shared<int>(0);
-    int told = 0;
-    servers.backends().when_known(awaited, request, [&] { ++told; });
+    int notified = 0;
+    servers.backends().when_known(awaited, request, [&] { ++notified; });
     servers.write("a", "engines@1", 5);
-    CHECK(told == 0); // a previous start
+    CHECK(notified == 0); // a previous start
     servers.write("a", "engines@2", 6);
-    CHECK(told == 1);
+    CHECK(notified == 1);
     servers.write("a", "engines@2", 7);
-    CHECK(told == 1);
+    CHECK(notified == 1);
     CHECK_FALSE(servers.backends().was_known(awaited));
     servers.write("a", "engines@3", 8);
     CHECK(servers.backends().was_known(awaited)); // no registration of this start will follow
@@ -138,10 +138,10 @@
     known_servers servers;
     routing::backend_record record;
     record.id = "a";
-    int told = 0;
-    servers.backends().when_known(record.key(), std::make_shared<int>(0), [&] { ++told; });
+    int notified = 0;
+    servers.backends().when_known(record.key(), std::make_shared<int>(0), [&] { ++notified; });
     servers.write("a", "engines", 5);
-    CHECK(told == 0);
+    CHECK(notified == 0);
 }
 
 TEST_CASE("large answers that are on their way at a time are bounded", "[gateway][send_budget]") {
@@ -200,12 +200,12 @@
     // would inherit the cooldown, the queue and the requests of the dead process, and its grants.
     known_servers here;
     here.write("a", "engines@1", 5);
-    const auto former = here.usable("a");
+    const auto previous = here.usable("a");
     here.write("a", "engines@2", 6);
     const auto present = here.usable("a");
     CHECK(present != 0);
-    CHECK(present != former);
-    CHECK(here.backends().find(former) == nullptr);
+    CHECK(present != previous);
+    CHECK(here.backends().find(previous) == nullptr);
     CHECK(here.backends().find(present) != nullptr);
     // The last registration of the previous start arrives late. It changes nothing, and isn't passed on to
     // other gateways.
--- a/tests/unit/test_gateway_store_return.cpp
+++ b/tests/unit/test_gateway_store_return.cpp
@@ -129,10 +129,10 @@
     known_servers here;
     here.read_all({1, 40}, {{"a", "engines@1", 10}});
     here.write("a", "engines@1", 100);
-    const auto former = here.usable("a");
+    const auto previous = here.usable("a");
     here.read_all({2, 60}, {{"a", "engines@2", 55}});
     CHECK(here.usable("a") != 0);
-    CHECK(here.usable("a") != former);
+    CHECK(here.usable("a") != previous);
 }
 
 TEST_CASE("two restores in a row begin two eras", "[gateway][store_return]") {
