--- a/src/gateway/backend.cpp
+++ b/src/gateway/backend.cpp
@@ -1,4 +1,5 @@
-// The idle connections read on, so that one the server closes is dropped before a request is sent on it.
+// Implementation of backend. Idle connections continue to be read, so that one that the server closes is
+// dropped before a request is sent on it.
 #include "gateway/backend.hpp"
 
 #include "gateway/backend_call.hpp"
@@ -17,10 +18,10 @@
     m_record = std::move(record);
 }
 
-std::shared_ptr<net::connection> backend::take_idle(clock::duration longest_idle) {
+std::shared_ptr<net::connection> backend::take_idle(clock::duration max_idle) {
     const auto now = clock::now();
     close_expired(now);
-    if (m_idle.empty() || now - m_idle.back().since > longest_idle) {
+    if (m_idle.empty() || now - m_idle.back().since > max_idle) {
         return nullptr;
     }
     auto connection = std::move(m_idle.back().connection);
@@ -29,7 +30,7 @@
     return connection;
 }
 
-void backend::give_back(std::shared_ptr<net::connection> connection, clock::duration keep) {
+void backend::keep_idle(std::shared_ptr<net::connection> connection, clock::duration keep) {
     if (m_is_retired) {
         connection->close();
         return;
@@ -39,23 +40,24 @@
     const std::weak_ptr<backend> weak = weak_from_this();
     const auto drop = [weak, raw] {
         if (const auto self = weak.lock()) {
-            self->forget(raw);
+            self->drop_idle(raw);
         }
     };
-    // Bytes without a request before them belong to nobody: the connection can't be trusted any more.
-    const auto take_end = [weak, drop](net::connection_end how) {
+    // Bytes that arrive while no request is open belong to no response. The connection can't be trusted any
+    // more and is closed.
+    const auto handle_end = [weak, drop](net::connection_end how) {
         const auto self = weak.lock();
         if (self != nullptr && how == net::connection_end::failed) {
-            self->note_break();
+            self->record_connection_failure();
         }
         drop();
     };
-    connection->set_handlers({drop, take_end, {}});
+    connection->set_handlers({drop, handle_end, {}});
     connection->read();
     m_idle.push_back({std::move(connection), now, now + keep});
 }
 
-void backend::forget(const net::connection* ended) {
+void backend::drop_idle(const net::connection* ended) {
     const auto found = std::ranges::find_if(
         m_idle, [ended](const idle_connection& entry) { return entry.connection.get() == ended; });
     if (found != m_idle.end()) {
@@ -94,7 +96,7 @@
     close_idle();
     for (const auto& [raw, weak] : std::exchange(m_calls, {})) {
         if (const auto call = weak.lock()) {
-            call->take_restart();
+            call->handle_restart();
         }
     }
 }
--- a/src/gateway/client_session.hpp
+++ b/src/gateway/client_session.hpp
@@ -1,4 +1,4 @@
-// One caller's connection: reads its requests one after the other and writes their answers.
+// A caller's connection: reads its requests one after another and writes the answers.
 #pragma once
 
 #include "base/error_kind.hpp"
@@ -21,7 +21,8 @@
 
 class request_exchange;
 
-/// Invariant: at most one request is being answered; bytes of later ones wait in the connection's input.
+/// Invariant: at most one request is being answered; bytes of later (pipelined) requests wait in the
+/// connection's input.
 class client_session : public std::enable_shared_from_this<client_session> {
 public:
     client_session(gateway_context& context, boost::asio::ip::tcp::socket socket);
@@ -31,32 +32,36 @@
     client_session(client_session&&) = delete;
     client_session& operator=(client_session&&) = delete;
 
+    /// Starts reading requests.
     void start();
 
-    // For the exchange that answers the current request.
+    // Called by the request_exchange that answers the current request.
 
-    /// A whole answer; `fields` are complete header lines.
+    /// Sends a complete answer. `fields` are complete header lines, each with its line end.
     void answer(unsigned status, std::string_view reason, std::string_view fields, std::string_view body);
-    /// Starts an answer whose end only finish_stream() marks.
+    /// Sends the head of a streamed answer, which ends with finish_stream() or abort_answer().
     void begin_stream(unsigned status, std::string_view reason, std::string_view fields);
-    void send_piece(std::string_view bytes);
+    /// Sends bytes of the stream as one chunk.
+    void send_chunk(std::string_view bytes);
+    /// Sends the end of the stream.
     void finish_stream();
-    /// Ends the connection in the middle of an answer: what came can't be taken for the whole.
-    void cut();
+    /// Closes the connection in the middle of an answer, so that the caller can't mistake what it has
+    /// received for the complete answer.
+    void abort_answer();
 
-    /// Bytes that the caller hasn't taken yet.
+    /// Bytes that have been sent to this session and not yet written to the connection.
     [[nodiscard]] std::size_t unsent() const noexcept { return m_connection->unsent(); }
 
-    /// Stops when no request is in progress: idle connections are closed.
+    /// Closes the connection if no request is being read or answered. Called while the process shuts down.
     void close_if_idle();
     [[nodiscard]] bool is_idle() const noexcept;
 
 private:
     using clock = std::chrono::steady_clock;
 
-    void take_input();
-    void take_end(net::connection_end how);
-    void take_drained();
+    void handle_input();
+    void handle_end(net::connection_end how);
+    void handle_drained();
     void read_requests();
     void begin_exchange();
     void refuse(error_kind kind, std::string_view detail,
@@ -64,7 +69,7 @@
     void end_answer();
     void send_head(unsigned status, std::string_view reason, std::string_view fields,
                    std::string_view framing);
-    void watch_time();
+    void start_time_checks();
     void check_time();
     void close();
 
@@ -73,9 +78,9 @@
     http::request_reader m_reader;
     std::shared_ptr<request_exchange> m_exchange;
     timer_subscription m_timer;
-    clock::time_point m_request_begin; ///< when the current request's first byte came
+    clock::time_point m_request_begin; ///< When the first byte of the current request arrived.
     clock::time_point m_idle_since;
-    bool m_reads_request = false; ///< a request's first byte has come, its last hasn't
+    bool m_reads_request = false; ///< Whether the first byte of a request has arrived and its last has not.
     bool m_keeps_connection = true;
     bool m_has_continued = false;
     bool m_is_closed = false;
--- a/src/gateway/gateway_process.cpp
+++ b/src/gateway/gateway_process.cpp
@@ -1,4 +1,4 @@
-// Putting a gateway together, and its graceful stop.
+// Creates and connects the parts of a gateway, and reloads its settings.
 #include "gateway/gateway_process.hpp"
 
 #include "base/hash.hpp"
@@ -40,49 +40,52 @@
 namespace {
 
 constexpr int wrong_settings_exit_code = 2;
-/// Callers come in bursts; a full queue would drop their opening packets for seconds.
+/// Length of the queue of connections that wait to be accepted. Callers connect in bursts, and a full queue
+/// would drop their first packets, which are repeated only after seconds.
 constexpr int listen_backlog = 4096;
 
-/// After which a gateway that coordinates decides about roll-outs.
+/// How long a gateway must have been the coordinator before it decides about roll-outs.
 constexpr milliseconds settling_time{1000};
 
-/// Lines wait this long for the one system call that writes them all.
+/// How long log lines are buffered, so that many are written with one system call.
 constexpr milliseconds log_flush_period{50};
 
-/// A number in [0, 1).
-double draw_share() {
+/// Draws a number in [0, 1).
+double draw_fraction() {
     std::random_device source;
     return std::uniform_real_distribution<double>(0, 1)(source);
 }
 
 class gateway_process {
 public:
-    gateway_process(std::string settings_file, gateway_settings settings, const deployment& speech)
+    gateway_process(std::string settings_file, gateway_settings settings,
+                    const deployment& current_deployment)
         : m_settings_file(std::move(settings_file)),
           m_settings(std::move(settings)),
-          m_speech(speech),
+          m_deployment(current_deployment),
           m_runtime(1),
           m_configuration(nullptr),
           m_table(m_runtime.executor(), m_settings.common.platform, m_settings.common.platform_timeout,
-                  speech.format),
+                  current_deployment.format),
           m_slots(m_runtime.executor(), m_runtime.timers(), make_broker_settings(), make_observers()),
-          m_context{m_runtime.executor(), m_runtime.timers(), m_settings, speech.fields,
+          m_context{m_runtime.executor(), m_runtime.timers(), m_settings, current_deployment.fields,
                     m_configuration,      m_backends,         m_slots,    m_metrics},
-          m_configuration_keeper(speech, m_configuration, m_slots),
+          m_configuration_keeper(current_deployment, m_configuration, m_slots),
           m_rollouts(m_backends, m_slots),
           m_rollout_recorder(
-              m_runtime.executor(), m_runtime.timers(), m_table, speech,
+              m_runtime.executor(), m_runtime.timers(), m_table, current_deployment,
               [this](const routing::rollout_status& status) { m_rollouts.take_status(status); }),
-          m_roster(m_runtime.executor(), m_runtime.timers(), speech, m_backends, m_slots, m_rollouts,
-                   m_settings.registration_life()),
+          m_roster(m_runtime.executor(), m_runtime.timers(), current_deployment, m_backends, m_slots,
+                   m_rollouts, m_settings.registration_life()),
           m_exchange(
               m_runtime.executor(), m_settings.peers_listen, m_configuration_keeper, m_roster,
-              [this] { return is_store_well(); },
-              [this] { return follower_duty() == policy::follower_duty::rely; }),
+              [this] { return is_store_available(); },
+              [this] { return current_role() == policy::follower_duty::rely; }),
           m_configuration_follower(m_runtime.executor(), m_runtime.timers(), m_table,
-                                   speech.configuration_table, make_pace(), make_configuration_handlers()),
-          m_backend_follower(m_runtime.executor(), m_runtime.timers(), m_table, speech.backend_table,
-                             make_pace(), make_backend_handlers()),
+                                   current_deployment.configuration_table, make_poll_schedule(),
+                                   make_configuration_handlers()),
+          m_backend_follower(m_runtime.executor(), m_runtime.timers(), m_table,
+                             current_deployment.backend_table, make_poll_schedule(), make_backend_handlers()),
           m_acceptor(m_runtime.executor()),
           m_stop(m_context, m_acceptor, [this] { m_runtime.finish(); }),
           m_readiness(
@@ -97,9 +100,9 @@
 
     [[noreturn]] void run() {
         m_context.on_unknown_server = [this] {
-            m_exchange.want_backends();
+            m_exchange.fetch_backends_at_once();
         };
-        m_rollouts.observe_with({[this] { return decides_for_all(); },
+        m_rollouts.observe_with({[this] { return is_settled_coordinator(); },
                                  [this](const routing::rollout_status& status) {
                                      m_rollout_recorder.record(status);
                                  }});
@@ -144,8 +147,8 @@
         m_registry.add_gauge("borageford_gateway_store_era",
                              "Rises by one each time the store comes back from an older copy; 0: not told.",
                              {}, [this] { return static_cast<double>(m_roster.position().era); });
-        add_store_gauges(m_speech.configuration_table, m_configuration_follower);
-        add_store_gauges(m_speech.backend_table, m_backend_follower);
+        add_store_gauges(m_deployment.configuration_table, m_configuration_follower);
+        add_store_gauges(m_deployment.backend_table, m_backend_follower);
     }
 
     void add_store_gauges(const std::string& table, const store_follower& follower) {
@@ -157,7 +160,7 @@
         m_registry.add_gauge("borageford_gateway_store_question_age_seconds",
                              "Time since the open question about the table was asked; 0: none is open.",
                              {{"table", table}},
-                             [&follower] { return seconds(follower.question_age()).count(); });
+                             [&follower] { return seconds(follower.poll_age()).count(); });
     }
 
     coordination::broker_settings make_broker_settings() const {
@@ -178,87 +181,95 @@
         using coordination::slot_broker;
         return {[this] { return held_versions(); },
                 [this](const asio::ip::address& peer, const slot_broker::versions& held) {
-                    hear_peer(peer, held);
+                    record_peer(peer, held);
                 },
                 [this](const policy::slot_scheduler::health_change& change) { report_health(change); },
-                [this](policy::server_key server) { m_rollouts.note_grant(server); },
+                [this](policy::server_key server) { m_rollouts.record_grant(server); },
                 [this](const policy::slot_release& ended) {
-                    m_rollouts.note_release(ended);
+                    m_rollouts.record_release(ended);
                 }};
     }
 
-    /// Between two coordinators several gateways may take themselves for the one, each for a moment.
-    [[nodiscard]] bool decides_for_all() const {
+    /// Returns whether this process decides about roll-outs. It waits for settling_time, since several
+    /// gateways may briefly consider themselves the coordinator while it changes.
+    [[nodiscard]] bool is_settled_coordinator() const {
         return m_slots.source() == coordination::slot_source::own_coordination &&
                std::chrono::steady_clock::now() - m_slots.source_since() >= settling_time;
     }
 
-    void hear_peer(const asio::ip::address& peer, const coordination::slot_broker::versions& held) {
-        m_exchange.hear(peer, held.configuration, held.backends);
-        // Who lives in a former era says nothing of the store as it is now.
+    void record_peer(const asio::ip::address& peer, const coordination::slot_broker::versions& held) {
+        m_exchange.record_versions(peer, held.configuration, held.backends);
+        // A peer in a previous era has not seen the restored store, so its report says nothing about the
+        // store now.
         if (held.is_in_touch && held.backends.era >= m_roster.position().era) {
             m_roster.note_other_in_touch(held.unbroken);
             m_follower_choice.hear_follower(std::chrono::steady_clock::now());
         }
-        // Of another version it says nothing: this gateway, or the peer, is behind.
+        // The confirmation only counts if the peer holds the same version: otherwise this gateway or the peer
+        // is behind.
         if (held.configuration == m_configuration_keeper.version()) {
-            m_configuration_follower.hear_confirmation({held.backends.era, held.configuration_confirmed});
+            m_configuration_follower.record_confirmation({held.backends.era, held.configuration_confirmed});
         }
         if (held.backends == m_roster.position()) {
-            m_backend_follower.hear_confirmation({held.backends.era, held.backends_confirmed});
+            m_backend_follower.record_confirmation({held.backends.era, held.backends_confirmed});
         }
     }
 
-    [[nodiscard]] bool is_store_well() const {
+    [[nodiscard]] bool is_store_available() const {
         return m_configuration_follower.is_in_touch() && m_backend_follower.is_in_touch();
     }
 
-    /// Whether others may go by it that the store answers this gateway: not by an answer that is overdue.
+    /// Returns whether to report to other gateways that the store answers this one. An overdue answer doesn't
+    /// count.
     [[nodiscard]] bool is_in_touch() const {
-        return is_store_well() && m_configuration_follower.is_current() && m_backend_follower.is_current();
+        return is_store_available() && m_configuration_follower.is_current() &&
+               m_backend_follower.is_current();
     }
 
     [[nodiscard]] coordination::slot_broker::versions held_versions() const {
         return {m_configuration_keeper.version(),
                 m_roster.position(),
                 is_in_touch(),
-                told_confirmation(m_configuration_follower),
-                told_confirmation(m_backend_follower),
+                recent_confirmation(m_configuration_follower),
+                recent_confirmation(m_backend_follower),
                 std::chrono::duration_cast<milliseconds>(m_backend_follower.unbroken())};
     }
 
-    /// One era is told for everything, that of the backend servers.
-    [[nodiscard]] std::uint64_t told_confirmation(const store_follower& follower) const {
-        const auto told = follower.told_confirmation();
-        return told.era == m_roster.position().era ? told.milliseconds : 0;
+    /// Returns the confirmation to report, in ms of the store's clock; 0: none. Only one era is reported, the
+    /// era of the registrations, so a confirmation of another era is left out.
+    [[nodiscard]] std::uint64_t recent_confirmation(const store_follower& follower) const {
+        const auto confirmation = follower.recent_confirmation();
+        return confirmation.era == m_roster.position().era ? confirmation.milliseconds : 0;
     }
 
     store_follower::handlers make_configuration_handlers() {
         return {[this](const store::row_page& page) {
                     for (const auto& row : page.rows) {
-                        take_operators_row({row, false});
+                        apply_operator_row({row, false});
                     }
                 },
-                [this](const store::row_change& change) { take_operators_row(change); }, [] {},
-                // A document's version isn't the store's.
+                [this](const store::row_change& change) { apply_operator_row(change); }, [] {},
+                // Configuration documents have versions of their own, so only the era is known.
                 [this] { return store::position{m_roster.position().era, 0}; },
                 [this] {
-                    return configuration_duty();
+                    return configuration_role();
                 }};
     }
 
-    /// Nothing has to be asked for until others speak of a newer version; then the store is asked for it.
-    [[nodiscard]] policy::follower_duty configuration_duty() const {
-        const auto duty = follower_duty();
-        const bool is_behind = duty == policy::follower_duty::rely && m_exchange.hears_newer_configuration();
-        return is_behind ? policy::follower_duty::stand_by : duty;
+    /// Returns the role for the configuration's table. A gateway that relies on others needs nothing from the
+    /// store until they report a newer version; then it reads that from the store itself.
+    [[nodiscard]] policy::follower_duty configuration_role() const {
+        const auto role = current_role();
+        const bool is_behind =
+            role == policy::follower_duty::rely && m_exchange.has_peer_with_newer_configuration();
+        return is_behind ? policy::follower_duty::stand_by : role;
     }
 
-    [[nodiscard]] policy::follower_pace make_pace() const {
-        return {std::min(m_settings.configuration_limit, m_settings.drain_limit), draw_share()};
+    [[nodiscard]] policy::follower_pace make_poll_schedule() const {
+        return {std::min(m_settings.configuration_limit, m_settings.drain_limit), draw_fraction()};
     }
 
-    [[nodiscard]] policy::follower_duty follower_duty() const {
+    [[nodiscard]] policy::follower_duty current_role() const {
         if (m_slots.source() == coordination::slot_source::own_coordination) {
             return policy::follower_duty::confirm;
         }
@@ -281,23 +292,24 @@
                        {"failure_share", change.failure_share}});
     }
 
-    void take_operators_row(const store::row_change& change) {
+    void apply_operator_row(const store::row_change& change) {
         const auto& row = change.now;
-        if (row.key == m_speech.configuration_key && !row.value.empty()) {
-            m_configuration_keeper.take(row.value, "store");
-        } else if (row.key.starts_with(m_speech.rollout_prefix)) {
-            take_rollout(change);
+        if (row.key == m_deployment.configuration_key && !row.value.empty()) {
+            m_configuration_keeper.apply(row.value, "store");
+        } else if (row.key.starts_with(m_deployment.rollout_prefix)) {
+            apply_rollout_order(change);
         }
     }
 
-    /// An order that is missing from an older copy of the store stands until it is removed.
-    void take_rollout(const store::row_change& change) {
+    /// Sets or withdraws a roll-out order. An order that is missing from an older copy of the store stays in
+    /// force until its row is removed.
+    void apply_rollout_order(const store::row_change& change) {
         if (change.is_removed) {
-            m_rollouts.withdraw_order(change.now.key.substr(m_speech.rollout_prefix.size()));
+            m_rollouts.withdraw_order(change.now.key.substr(m_deployment.rollout_prefix.size()));
             return;
         }
         try {
-            m_rollouts.set_order(m_speech.decode_rollout(change.now.value));
+            m_rollouts.set_order(m_deployment.decode_rollout(change.now.value));
         } catch (const std::exception& error) {
             events::write(events::event_kind::configuration_unreadable,
                           {{"source", change.now.key}, {"reason", error.what()}});
@@ -307,10 +319,10 @@
     store_follower::handlers make_backend_handlers() {
         return {[this](const store::row_page& page) { m_roster.take_all(page); },
                 [this](const store::row_change& change) { m_roster.take_change(change); },
-                [this] { m_roster.take_outage(m_backend_follower.confirmed_at()); },
+                [this] { m_roster.record_outage(m_backend_follower.confirmed_at()); },
                 [this] { return m_roster.position(); },
                 [this] {
-                    return follower_duty();
+                    return current_role();
                 }};
     }
 
@@ -340,7 +352,8 @@
         co_await writer.write(answer);
     }
 
-    /// Reads the settings file again. What can change while running is taken; a faulty file changes nothing.
+    /// Reads the settings file again and applies what can change while the process runs: stop_limit and new
+    /// seeds. An invalid file is logged and changes nothing.
     void reload() {
         std::vector<settings::problem> problems;
         const auto text = settings::read_file(m_settings_file, problems);
@@ -360,7 +373,7 @@
 
     std::string m_settings_file;
     gateway_settings m_settings;
-    const deployment& m_speech;
+    const deployment& m_deployment;
     process::runtime m_runtime;
     metrics::registry m_registry;
     gateway_metrics m_metrics{m_registry};
@@ -381,12 +394,13 @@
     http::server m_readiness;
     metrics_endpoint m_metrics_server;
     timer_subscription m_flush_timer;
-    policy::follower_choice m_follower_choice{static_cast<double>(m_settings.store_followers), draw_share()};
+    policy::follower_choice m_follower_choice{static_cast<double>(m_settings.store_followers),
+                                              draw_fraction()};
 };
 
 } // namespace
 
-int run_gateway(const std::string& settings_file, const deployment& speech) {
+int run_gateway(const std::string& settings_file, const deployment& current_deployment) {
     std::vector<settings::problem> problems;
     const auto text = settings::read_file(settings_file, problems);
     const auto document = settings::parse_ini(text, settings_file, problems);
@@ -397,7 +411,7 @@
     }
     log::start(log::format::json, read.common.log_level, "gateway");
     events::start("gateway", read.common.vm, read.common.log_level);
-    gateway_process(settings_file, std::move(read), speech).run();
+    gateway_process(settings_file, std::move(read), current_deployment).run();
 }
 
 } // namespace borageford::gateway
--- a/src/gateway/graceful_stop.cpp
+++ b/src/gateway/graceful_stop.cpp
@@ -1,4 +1,4 @@
-// The steps of a stop, looked at by a timer.
+// Implementation of graceful_stop: a timer checks which step of the shutdown has been reached.
 #include "gateway/graceful_stop.hpp"
 
 #include "events/event_log.hpp"
@@ -11,11 +11,11 @@
 namespace {
 
 constexpr milliseconds check_period{50};
-/// The balancer asks once a second and takes a process out after two misses. Until then callers come and are
-/// served, and idle connections stay open for them.
+/// The load balancer checks readiness once a second and removes a process after two failed checks. Until then
+/// callers are sent to this process and are served, and idle connections stay open for them.
 constexpr milliseconds balancer_delay{2600};
-/// Kept from the time until the process is killed, for the last bytes to leave.
-constexpr milliseconds last_moment{300};
+/// Reserved before the time at which the process is killed, for the last bytes to be sent.
+constexpr milliseconds exit_margin{300};
 
 } // namespace
 
@@ -26,25 +26,25 @@
 void graceful_stop::begin() {
     m_begin = clock::now();
     m_context.stopping =
-        stop_times{m_begin + balancer_delay, m_begin + m_context.settings.stop_limit - last_moment};
+        stop_times{m_begin + balancer_delay, m_begin + m_context.settings.stop_limit - exit_margin};
     events::write(events::event_kind::stop_requested,
                   {{"requests", std::uint64_t(m_context.requests_in_progress)},
                    {"connections", std::uint64_t(m_context.sessions.size())}});
     m_context.slots.leave();
-    m_timer = m_context.timers.every(m_context.executor, check_period, [this] { go_on(); });
+    m_timer = m_context.timers.every(m_context.executor, check_period, [this] { check_progress(); });
 }
 
-void graceful_stop::go_on() {
+void graceful_stop::check_progress() {
     const auto now = clock::now();
     const bool is_over = now >= m_context.stopping->ends_at;
-    if (now < m_context.stopping->takes_all_until && !is_over) {
+    if (now < m_context.stopping->accepts_all_until && !is_over) {
         return;
     }
     close_idle_sessions();
     if (m_context.requests_in_progress > 0 && !is_over) {
         return;
     }
-    boost::system::error_code ignored; // nobody can be told, and the process ends
+    boost::system::error_code ignored; // the process exits, so a failure has no consequence
     m_acceptor.close(ignored);
     if (is_over || m_context.sessions.empty()) {
         finish();
@@ -63,7 +63,7 @@
 }
 
 void graceful_stop::close_idle_sessions() {
-    const auto open = m_context.sessions; // closing changes the set
+    const auto open = m_context.sessions; // a copy, since closing a session removes it from the set
     for (auto* session : open) {
         session->close_if_idle();
     }
--- a/src/gateway/peer_exchange.hpp
+++ b/src/gateway/peer_exchange.hpp
@@ -1,4 +1,5 @@
-// Passes the newest configuration and registrations between gateways, for those that the store turns away.
+// Exchanges the newest configuration and the registrations of backend servers between gateways, so that a
+// gateway that can't reach the store gets them too.
 #pragma once
 
 #include "gateway/backend_roster.hpp"
@@ -19,74 +20,82 @@
 
 namespace borageford::gateway {
 
-/// A gateway hears in every datagram which versions its peers hold. What it lacks for longer than the store
-/// usually takes to tell it, it asks the peer for.
+/// Each datagram of a peer states which versions the peer holds. If this gateway has held an older version
+/// for longer than the store usually takes to deliver the change, it fetches the newer one from a peer over
+/// HTTP.
 class peer_exchange {
+    /// `local` is the TCP address to listen on; peers are reached on the same port. `is_store_available`
+    /// returns whether the store answers this gateway, `relies_on_peers` whether this gateway learns of
+    /// changes from peers only.
 public:
     peer_exchange(boost::asio::any_io_executor executor, const boost::asio::ip::tcp::endpoint& local,
                   configuration_keeper& configuration, backend_roster& backends,
-                  std::function<bool()> is_store_well, std::function<bool()> relies_on_peers);
+                  std::function<bool()> is_store_available, std::function<bool()> relies_on_peers);
 
     void start();
 
-    /// A peer holds these versions.
-    void hear(const boost::asio::ip::address& peer, std::uint64_t configuration, store::position backends);
+    /// Records the versions that a peer holds, and fetches newer ones if it is time.
+    void record_versions(const boost::asio::ip::address& peer, std::uint64_t configuration,
+                         store::position backends);
 
-    /// Whether a peer has said lately that it holds a newer one than this process.
-    [[nodiscard]] bool hears_newer_configuration() const;
+    /// Returns whether a peer has recently reported a newer configuration than the one held here.
+    [[nodiscard]] bool has_peer_with_newer_configuration() const;
 
-    /// A server is named to this gateway that it doesn't know: the next peer that is ahead is asked at once.
-    void want_backends() noexcept { m_wants_backends = true; }
+    /// Makes the next peer that is ahead be asked for registrations at once. Called when a slot was granted
+    /// at a server that is unknown here.
+    void fetch_backends_at_once() noexcept { m_fetches_backends_at_once = true; }
 
 private:
     using clock = std::chrono::steady_clock;
 
-    [[nodiscard]] std::chrono::milliseconds configuration_patience() const;
-    [[nodiscard]] std::chrono::milliseconds backend_patience() const;
+    [[nodiscard]] std::chrono::milliseconds configuration_delay() const;
+    [[nodiscard]] std::chrono::milliseconds backend_delay() const;
     [[nodiscard]] http::response answer(const http::request& received);
     [[nodiscard]] std::string encode_changes_after(store::position held);
-    boost::asio::awaitable<void> ask_for_configuration(boost::asio::ip::tcp::endpoint peer);
-    boost::asio::awaitable<void> ask_for_backends(boost::asio::ip::tcp::endpoint peer);
+    boost::asio::awaitable<void> fetch_configuration(boost::asio::ip::tcp::endpoint peer);
+    boost::asio::awaitable<void> fetch_backends(boost::asio::ip::tcp::endpoint peer);
 
-    /// Since when something has been behind, and whether it is being asked for.
+    /// Since when this gateway has been behind its peers, and whether it is fetching the newer version.
     struct lag {
         clock::time_point since = clock::time_point::max();
-        bool is_asking = false;
+        bool is_fetching = false;
 
-        /// Whether it is time to ask a peer that is ahead.
-        [[nodiscard]] bool is_due(std::chrono::milliseconds patience, clock::time_point now);
+        /// Returns whether this gateway has been behind for `delay`, so that a peer should be asked now;
+        /// if so, marks the fetch as running.
+        [[nodiscard]] bool is_due(std::chrono::milliseconds delay, clock::time_point now);
     };
 
-    /// What a peer said last that it holds.
-    struct heard_peer {
+    /// The versions that a peer reported last, and when.
+    struct peer_report {
         std::uint64_t configuration = 0;
         store::position backends;
         clock::time_point at;
     };
-    void note_heard(const boost::asio::ip::address& peer, const heard_peer& heard);
-    /// One of the peers that hold more than `held`; at least one does.
+    void record_report(const boost::asio::ip::address& peer, const peer_report& report);
+    /// Draws one of the peers that hold more than `held`; there must be at least one.
     template <typename Version>
-    [[nodiscard]] boost::asio::ip::tcp::endpoint choose_peer(Version heard_peer::* version,
+    [[nodiscard]] boost::asio::ip::tcp::endpoint choose_peer(Version peer_report::* version,
                                                              const Version& held, clock::time_point now);
 
     boost::asio::any_io_executor m_executor;
     boost::asio::ip::tcp::endpoint m_local;
     configuration_keeper& m_configuration;
     backend_roster& m_backends;
-    std::function<bool()> m_is_store_well;
-    std::function<bool()> m_relies_on_peers; ///< the store isn't asked for changes
-    /// The last whole update as it is sent. After all gateways were killed each asks for it, and encoding
-    /// thousands of registrations anew for each would take seconds.
-    std::string m_whole_update;
-    store::position m_whole_update_position;
-    send_budget m_sending; ///< outlives the server's answers
+    std::function<bool()> m_is_store_available;
+    /// Whether changes are learned from peers, and the store isn't polled.
+    std::function<bool()> m_relies_on_peers;
+    /// The last complete update in encoded form. After all gateways were killed, each of them requests it,
+    /// and encoding thousands of registrations for each request would take seconds.
+    std::string m_complete_update;
+    store::position m_complete_update_position;
+    send_budget m_sending; ///< must outlive the answers that m_server sends
     http::server m_server;
     std::minstd_rand m_random{std::random_device{}()};
-    std::map<boost::asio::ip::address, heard_peer> m_heard;
-    clock::time_point m_next_forgetting; ///< of peers that are silent
+    std::map<boost::asio::ip::address, peer_report> m_reports;
+    clock::time_point m_next_cleanup; ///< When the peers without recent reports are dropped next.
     lag m_configuration_lag;
     lag m_backend_lag;
-    bool m_wants_backends = false;
+    bool m_fetches_backends_at_once = false;
 };
 
 } // namespace borageford::gateway
--- a/src/gateway/removal_log.cpp
+++ b/src/gateway/removal_log.cpp
@@ -1,4 +1,5 @@
-// By position, since those after one are asked for often, and a single id only at the begin of an era.
+// Implementation of removal_log. Removals are sorted by position, because the removals after a position are
+// requested often, while a single id is looked up only at the beginning of an era.
 #include "gateway/removal_log.hpp"
 
 #include <algorithm>
@@ -8,14 +9,15 @@
 
 namespace {
 
-/// A gateway that missed more asks for everything; some kilobytes in each process.
-constexpr std::size_t most_known = 500;
+/// Number of remembered removals; they take a few kilobytes in each process. A gateway that has missed more
+/// requests the complete state.
+constexpr std::size_t max_removals = 500;
 
 } // namespace
 
 void removal_log::add(std::string_view id, store::position at) {
     m_removed.emplace(at, id);
-    if (m_removed.size() > most_known) {
+    if (m_removed.size() > max_removals) {
         m_begin = m_removed.begin()->first;
         m_removed.erase(m_removed.begin());
     }
--- a/src/gateway/rollout_recorder.cpp
+++ b/src/gateway/rollout_recorder.cpp
@@ -1,4 +1,5 @@
-// Read, compare, write under a condition, and read again.
+// Implementation of rollout_recorder: reads the row, compares it, writes it under a condition and reads it
+// again if that fails.
 #include "gateway/rollout_recorder.hpp"
 
 #include "base/pause.hpp"
@@ -16,17 +17,18 @@
 
 namespace {
 
-/// After a failed call: soon enough for a verdict to stand in time, and no press on a store in trouble.
+/// Delay after a failed call. It is short enough for a final state to be recorded in time, and long enough
+/// not to add load to a store in trouble.
 constexpr std::chrono::milliseconds retry_delay{300};
 
 } // namespace
 
 rollout_recorder::rollout_recorder(asio::any_io_executor executor, timer_service& timers, store::table& table,
-                                   const deployment& speech, status_listener on_known)
+                                   const deployment& current_deployment, status_listener on_known)
     : m_executor(std::move(executor)),
       m_timers(timers),
       m_table(table),
-      m_speech(speech),
+      m_deployment(current_deployment),
       m_on_known(std::move(on_known)) {}
 
 void rollout_recorder::record(const routing::rollout_status& status) {
@@ -46,7 +48,7 @@
             if (is_done) {
                 co_return;
             }
-            failure = "another write came between";
+            failure = "another write intervened";
         } catch (const std::exception& error) {
             failure = error.what();
         }
@@ -59,16 +61,16 @@
     }
 }
 
-/// False when another write came between: what stands there now is to be read.
+/// Returns false when another write intervened, and the row has to be read again.
 asio::awaitable<bool> rollout_recorder::try_once(const routing::rollout_status& wanted,
                                                  std::uint64_t number) {
-    const auto key = m_speech.rollout_status_prefix + wanted.service;
+    const auto key = m_deployment.rollout_status_prefix + wanted.service;
     const auto row = co_await m_table.read(key);
     if (!is_latest(wanted.service, number)) {
         co_return true;
     }
     if (row.has_value()) {
-        const auto found = m_speech.decode_rollout_status(wanted.service, row->value);
+        const auto found = m_deployment.decode_rollout_status(wanted.service, row->value);
         const bool is_same = found.to == wanted.to;
         if (is_same && (found.state != routing::rollout_state::running || found.state == wanted.state)) {
             m_on_known(found);
@@ -77,7 +79,7 @@
     }
     store::transaction change;
     change.conditions.push_back({key, row.has_value() ? row->version : 0});
-    change.puts.push_back({key, m_speech.encode_rollout_status(wanted)});
+    change.puts.push_back({key, m_deployment.encode_rollout_status(wanted)});
     const auto result = co_await m_table.transact(change);
     if (result.committed && is_latest(wanted.service, number)) {
         m_on_known(wanted);
--- a/src/gateway/store_follower.hpp
+++ b/src/gateway/store_follower.hpp
@@ -1,4 +1,5 @@
-// Follows one table of the store: everything once, then its changes as they happen.
+// Follows one table of the store: reads all its rows once, then receives its changes by long polls (reads of
+// changes that the store holds open until something changes).
 #pragma once
 
 #include "base/timer_service.hpp"
@@ -21,23 +22,26 @@
 
 namespace borageford::gateway {
 
+/// Runs on one executor, from start() until the process ends. Whether it polls the store or relies on other
+/// gateways depends on its role, see policy::follower_duty.
 class store_follower {
 public:
     using clock = std::chrono::steady_clock;
 
     struct handlers {
-        /// All rows as of one moment: at the start, after history was lost, and first of all in a new era.
+        /// All rows as of one moment: at the start, after the store has dropped the needed history, and at
+        /// the beginning of a new era.
         std::function<void(const store::row_page&)> on_all;
-        /// Of the era of the rows that were told last.
+        /// One change, of the same era as the rows last passed to on_all.
         std::function<void(const store::row_change&)> on_change;
-        /// The store couldn't be reached, refused, or hasn't confirmed for too long what is held; called each
-        /// time.
+        /// The store couldn't be reached, refused a request, or hasn't confirmed the held state for too long.
+        /// Called on each failed or overdue call.
         std::function<void()> on_outage;
-        /// Up to where all changes are known from elsewhere, for instance from another gateway; version 0:
-        /// none are, and the store is known to be in that era.
+        /// Returns the position up to which all changes are known from another source, for instance another
+        /// gateway. Version 0: no changes are known, but the store is in that era.
         std::function<store::position()> known_position;
-        /// Whether this gateway is to ask at all; see policy/follower_duty.hpp.
-        std::function<policy::follower_duty()> read_duty;
+        /// Returns the current role, which decides whether and how often this gateway polls the store.
+        std::function<policy::follower_duty()> read_role;
     };
 
     store_follower(boost::asio::any_io_executor executor, timer_service& timers, store::table& table,
@@ -45,54 +49,60 @@
 
     void start();
 
-    /// Another gateway holds what is held here, and the store confirmed it at this time of its clock.
-    void hear_confirmation(policy::store_moment answered) { m_confirmation.hear(answered, clock::now()); }
-    /// Told to other gateways with the version that is held; see policy/confirmation.hpp.
-    [[nodiscard]] policy::store_moment told_confirmation() const { return m_confirmation.news(clock::now()); }
+    /// Another gateway holds the same version, and reports that the store confirmed it at `answered`, a time
+    /// of the store's clock.
+    void record_confirmation(policy::store_moment answered) { m_confirmation.hear(answered, clock::now()); }
+    /// Returns the latest confirmation, to be reported to other gateways together with the held version;
+    /// empty unless it is recent. See policy::confirmation.
+    [[nodiscard]] policy::store_moment recent_confirmation() const {
+        return m_confirmation.news(clock::now());
+    }
 
-    /// Whether the store is asked and answered the last call.
-    [[nodiscard]] bool is_in_touch() const noexcept { return m_is_in_touch && !m_relies; }
-    /// When what is held was confirmed last, to this gateway or to another.
+    /// Returns whether this gateway polls the store and the store answered the last call.
+    [[nodiscard]] bool is_in_touch() const noexcept { return m_is_in_touch && !m_relies_on_others; }
+    /// Returns when the held state was last confirmed, to this gateway or to another one.
     [[nodiscard]] clock::time_point confirmed_at() const noexcept { return m_confirmation.noted_at(); }
-    /// For how long the store has answered without a break, as far as this gateway can tell; zero: it isn't
-    /// asked, or doesn't answer.
+    /// Returns for how long the store has answered without interruption, as far as this gateway can tell;
+    /// zero while it isn't polled or doesn't answer.
     [[nodiscard]] clock::duration unbroken() const {
         return is_in_touch() ? m_confirmation.unbroken(clock::now()) : clock::duration::zero();
     }
-    /// Whether what is held was confirmed lately, to this gateway or to another.
-    [[nodiscard]] bool is_current() const { return m_pace.is_current(m_confirmation.age(clock::now())); }
+    /// Returns whether the held state was confirmed recently, to this gateway or to another one.
+    [[nodiscard]] bool is_current() const { return m_schedule.is_current(m_confirmation.age(clock::now())); }
 
-    /// Time since the store answered a question about the table, or since the start while it hasn't.
+    /// Returns the time since the store last answered a read of the table; before the first answer, the time
+    /// since construction.
     [[nodiscard]] clock::duration answer_age() const { return clock::now() - m_answered_at; }
-    /// Time since the question was asked that is open now; zero: none is.
-    [[nodiscard]] clock::duration question_age() const;
+    /// Returns the time since the open read was started; zero if none is open.
+    [[nodiscard]] clock::duration poll_age() const;
 
 private:
-    /// Nothing when the store has dropped the history that was asked for.
-    using change_question = store::repeated_question<std::optional<store::change_page>>;
+    /// The answer is empty when the store has dropped the history after the requested version.
+    using change_poll = store::repeated_question<std::optional<store::change_page>>;
 
-    /// When the question that is open was asked, and asked once more.
-    struct open_question {
+    /// When the open read was started, and when it was last repeated.
+    struct open_poll {
         clock::time_point asked_at;
         clock::time_point repeated_at{};
-        clock::time_point answer_due{}; ///< by then a store that isn't silent answers the repeated one
+        /// An unresponsive store is assumed if the last repetition has no answer by then.
+        clock::time_point answer_due{};
     };
 
     boost::asio::awaitable<void> run();
     boost::asio::awaitable<void> read_all();
-    void note_asked() { m_question = open_question{clock::now()}; }
-    void note_answered(store::position at, std::uint64_t store_time);
-    [[nodiscard]] store::position complete(store::position told) const;
-    void refuse_former(store::position told) const;
-    [[nodiscard]] bool take_era(store::position told);
-    void note_lost(std::string_view reason);
-    void note_regained(store::position at);
+    void record_poll_start() { m_poll = open_poll{clock::now()}; }
+    void record_answer(store::position at, std::uint64_t store_time);
+    [[nodiscard]] store::position add_era(store::position received) const;
+    void reject_previous_era(store::position received) const;
+    [[nodiscard]] bool apply_era(store::position received);
+    void record_loss(std::string_view reason);
+    void record_recovery(store::position at);
     boost::asio::awaitable<void> follow();
-    boost::asio::awaitable<void> wait_while_told();
-    boost::asio::awaitable<std::optional<store::change_page>> ask_for_changes();
-    void ask(change_question& question, clock::duration wait);
-    void repeat_if_due(change_question& question);
-    void take_known_position();
+    boost::asio::awaitable<void> wait_while_relying();
+    boost::asio::awaitable<std::optional<store::change_page>> poll_changes();
+    void start_poll(change_poll& poll, clock::duration wait);
+    void repeat_if_due(change_poll& poll);
+    void apply_known_position();
     [[nodiscard]] std::chrono::milliseconds next_delay();
     [[nodiscard]] std::chrono::milliseconds draw_between(std::chrono::milliseconds least,
                                                          std::chrono::milliseconds most);
@@ -101,17 +111,19 @@
     timer_service& m_timers;
     store::table& m_table;
     std::string m_table_name;
-    policy::follower_pace m_pace;
-    policy::confirmation m_confirmation{clock::now(), m_pace.longest_gap()};
-    /// Up to where all changes were taken; version 0: everything is to be read. Its era never goes back.
+    policy::follower_pace m_schedule;
+    policy::confirmation m_confirmation{clock::now(), m_schedule.longest_gap()};
+    /// Position up to which all changes have been applied; version 0: everything has to be read. Its era
+    /// never decreases.
     store::position m_position;
-    store::position m_forgotten; ///< the store has dropped the history after it
+    store::position m_dropped_history; ///< The store has dropped the history after this position.
     bool m_is_in_touch = false;
-    bool m_relies = false;   ///< others tell what changes, and the store isn't asked
-    unsigned m_failures = 0; ///< since the last answer
+    /// Whether changes are currently learned from other gateways, and the store isn't polled.
+    bool m_relies_on_others = false;
+    unsigned m_failures = 0; ///< Failed calls since the last answer.
     std::optional<clock::time_point> m_lost_since;
     clock::time_point m_answered_at = clock::now();
-    std::optional<open_question> m_question;
+    std::optional<open_poll> m_poll;
     handlers m_handlers;
     std::minstd_rand m_random;
 };
--- a/tests/failure/test_gateway_rollout.cpp
+++ b/tests/failure/test_gateway_rollout.cpp
@@ -1,4 +1,4 @@
-// A service is ordered to move to another version of its software.
+// Tests a roll-out, which replaces the software version of a service on an operator's order.
 #include "support/gateway_site.hpp"
 #include "support/wait_until.hpp"
 
@@ -14,8 +14,8 @@
 
 namespace {
 
-/// Requests of which the new version may get a tenth at most, and some more.
-constexpr double exposed_share = 0.1;
+/// The new version may get at most this share of the requests, plus a fixed number, before it is evaluated.
+constexpr double max_exposed_share = 0.1;
 constexpr std::size_t exposed_slack = 50;
 
 emulator::backend_options backend_of_version(const std::string& id, const std::string& version) {
@@ -25,7 +25,7 @@
     return options;
 }
 
-site_options site_of_versions(std::size_t gateways) {
+site_options site_with_two_versions(std::size_t gateways) {
     site_options options;
     options.gateways = gateways;
     options.configuration = plain_configuration(routing::route_kind::idempotent);
@@ -34,7 +34,7 @@
     return options;
 }
 
-bool log_tells(gateway_site& site, const std::string& text) {
+bool has_logged(gateway_site& site, const std::string& text) {
     return site.process(0).output_text().find(text) != std::string::npos;
 }
 
@@ -47,7 +47,8 @@
     return site.on_emulator([&] { return site.backend(server).runs().size(); });
 }
 
-/// Sends requests, some at a time, until the store tells that the roll-out has ended; returns how many.
+/// Sends requests, several at a time, until the store shows that the roll-out has ended in `state`; returns
+/// the number of requests.
 std::size_t send_until_over(gateway_site& site, const std::string& state) {
     constexpr std::size_t callers = 8;
     std::size_t sent = 0;
@@ -69,31 +70,32 @@
 
 TEST_CASE("gateway: a good version is completed, and the former one gets nothing more",
           "[gateway][rollout]") {
-    gateway_site site(site_of_versions(1));
+    gateway_site site(site_with_two_versions(1));
     site.order_rollout({"plain", "v2", 25s});
-    wait_until("the order is known", [&] { return log_tells(site, R"("event":"rollout_ordered")"); });
+    wait_until("the order is known", [&] { return has_logged(site, R"("event":"rollout_ordered")"); });
     static_cast<void>(send_until_over(site, "completed"));
-    const auto former = runs_at(site, 0) + runs_at(site, 1);
+    const auto previous_runs = runs_at(site, 0) + runs_at(site, 1);
     for (int index = 0; index < 10; ++index) {
         CHECK(site.send(0, make_call("/plain/x", "after-" + std::to_string(index))).status == 200);
     }
-    CHECK(runs_at(site, 0) + runs_at(site, 1) == former);
+    CHECK(runs_at(site, 0) + runs_at(site, 1) == previous_runs);
 }
 
 TEST_CASE("gateway: a bad version is rolled back, and got few requests", "[gateway][rollout]") {
-    // Guards against a version that fails half of a service's requests before anybody looks.
-    gateway_site site(site_of_versions(1));
+    // Guards against a version that fails half of a service's requests before anybody notices.
+    gateway_site site(site_with_two_versions(1));
     site.on_emulator([&] {
         for (const std::size_t server : {2U, 3U}) {
             site.backend(server).set_fault(emulator::backend_fault::error);
         }
     });
     site.order_rollout({"plain", "v2", 60s});
-    wait_until("the order is known", [&] { return log_tells(site, R"("event":"rollout_ordered")"); });
+    wait_until("the order is known", [&] { return has_logged(site, R"("event":"rollout_ordered")"); });
     const auto before = runs_at(site, 2) + runs_at(site, 3);
     const auto sent = send_until_over(site, "rolled_back");
     const auto exposed = runs_at(site, 2) + runs_at(site, 3);
-    CHECK(static_cast<double>(exposed - before) <= exposed_share * static_cast<double>(sent) + exposed_slack);
+    CHECK(static_cast<double>(exposed - before) <=
+          max_exposed_share * static_cast<double>(sent) + exposed_slack);
     for (int index = 0; index < 10; ++index) {
         CHECK(site.send(0, make_call("/plain/x", "after-" + std::to_string(index))).status == 200);
     }
@@ -101,15 +103,17 @@
 }
 
 TEST_CASE("gateway: a successor keeps to what was decided", "[gateway][rollout]") {
-    // All gateways were killed after a roll-back; a new one must not let the bad version in again.
-    gateway_site site(site_of_versions(1));
+    // All gateways were killed after a roll-back. A new one must not give the rejected version requests
+    // again.
+    gateway_site site(site_with_two_versions(1));
     site.on_emulator([&] {
         store::transaction change;
         change.puts.push_back({"status/rollout/plain", R"({"state":"rolled_back","to":"v2"})"});
         static_cast<void>(site.store().rows().transact(change));
     });
     site.order_rollout({"plain", "v2", 60s});
-    wait_until("the former verdict is known", [&] { return log_tells(site, R"("phase":"rolled_back")"); });
+    wait_until("the recorded roll-back is known",
+               [&] { return has_logged(site, R"("phase":"rolled_back")"); });
     const auto exposed = runs_at(site, 2) + runs_at(site, 3);
     for (int index = 0; index < 20; ++index) {
         CHECK(site.send(0, make_call("/plain/x", "after-" + std::to_string(index))).status == 200);
--- a/tests/failure/test_gateway_store_return.cpp
+++ b/tests/failure/test_gateway_store_return.cpp
@@ -1,5 +1,5 @@
-// The store comes back from an older copy: versions are given out again, and what was written last is gone
-// until it is written again.
+// Tests gateways after the store was restored from an older copy: it assigns versions a second time, and the
+// latest writes are missing until they are written again.
 #include "support/checks.hpp"
 #include "support/gateway_site.hpp"
 #include "support/wait_until.hpp"
@@ -16,7 +16,7 @@
 using clock = std::chrono::steady_clock;
 
 void wait_for_log(gateway_site& site, std::size_t gateway, const std::string& text) {
-    wait_until("the log tells " + text,
+    wait_until("the log contains " + text,
                [&] { return site.process(gateway).output_text().find(text) != std::string::npos; });
 }
 
@@ -24,8 +24,8 @@
     wait_until("status " + std::to_string(status), [&] { return site.send(gateway, call).status == status; });
 }
 
-/// Nobody writes again what was lost but the test.
-void return_to(gateway_site& site, clock::time_point moment) {
+/// Restores the store to an earlier moment. Only the test writes the lost rows again.
+void restore_store(gateway_site& site, clock::time_point moment) {
     site.on_emulator([&] { static_cast<void>(site.store().rows().restore(moment)); });
 }
 
@@ -34,8 +34,8 @@
     wait_for_log(site, gateway, "\"era\":" + std::to_string(era));
 }
 
-/// Writes something else until the gateway has looked at the store again.
-void write_until_seen(gateway_site& site, std::size_t gateway, std::size_t server) {
+/// Registers another server and waits until the gateway has learned of it, and thus has read the store again.
+void register_marker(gateway_site& site, std::size_t gateway, std::size_t server) {
     site.start_backend(server, plain_backend("marker-" + std::to_string(server)));
     wait_for_log(site, gateway, "\"backend\":\"marker-" + std::to_string(server) + "\"");
 }
@@ -44,15 +44,15 @@
 
 TEST_CASE("gateway: a server that leaves after a return of the store gets nothing new",
           "[gateway][store_return]") {
-    // Guards against a version that was given out twice, which made its leaving look old.
+    // Guards against a version number that was assigned twice, which made the draining server's row look old.
     gateway_site site(plain_site(2));
     const auto copied_at = clock::now();
     for (int index = 0; index < 3; ++index) {
         site.register_backend(0, "ready");
     }
-    write_until_seen(site, 0, 2);
-    return_to(site, copied_at);
-    write_until_seen(site, 0, 3);
+    register_marker(site, 0, 2);
+    restore_store(site, copied_at);
+    register_marker(site, 0, 3);
     site.register_backend(0, "draining");
     wait_for_log(site, 0, R"("event":"backend_draining")");
     for (int index = 0; index < 10; ++index) {
@@ -68,8 +68,8 @@
     const auto copied_at = clock::now();
     site.register_backend(0, "draining");
     wait_for_log(site, 0, R"("event":"backend_draining")");
-    return_to(site, copied_at);
-    write_until_seen(site, 0, 2);
+    restore_store(site, copied_at);
+    register_marker(site, 0, 2);
     wait_for_era(site, 0, 2);
     for (int index = 0; index < 10; ++index) {
         const auto id = "call-" + std::to_string(index);
@@ -80,7 +80,7 @@
 
 TEST_CASE("gateway: a key that was revoked just before a return of the store stays revoked",
           "[gateway][store_return]") {
-    // The copy still has the document in which the key is good.
+    // The copy still has the document in which the key is valid.
     auto options = plain_site(1, 2);
     const auto base = options.configuration;
     options.configuration = with_key(base, 5, "old-key");
@@ -90,8 +90,8 @@
     for (std::size_t gateway = 0; gateway < 2; ++gateway) {
         wait_for_status(site, gateway, keyed_call("a", "new-key"), 200);
     }
-    return_to(site, copied_at);
-    write_until_seen(site, 0, 1);
+    restore_store(site, copied_at);
+    register_marker(site, 0, 1);
     site.process(1).kill();
     site.start_gateway(1); // it reads the older document first
     site.wait_until_ready(1);
@@ -113,10 +113,10 @@
     for (int index = 0; index < 3; ++index) {
         site.register_backend(1, "ready");
     }
-    write_until_seen(site, 2, 2);
+    register_marker(site, 2, 2);
     site.process(2).freeze();
-    return_to(site, copied_at);
-    write_until_seen(site, 0, 3);
+    restore_store(site, copied_at);
+    register_marker(site, 0, 3);
     site.register_backend(1, "draining");
     wait_for_log(site, 0, R"("event":"backend_draining")");
     site.process(2).thaw();
@@ -126,16 +126,16 @@
 
 TEST_CASE("gateway: returns of the store in quick succession leave nobody behind",
           "[gateway][store_return]") {
-    // Some callers are turned away while others are served, between the one return and the next.
+    // Between two restores, the store refuses some callers and answers others.
     gateway_site site(plain_site(2, 2));
     for (std::size_t round = 0; round < 2; ++round) {
         const auto copied_at = clock::now();
-        write_until_seen(site, 0, 2 + 2 * round);
+        register_marker(site, 0, 2 + 2 * round);
         site.on_emulator([&] {
             site.store().set_state(store_state::partly);
             static_cast<void>(site.store().rows().restore(copied_at));
         });
-        write_until_seen(site, 0, 3 + 2 * round);
+        register_marker(site, 0, 3 + 2 * round);
         site.on_emulator([&] { site.store().set_state(store_state::well); });
     }
     site.register_backend(0, "draining");
@@ -148,14 +148,14 @@
 }
 
 TEST_CASE("gateway: a return of the store costs a few calls", "[gateway][store_return]") {
-    // Guards against asking over and over for a position that the store no longer has.
+    // Guards against repeated polls for a position that the store no longer has.
     constexpr std::size_t gateways = 3;
     gateway_site site(plain_site(2, gateways));
     const auto copied_at = clock::now();
-    write_until_seen(site, 0, 2);
+    register_marker(site, 0, 2);
     const auto before = site.on_emulator([&] { return site.store().calls(); });
-    return_to(site, copied_at);
-    write_until_seen(site, 0, 3);
+    restore_store(site, copied_at);
+    register_marker(site, 0, 3);
     for (std::size_t gateway = 0; gateway < gateways; ++gateway) {
         wait_for_era(site, gateway, 2);
     }
--- a/tests/unit/test_gateway_roster.cpp
+++ b/tests/unit/test_gateway_roster.cpp
@@ -1,4 +1,5 @@
-// What gateways tell each other of backend servers.
+// Tests of backend_roster and backend_directory: updates exchanged between gateways, and registrations that
+// restart, vanish or can't be decoded. Also tests send_budget.
 #include "gateway/send_budget.hpp"
 #include "support/known_servers.hpp"
 
@@ -16,10 +17,10 @@
     ahead.register_server("a", 3);
     ahead.register_server("b", 4);
     const auto update = ahead.roster().changes_after({});
-    CHECK(update.is_whole);
+    CHECK(update.is_complete);
     known_servers behind;
     behind.register_server("left long ago", 1);
-    behind.roster().take_update(update);
+    behind.roster().apply_update(update);
     CHECK(behind.knows("a"));
     CHECK(behind.knows("b"));
     CHECK_FALSE(behind.knows("left long ago"));
@@ -27,7 +28,8 @@
 }
 
 TEST_CASE("a gateway that is a little behind is told the difference only", "[gateway][roster]") {
-    // With thousands of servers and hundreds of gateways the whole list for each change filled the links.
+    // With thousands of servers and hundreds of gateways, sending all registrations for each change saturated
+    // the network links.
     known_servers ahead;
     known_servers behind;
     for (int index = 0; index < 100; ++index) {
@@ -38,10 +40,10 @@
     ahead.register_server("server-8", 201);
     ahead.register_server("new", 202);
     const auto update = ahead.roster().changes_after(behind.roster().position());
-    CHECK_FALSE(update.is_whole);
+    CHECK_FALSE(update.is_complete);
     CHECK(update.present.size() == 2);
-    CHECK(update.gone == std::vector<std::string>{"server-7"});
-    behind.roster().take_update(update);
+    CHECK(update.removed == std::vector<std::string>{"server-7"});
+    behind.roster().apply_update(update);
     CHECK_FALSE(behind.knows("server-7"));
     CHECK(behind.knows("new"));
     CHECK(behind.roster().all().size() == 100);
@@ -55,33 +57,33 @@
     ahead.unregister_server("a", 7);
     ahead.register_server("a", 8);
     const auto update = ahead.roster().changes_after({0, 6});
-    CHECK(update.gone.empty());
+    CHECK(update.removed.empty());
     CHECK(update.present.contains("a"));
 }
 
 TEST_CASE("a server that is missed is told as missed", "[gateway][roster]") {
-    // Its registration vanished while the store was away. A gateway that is told by others would keep it for
-    // good: that it didn't come back in time changes no version.
+    // The registration vanished during an outage of the store. If the server doesn't register again, no
+    // version changes, so a gateway that only receives updates from peers would keep it forever.
     known_servers ahead;
     ahead.register_server("a", 5);
-    ahead.roster().take_outage();
+    ahead.roster().record_outage();
     ahead.unregister_server("a", 6);
     const auto update = ahead.roster().changes_after({0, 5});
-    CHECK(update.missed == std::vector<std::string>{"a"});
+    CHECK(update.retained == std::vector<std::string>{"a"});
     known_servers behind;
     behind.register_server("a", 5);
-    behind.roster().take_update(update);
+    behind.roster().apply_update(update);
     CHECK(behind.knows("a"));
-    CHECK(behind.roster().changes_after({0, 5}).missed == std::vector<std::string>{"a"});
+    CHECK(behind.roster().changes_after({0, 5}).retained == std::vector<std::string>{"a"});
 }
 
 TEST_CASE("a server that had told that it leaves isn't missed after an outage", "[gateway][roster]") {
-    // Guards against keeping servers that are known to have left among those that may come back.
+    // Guards against retaining a server that is known to have shut down.
     known_servers here;
     here.write("a", "engines", 5);
     here.write("b", "engines", 6);
     here.write("a", "leaving engines", 7);
-    here.roster().take_outage();
+    here.roster().record_outage();
     here.unregister_server("a", 8);
     here.unregister_server("b", 9);
     CHECK_FALSE(here.knows("a"));
@@ -90,30 +92,31 @@
 
 TEST_CASE("a request that holds a slot at a server that isn't known yet hears when it is",
           "[gateway][roster]") {
-    // The coordinator has read of a server that has just started, this gateway hasn't. Its grants were given
-    // back one after the other, five in a few milliseconds, and then the caller was refused.
+    // The coordinator had read the registration of a server that had just started, and this gateway had not.
+    // Its slots were given back one after another, five in a few milliseconds, and then the caller was
+    // refused.
     known_servers servers;
     routing::backend_record record;
     record.id = "a";
     record.start = 2;
     const auto awaited = record.key();
     const auto request = std::make_shared<int>(0);
-    int told = 0;
-    servers.backends().when_known(awaited, request, [&] { ++told; });
+    int notified = 0;
+    servers.backends().when_known(awaited, request, [&] { ++notified; });
     servers.write("a", "engines@1", 5);
-    CHECK(told == 0); // another start
+    CHECK(notified == 0); // a previous start
     servers.write("a", "engines@2", 6);
-    CHECK(told == 1);
+    CHECK(notified == 1);
     servers.write("a", "engines@2", 7);
-    CHECK(told == 1);
-    CHECK_FALSE(servers.backends().is_former(awaited));
+    CHECK(notified == 1);
+    CHECK_FALSE(servers.backends().was_known(awaited));
     servers.write("a", "engines@3", 8);
-    CHECK(servers.backends().is_former(awaited)); // no word of it is to be waited for
+    CHECK(servers.backends().was_known(awaited)); // no registration of this start will follow
 }
 
-TEST_CASE("a server that came back and left again is remembered as long as others that left",
+TEST_CASE("a server that was removed twice is remembered as long as other removed servers",
           "[gateway][roster]") {
-    // Guards against a request that waits for a server which is known to be gone.
+    // Guards against a request that waits for a server which is known to be removed.
     backend_directory directory;
     const auto come_and_go = [&](const std::string& id) {
         routing::backend_record record;
@@ -128,44 +131,46 @@
     for (int index = 0; index < others; ++index) {
         come_and_go("other-" + std::to_string(index));
     }
-    CHECK(directory.is_former(key));
+    CHECK(directory.was_known(key));
 }
 
 TEST_CASE("a request that has ended isn't told of the server that it waited for", "[gateway][roster]") {
     known_servers servers;
     routing::backend_record record;
     record.id = "a";
-    int told = 0;
-    servers.backends().when_known(record.key(), std::make_shared<int>(0), [&] { ++told; });
+    int notified = 0;
+    servers.backends().when_known(record.key(), std::make_shared<int>(0), [&] { ++notified; });
     servers.write("a", "engines", 5);
-    CHECK(told == 0);
+    CHECK(notified == 0);
 }
 
 TEST_CASE("large answers that are on their way at a time are bounded", "[gateway][send_budget]") {
-    // All gateways were killed and ask the first that is back for everything. One that answered all of them
-    // at once would hold so many copies that it is ended for the memory it uses, and its callers with it.
+    // After all gateways were killed, each of them requests all registrations from the first one that is
+    // back. If it answered all of them at once, it would hold so many copies that it would be killed for its
+    // memory use.
     send_budget budget(100, 10);
-    auto first = budget.try_take(60);
+    auto first = budget.try_acquire(60);
     REQUIRE(first.has_value());
-    CHECK_FALSE(budget.try_take(60).has_value());
+    CHECK_FALSE(budget.try_acquire(60).has_value());
     {
-        const auto small = budget.try_take(40);
+        const auto small = budget.try_acquire(40);
         CHECK(small.has_value());
-        CHECK_FALSE(budget.try_take(11).has_value());
-        CHECK(budget.try_take(10).has_value()); // too small to count
+        CHECK_FALSE(budget.try_acquire(11).has_value());
+        CHECK(budget.try_acquire(10).has_value()); // too small to count
     }
     const auto moved = std::move(*first);
     first.reset();
-    CHECK_FALSE(budget.try_take(60).has_value()); // still on its way
+    CHECK_FALSE(budget.try_acquire(60).has_value()); // still being sent
     {
         send_budget fresh(100, 10);
-        CHECK(fresh.try_take(500).has_value()); // alone
+        CHECK(fresh.try_acquire(500).has_value()); // a single answer is always allowed
     }
 }
 
 TEST_CASE("a gateway that is far behind gets the whole list, not a part of the removals",
           "[gateway][roster]") {
-    // The removals that it missed are forgotten; a difference without them would leave dead servers in place.
+    // The gateway has missed more removals than are remembered. An update without them would leave removed
+    // servers in place.
     known_servers ahead;
     known_servers behind;
     ahead.register_server("first", 1);
@@ -178,41 +183,42 @@
         ahead.unregister_server(id, ++version);
     }
     const auto update = ahead.roster().changes_after(behind.roster().position());
-    CHECK(update.is_whole);
-    behind.roster().take_update(update);
+    CHECK(update.is_complete);
+    behind.roster().apply_update(update);
     CHECK_FALSE(behind.knows("first"));
 }
 
 TEST_CASE("news that is no newer is passed over", "[gateway][roster]") {
     known_servers here;
     here.register_server("a", 9);
-    here.roster().take_update({{0, 9}, true, {}, {}});
+    here.roster().apply_update({{0, 9}, true, {}, {}});
     CHECK(here.knows("a"));
 }
 
 TEST_CASE("a server that starts anew under its id is another server", "[gateway][roster]") {
-    // An engine crashed and is back within a heartbeat. Known by its id alone, it would inherit the rests,
-    // the backlog and the requests of the dead process, and grants for that one would be sent to it.
+    // An engine crashed and is back within a heartbeat interval. If it were identified by its id alone, it
+    // would inherit the cooldown, the queue and the requests of the dead process, and its grants.
     known_servers here;
     here.write("a", "engines@1", 5);
-    const auto former = here.usable("a");
+    const auto previous = here.usable("a");
     here.write("a", "engines@2", 6);
     const auto present = here.usable("a");
     CHECK(present != 0);
-    CHECK(present != former);
-    CHECK(here.backends().find(former) == nullptr);
+    CHECK(present != previous);
+    CHECK(here.backends().find(previous) == nullptr);
     CHECK(here.backends().find(present) != nullptr);
-    // The former start's last word arrives late, and changes nothing; the others aren't told it either.
+    // The last registration of the previous start arrives late. It changes nothing, and isn't passed on to
+    // other gateways.
     here.write("a", "engines@1", 7);
     CHECK(here.usable("a") == present);
     known_servers other;
-    other.roster().take_update(here.roster().changes_after({}));
+    other.roster().apply_update(here.roster().changes_after({}));
     CHECK(other.usable("a") == present);
 }
 
 TEST_CASE("an entry that can't be read names no server, and the others hold", "[gateway][roster]") {
-    // Another program wrote into the table. The server that the entry may have stood for gets nothing new
-    // until it speaks for itself, which it does with its next heartbeat.
+    // Another program wrote into the table of servers. A server whose row was overwritten gets no new
+    // requests until it writes its row again with its next heartbeat.
     known_servers here;
     here.write("good", "engines@1", 1);
     here.write("struck", "engines@1", 2);
@@ -221,12 +227,12 @@
     CHECK(here.usable("good") != 0);
     CHECK(here.usable("foreign") == 0);
     CHECK(here.usable("struck") == 0);
-    // A gateway that hears of it from this one learns the same.
+    // A gateway that receives its registrations from this one ends in the same state.
     known_servers other;
-    other.roster().take_update(here.roster().changes_after({}));
+    other.roster().apply_update(here.roster().changes_after({}));
     CHECK(other.usable("good") != 0);
     CHECK(other.usable("struck") == 0);
-    // Bytes that can't be read aren't kept, nor passed on: JSON couldn't carry them.
+    // The undecodable bytes are neither kept nor passed on, since JSON can't represent them.
     CHECK(here.roster().all().at("struck").value.empty());
     here.write("struck", "engines@1", 5);
     CHECK(here.usable("struck") != 0);
