--- a/src/coordination/batch_channel.cpp
+++ b/src/coordination/batch_channel.cpp
@@ -1,4 +1,5 @@
-// Cumulative acknowledgement, with a buffer for batches that overtook others.
+// Numbers and retransmits the batches of one session. The receiver acknowledges cumulatively and buffers
+// batches that arrive out of order.
 #include "coordination/batch_channel.hpp"
 
 #include <algorithm>
@@ -9,17 +10,22 @@
 
 namespace {
 
-/// Some round trips inside a region, at 2 ms each and with a busy peer; then a datagram counts as lost.
+/// An unacknowledged datagram counts as lost after this time. It covers several round trips inside a region,
+/// which take about 2 ms each, to a peer that is busy.
 constexpr std::chrono::milliseconds retransmit_delay{12};
-/// Doubled at each retransmission, up to this many times. A coordinator that falls behind answers late; sent
-/// again every 12 ms by each of 300 members, the same batches kept it behind until it was given up.
+/// The delay doubles at each retransmission, up to this many times. A coordinator that falls behind
+/// acknowledges late. With a fixed delay of 12 ms the retransmissions of 300 members kept it behind until its
+/// members gave it up.
 constexpr unsigned most_doublings = 3;
-/// Kept under an Ethernet frame, so that one lost fragment doesn't lose a whole datagram.
+/// A datagram stays below the size of an Ethernet frame. A larger one would be fragmented, and one lost
+/// fragment would lose all of it.
 constexpr std::size_t most_bytes = 1300;
-/// Batches held for one that is missing; a sender that is further ahead sends them again.
+/// How many numbers a received batch may be ahead of the last one delivered. A batch further ahead is
+/// dropped, and its sender retransmits it.
 constexpr std::uint32_t most_early = 256;
 
-/// Moves items from one list to another until the room is used up; true when all have moved.
+/// Moves items from the front of `from` to the end of `to` until the datagram that holds `filled` is full.
+/// Returns whether all items were moved.
 template <typename Item>
 bool move_some(std::vector<Item>& from, std::vector<Item>& to, const batch_items& filled) {
     auto next = from.begin();
@@ -36,7 +42,8 @@
 void batch_channel::seal_pending() {
     while (!m_pending.is_empty()) {
         batch_items items;
-        // In the order in which they are taken: what comes later may speak of what came before.
+        // The receiver processes the lists in this order, because a later list can refer to requests and
+        // servers of an earlier one.
         [[maybe_unused]] const bool all = move_some(m_pending.reports, items.reports, items) &&
                                           move_some(m_pending.holds, items.holds, items) &&
                                           move_some(m_pending.asks, items.asks, items) &&
--- a/src/coordination/broker_events.cpp
+++ b/src/coordination/broker_events.cpp
@@ -1,4 +1,4 @@
-// One function a kind of line.
+// Writes the events of slot_broker to the event log, with one function for each kind of event.
 #include "coordination/broker_events.hpp"
 
 #include "events/event_log.hpp"
--- a/src/coordination/broker_events.hpp
+++ b/src/coordination/broker_events.hpp
@@ -1,4 +1,4 @@
-// What a slot broker writes into the log.
+// Functions with which slot_broker writes its events to the event log.
 #pragma once
 
 #include "policy/coordinator_election.hpp"
@@ -11,25 +11,29 @@
 
 namespace borageford::coordination {
 
-/// The member's IP number.
+/// Returns the member's IPv4 address in dotted notation, for the log.
 [[nodiscard]] std::string describe_member(policy::member_key member);
 
-/// `waiting`, `running`: requests that the process which refuses knows of.
+/// Logs each refusal of slot requests of `member`. `waiting` and `running` are the numbers of requests that
+/// wait for a slot and that occupy one, as counted by the process that refuses.
 void report_refusals(policy::member_key member, std::span<const policy::slot_refusal> refusals,
                      std::size_t waiting, std::size_t running);
 
-/// Where slots come from, before and now, who coordinates now, and how many of the own requests wait and run.
+/// A change of the process that grants slots to the requests of this process.
 struct source_change {
-    std::string_view from;
-    std::string_view to;
-    policy::member_key coordinator = 0;
-    std::size_t waiting = 0;
-    std::size_t running = 0;
+    std::string_view from;              ///< the previous slot_source, as text
+    std::string_view to;                ///< the new slot_source, as text
+    policy::member_key coordinator = 0; ///< the new coordinator; this process itself if it has none
+    std::size_t waiting = 0;            ///< requests of this process that wait for a slot
+    std::size_t running = 0;            ///< requests of this process that occupy a slot
 };
 void report_source(const source_change& change);
 
-/// `members`: that are coordinated with it, this process included.
+/// Logs that this process now coordinates `member`. `members` is the number of members that it coordinates,
+/// itself included.
 void report_attached(policy::member_key member, std::size_t members);
+/// Logs that a coordinated member is unresponsive and was dropped. `silent` is the time since its last
+/// message.
 void report_lost(policy::member_key member, policy::duration silent);
 
 } // namespace borageford::coordination
--- a/src/coordination/deferred_refusals.hpp
+++ b/src/coordination/deferred_refusals.hpp
@@ -1,4 +1,5 @@
-// Requests that a process's own part has no room for, and that a coordinator may have.
+// Keeps slot requests that exceed the local share of a limit of this process until a coordinator can decide
+// about them.
 #pragma once
 
 #include "policy/slot_request.hpp"
@@ -9,12 +10,14 @@
 
 namespace borageford::coordination {
 
-/// Between two coordinators, and after all processes were started at once, each has its part of every
-/// allowance and of the repeats only. One large request needs more than that, so callers who keep within
-/// their limits were refused at each such moment. They wait for the coordinator instead.
+/// While there is no coordinator, for instance after it was lost or after all processes were started at once,
+/// each process may grant only its local share of each workspace's quota and of the retry budget. One large
+/// request can need more than that, so callers that keep within their limits were refused at each such
+/// moment. Their requests wait for the coordinator instead.
 class deferred_refusals {
 public:
-    /// Takes out the refusals that only the want of a whole limit explains.
+    /// Removes from `refusals` those that the local share of a limit caused, and keeps the ids of their
+    /// requests.
     void take_from(std::vector<policy::slot_refusal>& refusals) {
         std::erase_if(refusals, [this](const policy::slot_refusal& refusal) {
             const bool is_for_want_of_part = refusal.reason == policy::refusal_reason::over_allowance ||
@@ -27,7 +30,7 @@
     }
 
     [[nodiscard]] bool is_empty() const noexcept { return m_tickets.empty(); }
-    /// The requests that wait, which are asked for anew.
+    /// Returns the ids of the kept requests and forgets them; the caller submits the requests again.
     [[nodiscard]] std::vector<policy::slot_ticket> take_all() { return std::exchange(m_tickets, {}); }
     void clear() noexcept { m_tickets.clear(); }
 
--- a/src/coordination/heartbeat_schedule.cpp
+++ b/src/coordination/heartbeat_schedule.cpp
@@ -1,4 +1,4 @@
-// Counts ticks.
+// Derives the heartbeats that are due from a count of ticks and from the number of members.
 #include "coordination/heartbeat_schedule.hpp"
 
 #include <algorithm>
@@ -7,14 +7,16 @@
 
 namespace {
 
-/// With more members than this each sends at every second tick only: heartbeats of hundreds at every tick
-/// would take all of a small coordinator's processor. Two of every second tick fit into the silence after
-/// which a coordinator is passed over.
+/// With more members than this, each member sends to its coordinator at every second tick only. Heartbeats of
+/// hundreds of members at every tick would use up the processor of a small coordinator. Two heartbeats at
+/// every second tick still fit into election_limits::silence, after which a coordinator counts as
+/// unresponsive.
 constexpr std::size_t members_at_each_tick = 60;
-constexpr std::size_t longest_period = 2;
-/// Other candidates than the coordinator are sent one for so many of the coordinator's.
+constexpr std::size_t longest_period = 2; // ticks
+/// A candidate that isn't the coordinator gets one heartbeat while the coordinator gets this many.
 constexpr unsigned candidate_factor = 4;
-/// Absent candidates are asked this rarely, but at each of the first ticks.
+/// Absent candidates get a heartbeat at each of the first ticks, this many of them, and once in this many
+/// ticks later on.
 constexpr unsigned absent_period = 20;
 
 } // namespace
--- a/src/coordination/heartbeat_schedule.hpp
+++ b/src/coordination/heartbeat_schedule.hpp
@@ -1,4 +1,4 @@
-// At which ticks a member sends heartbeats, and to whom.
+// Decides at which ticks a member sends heartbeats to the other members.
 #pragma once
 
 #include <cstddef>
@@ -6,23 +6,25 @@
 
 namespace borageford::coordination {
 
+/// What the receiver of a heartbeat is to its sender.
 enum class heartbeat_receiver : std::uint8_t {
-    coordinator, ///< of the sender
-    next,        ///< may coordinate, while nobody does for the sender
-    candidate,   ///< may coordinate after the present one
-    absent,      ///< was a candidate and hasn't been heard for long
+    coordinator, ///< coordinates the sender
+    next,        ///< may become the coordinator of the sender, which has none at present
+    candidate,   ///< may take over from the present coordinator
+    absent,      ///< would be a candidate, but is unresponsive; see election_limits::absence
 };
 
+/// slot_broker uses one schedule for all receivers, with ticks of 50 ms.
 class heartbeat_schedule {
 public:
-    /// `members`: that the coordinator counts; 0: not known.
+    /// Starts the next tick. `members` is the number of members that the coordinator reported; 0: unknown.
     void begin_tick(std::size_t members) noexcept;
-    /// Whether a heartbeat is to be sent in this tick.
+    /// Whether receivers of this kind get a heartbeat in the current tick.
     [[nodiscard]] bool is_due(heartbeat_receiver to) const noexcept;
 
 private:
     unsigned m_tick = 0;
-    unsigned m_period = 1; ///< in ticks, to the coordinator
+    unsigned m_period = 1; ///< ticks between two heartbeats to the coordinator
 };
 
 } // namespace borageford::coordination
--- a/src/coordination/message.cpp
+++ b/src/coordination/message.cpp
@@ -1,4 +1,4 @@
-// Between plain values and FlatBuffers.
+// Converts datagrams between the plain structs of message.hpp and their FlatBuffers encoding.
 #include "coordination/message.hpp"
 
 #include "coordination/messages_generated.h"
@@ -14,8 +14,8 @@
 
 using std::chrono::milliseconds;
 
-constexpr std::size_t usual_size = 512;
-constexpr std::size_t status_size = 128;
+constexpr std::size_t usual_size = 512;  // initial bytes of the buffer, enough for most datagrams
+constexpr std::size_t status_size = 128; // bytes of a datagram without items, roughly
 
 std::uint32_t to_wire(policy::duration span) {
     const auto count = std::chrono::duration_cast<milliseconds>(span).count();
--- a/src/coordination/message.hpp
+++ b/src/coordination/message.hpp
@@ -1,4 +1,4 @@
-// One datagram between gateways, as a plain value.
+// The datagrams that gateways exchange, as plain structs, with their encoding and decoding.
 #pragma once
 
 #include "policy/coordinator_election.hpp"
@@ -15,26 +15,28 @@
 
 namespace borageford::coordination {
 
-/// What a gateway tells of itself in every datagram.
+/// The status of its sender that every datagram contains.
 struct member_status {
-    std::uint64_t incarnation = 0;
-    bool is_acting = false;   ///< it coordinates
-    bool is_eligible = false; ///< it has run without a pause for long enough to coordinate
-    bool is_leaving = false;
-    double processor_share = 1;
-    unsigned members = 0; ///< that it counts, as coordinator
+    std::uint64_t incarnation = 0; ///< a random number that identifies this run of the process
+    bool is_acting = false;        ///< the sender coordinates
+    bool is_eligible = false;      ///< the sender has run without a pause for long enough to coordinate
+    bool is_leaving = false;       ///< the sender is shutting down
+    double processor_share = 1;    ///< processors that the sender may use
+    unsigned members = 0;          ///< members that the sender counts, itself included
     std::uint64_t configuration_version = 0;
-    store::position backends;      ///< the last change of backend servers that it knows
-    bool is_in_touch = false;      ///< the store answers it
-    policy::domain_key domain = 0; ///< its failure domain, and that of all that it asks for
-    /// When the store last confirmed each, in ms of its clock in the era of `backends`; 0: not told.
+    store::position backends;      ///< the last change to the table of backend servers that the sender knows
+    bool is_in_touch = false;      ///< the store answers the sender
+    policy::domain_key domain = 0; ///< failure domain of the sender and of its slot requests
+    /// When the store last confirmed the sender's copies of the configuration and of the table of backend
+    /// servers, in ms of the store's clock in the era of `backends`; 0: not known.
     std::uint64_t configuration_confirmed = 0;
     std::uint64_t backends_confirmed = 0;
-    /// For how long the store has answered it without a break; zero: it isn't asked, or doesn't answer.
+    /// For how long the store has answered the sender without interruption; zero: the sender doesn't poll the
+    /// store, or gets no answer.
     std::chrono::milliseconds unbroken{0};
 };
 
-/// A request that already occupies a slot, told to a new coordinator.
+/// A request that already occupies a slot, as reported to a new coordinator.
 struct slot_hold {
     policy::slot_ticket ticket = 0;
     policy::server_key server = 0;
@@ -43,35 +45,40 @@
     policy::token_cost cost;
 };
 
-/// What one side of a session tells the other, taken as a whole and in this order.
+/// The items that one side of a session sends to the other. The receiver processes a batch as a unit, list by
+/// list in this order.
 struct batch_items {
-    std::vector<policy::server_report> reports; ///< with the first batches of a session only
-    std::vector<slot_hold> holds;
-    std::vector<policy::slot_request> asks;
-    std::vector<policy::slot_ticket> withdrawals;
-    std::vector<policy::slot_release> releases;
-    std::vector<policy::slot_grant> grants;
-    std::vector<policy::slot_refusal> refusals;
+    std::vector<policy::server_report> reports;   ///< sent with the first batches of a session only
+    std::vector<slot_hold> holds;                 ///< sent to a coordinator
+    std::vector<policy::slot_request> asks;       ///< sent to a coordinator
+    std::vector<policy::slot_ticket> withdrawals; ///< slot requests that are no longer needed
+    std::vector<policy::slot_release> releases;   ///< sent to a coordinator
+    std::vector<policy::slot_grant> grants;       ///< sent by a coordinator
+    std::vector<policy::slot_refusal> refusals;   ///< sent by a coordinator
 
     [[nodiscard]] bool is_empty() const noexcept;
-    /// Bytes that the items take in a datagram, roughly.
+    /// Approximate size in bytes of a datagram with these items.
     [[nodiscard]] std::size_t encoded_size() const noexcept;
 };
 
+/// One UDP datagram between two gateways: a heartbeat, a batch of a session, or the reply to either.
 struct datagram {
     member_status sender;
-    bool wants_reply = false;
-    /// Members that the sender hears and that may coordinate; told with heartbeats only.
+    bool wants_reply = false; ///< set in heartbeats: the receiver replies with its own status
+    /// Members from which the sender receives messages and which may coordinate. Only heartbeats and their
+    /// replies contain them.
     std::vector<policy::member_key> known;
-    std::uint64_t session = 0; ///< drawn by the member; 0: none
-    std::uint32_t batch = 0;   ///< number of the items; 0: there are none
-    std::uint32_t acknowledged = 0;
+    std::uint64_t session = 0;      ///< random id that the coordinated member chose; 0: no session
+    std::uint32_t batch = 0;        ///< number of the batch in `items`; 0: the datagram contains no batch
+    std::uint32_t acknowledged = 0; ///< number of the last batch that the sender received in order; 0: none
     batch_items items;
 };
 
-/// Times travel as ages and remainders, since clocks differ: `now` is the sender's.
+/// Encodes a datagram. Points in time are sent as durations before or after `now`, which is the sender's
+/// time, because the clocks of two processes differ.
 [[nodiscard]] std::vector<std::byte> encode(const datagram& message, policy::time_point now);
-/// Nothing for bytes that are no datagram of ours. `now` is the receiver's.
+/// Decodes a datagram, with points in time relative to `now`, which is the receiver's time. Returns nothing
+/// when the bytes aren't a valid datagram.
 [[nodiscard]] std::optional<datagram> decode(std::span<const std::byte> bytes, policy::time_point now);
 
 } // namespace borageford::coordination
--- a/src/coordination/own_requests.cpp
+++ b/src/coordination/own_requests.cpp
@@ -1,4 +1,5 @@
-// Two tables by ticket.
+// Keeps the waiting requests and the occupied slots of this process in two tables, by the id of the slot
+// request.
 #include "coordination/own_requests.hpp"
 
 #include <utility>
--- a/src/coordination/own_requests.hpp
+++ b/src/coordination/own_requests.hpp
@@ -1,4 +1,5 @@
-// The requests of this process that wait for a slot or occupy one, whoever decides about slots at the moment.
+// The requests of this process that wait for a slot or occupy one, whichever process grants the slots at the
+// moment.
 #pragma once
 
 #include "coordination/message.hpp"
@@ -11,33 +12,37 @@
 
 namespace borageford::coordination {
 
-/// How a request is told what was decided. One of the two is called, once.
+/// The callbacks of a slot request. Exactly one of them is called, once, unless the request is withdrawn.
 struct slot_answer {
     std::function<void(const policy::slot_grant&)> on_grant;
     std::function<void(const policy::slot_refusal&)> on_refusal;
 };
 
-/// Invariant: no ticket both waits and occupies a slot.
+/// Invariant: no request both waits for a slot and occupies one.
 class own_requests {
 public:
+    /// Adds a request that waits for a slot.
     void add(const policy::slot_request& wanted, slot_answer to_call);
-    /// Whether it was waiting.
+    /// Removes a waiting request without calling it back. Returns whether the request was waiting.
     bool withdraw(policy::slot_ticket ticket);
-    /// Returns what the request occupied, if it did.
+    /// Ends a request that occupies a slot and returns the slot; nothing when the request occupied none.
     std::optional<slot_hold> release(policy::slot_ticket ticket);
 
-    /// Calls the request back, which occupies a slot from now on. False when it doesn't wait any more.
+    /// Calls `on_grant` of a waiting request, which occupies the slot from now on. Returns false when the
+    /// request is no longer waiting.
     bool take_grant(const policy::slot_grant& grant);
-    /// Calls the request back, unless it doesn't wait any more.
+    /// Calls `on_refusal` of a request and forgets the request; does nothing when it is no longer waiting.
     void take_refusal(const policy::slot_refusal& refusal);
 
     [[nodiscard]] bool occupies_slot(policy::slot_ticket ticket) const { return m_running.contains(ticket); }
+    /// Number of requests that wait for a slot.
     [[nodiscard]] std::size_t waiting() const noexcept { return m_waiting.size(); }
+    /// Number of requests that occupy a slot.
     [[nodiscard]] std::size_t running() const noexcept { return m_running.size(); }
 
-    /// All that somebody has to know who begins to decide: what occupies slots, and what waits.
+    /// Returns everything that a new coordinator needs: the occupied slots and the waiting requests.
     [[nodiscard]] batch_items tell_all() const;
-    /// Of these tickets, the requests that still wait.
+    /// Returns slot requests for those of the given requests that still wait.
     [[nodiscard]] batch_items ask_again(std::span<const policy::slot_ticket> tickets) const;
 
 private:
--- a/src/coordination/peer_socket.cpp
+++ b/src/coordination/peer_socket.cpp
@@ -1,4 +1,4 @@
-// Receives one datagram after the other.
+// Receives datagrams one after another; each completed receive operation starts the next one.
 #include "coordination/peer_socket.hpp"
 
 #include <boost/asio/buffer.hpp>
@@ -23,7 +23,8 @@
                                     if (error == asio::error::operation_aborted || !m_socket.is_open()) {
                                         return;
                                     }
-                                    // Other errors tell of a peer that isn't there; it is noticed by silence.
+                                    // Other errors mean that a peer is unreachable. slot_broker notices this
+                                    // by the heartbeats that it no longer receives.
                                     if (!error) {
                                         m_receive(m_from, std::span(m_buffer).first(count));
                                     }
--- a/src/coordination/slot_broker.cpp
+++ b/src/coordination/slot_broker.cpp
@@ -1,4 +1,5 @@
-// Roles change with what is heard; the requests that wait or run are told to whoever decides next.
+// Changes the source of slots according to the messages received from other members. After each change, the
+// requests that wait for a slot or occupy one are reported to the new source.
 #include "coordination/slot_broker.hpp"
 
 #include "base/identifier.hpp"
@@ -19,17 +20,20 @@
 namespace {
 
 constexpr milliseconds tick_period{50};
-/// Unacknowledged batches are looked at this often.
+/// While there are unacknowledged batches, this is the time between two checks whether to send them again.
 constexpr milliseconds retransmit_check{6};
-/// A member that is silent for this long has its slots given to others.
+/// The coordinator drops a member from which it receives no message for this long; its slots become free.
 constexpr milliseconds member_silence{600};
-/// Without an acknowledgement for this long a session is begun anew; some retransmissions fit into it.
+/// A member starts a new session when its oldest batch isn't acknowledged for this long, which leaves time
+/// for some retransmissions.
 constexpr milliseconds stuck_session_limit{250};
-/// Servers that a member tells a coordinator of at first: a few datagrams from each, so that hundreds that
-/// attach together don't fill a small machine's link.
+/// Maximum number of server reports at the start of a session. They fill a few datagrams, so that hundreds of
+/// members that attach at the same time don't saturate the network link of a small machine.
 constexpr std::size_t most_reports = 64;
+/// The upper half of a ticket is taken from the incarnation of the process, the lower half is a counter.
 constexpr unsigned ticket_shift = 32;
 
+/// The key of a member is its IPv4 address; 0 for an IPv6 address, which has no key.
 policy::member_key key_of(const asio::ip::address& address) {
     return address.is_v4() ? address.to_v4().to_uint() : 0;
 }
@@ -76,7 +80,8 @@
         told.push_back(member);
     }
     choose_source(clock::now());
-    // At once: until they know, their requests would wait here for nothing.
+    // The status is sent at once, because the other members keep sending slot requests to this process, where
+    // they would wait in vain, until they know that it shuts down.
     for (const auto member : told) {
         send(member, {});
     }
@@ -139,7 +144,8 @@
 void slot_broker::release(const policy::slot_release& ended) {
     const auto held = m_requests.release(ended.ticket);
     if (m_source == slot_source::coordinator && held.has_value()) {
-        // To be known here too when the coordinator is lost.
+        // The coordinator learns from the release, too. The local scheduler needs the same knowledge of the
+        // server when it has to grant slots after the coordinator is lost.
         m_coordinator.scheduler().observe(ended, held->cost.prompt, clock::now());
     }
     batch_items items;
@@ -194,7 +200,8 @@
     watch_retransmission();
 }
 
-/// Decides, and queues what each member is to be told.
+/// Grants slots and refuses requests. Decisions about requests of this process are delivered at once,
+/// decisions about other members' requests are queued in the channels of these members.
 void slot_broker::hand_out(policy::time_point now) {
     for (auto& [member, items] : m_coordinator.decide(now)) {
         if (expects_coordinator(now)) {
@@ -223,7 +230,9 @@
     }
 }
 
-/// Also for one that takes itself for the coordinator, as long as nobody asks it.
+/// True after a start and after the loss of a coordinator, for the time in which another process is likely to
+/// become the coordinator. This includes a process that coordinates, while no other member has attached to
+/// it.
 bool slot_broker::expects_coordinator(policy::time_point now) const {
     const bool is_alone = m_source != slot_source::coordinator && m_served.empty();
     return is_alone && m_election.member_count() > 1 && now - m_alone_since < m_settings.coordinator_patience;
@@ -398,15 +407,16 @@
     const auto now = clock::now();
     auto served = m_served.find(member);
     if (served == m_served.end() || served->second.channel.session() != message.session) {
-        // A new session begins with its first batch; anything else belongs to one that is over here, and the
-        // member begins another when nothing is acknowledged.
+        // A new session begins with batch 1. Any other batch belongs to a session that this process has
+        // already dropped; its member starts a new session when it receives no acknowledgement.
         if (message.batch != 1) {
             return;
         }
         m_coordinator.detach(member, now);
         served = m_served.insert_or_assign(member, served_member{batch_channel(message.session), now}).first;
         if (message.items.reports.empty()) {
-            // It has just started; should it be on its own soon, it knows what this process knows.
+            // A member without reports has just started. With the reports of this process it can place
+            // requests well even if it loses its coordinator soon.
             served->second.channel.pending().reports =
                 m_coordinator.scheduler().report_servers(most_reports, now);
         }
@@ -454,8 +464,9 @@
     update_shares(now);
 }
 
-/// The coordinator is heard but takes nothing: it has given this process up meanwhile, for instance because
-/// only this direction was cut, and knows nothing of the session any more.
+/// Whether this process receives messages from the coordinator but no acknowledgements. The coordinator has
+/// then dropped this process and its session, for instance because the network failed in this one direction
+/// only.
 bool slot_broker::is_session_stuck(policy::time_point now) const {
     const auto oldest = m_upstream->oldest_unacknowledged();
     return oldest.has_value() && now - *oldest > stuck_session_limit;
@@ -469,7 +480,7 @@
     }
     m_served.clear();
     m_coordinator.detach(m_self, clock::now());
-    m_deferred.clear(); // told below, like all that wait
+    m_deferred.clear(); // tell_all() below includes these requests
     m_coordinating_member = coordinator;
     m_upstream.emplace(identifier::random().low);
     m_upstream->pending() = m_requests.tell_all();
@@ -535,7 +546,8 @@
     if (m_requests.take_grant(grant) || m_requests.occupies_slot(grant.ticket)) {
         return;
     }
-    // Withdrawn, or granted by a former coordinator, while this was on its way.
+    // The request was withdrawn, or a previous coordinator granted it a slot, while this grant was in
+    // transit. The slot is returned unused.
     batch_items items;
     items.releases.push_back({grant.ticket, grant.server, policy::slot_outcome::refused, {}, {}});
     pass_on(std::move(items));
--- a/src/coordination/slot_broker.hpp
+++ b/src/coordination/slot_broker.hpp
@@ -1,5 +1,6 @@
-// Gets slots at backend servers for the requests of this process: from the coordinator, from this process
-// when it coordinates, or, when no coordinator is heard, from this process's own part of everything.
+// Obtains slots of backend servers for the requests of this process. The coordinator grants them, or this
+// process does when it is the coordinator itself. Without a coordinator this process grants slots from its
+// local share of all slots and limits.
 #pragma once
 
 #include "base/timer_service.hpp"
@@ -31,12 +32,13 @@
 namespace borageford::coordination {
 
 struct broker_settings {
-    boost::asio::ip::udp::endpoint local; ///< all members use the same port
-    double processor_share = 1;
+    /// Address and UDP port of this process. All members use the same port.
+    boost::asio::ip::udp::endpoint local;
+    double processor_share = 1;    ///< processors that this process may use
     policy::domain_key domain = 0; ///< failure domain of this process
-    bool coordinates = true;       ///< else this process always uses its own part
-    /// How long a request that the own part has no room for waits for a coordinator, after one was lost and
-    /// after a start: one is found within some heartbeats.
+    bool coordinates = true;       ///< false: this process always uses its local share
+    /// How long a request that exceeds the local share waits for a coordinator after a start or after the
+    /// loss of a coordinator. The members usually find a new one within a few heartbeats.
     std::chrono::milliseconds coordinator_patience{400};
     policy::election_limits election;
     policy::slot_scheduler_limits slots;
@@ -44,34 +46,42 @@
     policy::repeat_limits repeats;
 };
 
-/// Where slots come from at the moment.
-enum class slot_source : std::uint8_t { coordinator, own_coordination, own_part };
+/// Who grants slots to the requests of this process.
+enum class slot_source : std::uint8_t {
+    coordinator,      ///< another process, which coordinates this one
+    own_coordination, ///< this process, which is the coordinator
+    own_part,         ///< this process, from its local share, because it has no coordinator
+};
 
 [[nodiscard]] std::string_view to_string(slot_source source) noexcept;
 
-/// Belongs to one thread's executor.
+/// All calls, including the callbacks, happen on one executor, which runs on a single thread.
 class slot_broker {
 public:
-    /// What this process holds, for the status that it sends.
+    /// Versions of the configuration and of the table of backend servers that a process has, as reported in
+    /// member_status.
     struct versions {
-        std::uint64_t configuration = 0;
-        store::position backends;
-        bool is_in_touch = false; ///< the store answers
-        /// When the store last confirmed each, in ms of its clock in the era of `backends`, 0: not told; see
-        /// policy/confirmation.hpp.
+        std::uint64_t configuration = 0; ///< version of the configuration
+        store::position backends;        ///< the last known change to the table of backend servers
+        bool is_in_touch = false;        ///< the store answers the process
+        /// When the store last confirmed each of the two, in ms of the store's clock in the era of
+        /// `backends`; 0: not known. See policy::confirmation.
         std::uint64_t configuration_confirmed = 0;
         std::uint64_t backends_confirmed = 0;
-        std::chrono::milliseconds unbroken{0}; ///< for which the store has answered without a break
+        std::chrono::milliseconds unbroken{0}; ///< for how long the store has answered without interruption
     };
+    /// Callbacks to the owner of the broker.
     struct observers {
+        /// Returns the versions that this process has, for the status that it sends.
         std::function<versions()> read_versions;
-        /// A member was heard: it may know more than this process.
+        /// A message from a member arrived, with the versions that the member has.
         std::function<void(const boost::asio::ip::address&, const versions&)> on_member_versions;
-        /// This process gives out slots, and a server has begun to rest, or has recovered.
+        /// While this process grants slots: the cooldown of a server began, or the server recovered.
         std::function<void(const policy::slot_scheduler::health_change&)> on_health_change;
-        /// This process has given a request to a server, or hears that one has left its slot.
+        /// This process granted a slot of the server, to its own request or to another member's.
         std::function<void(policy::server_key)> on_grant = [](policy::server_key) {
         };
+        /// A request left a slot that this process had granted.
         std::function<void(const policy::slot_release&)> on_release = [](const policy::slot_release&) {
         };
     };
@@ -79,45 +89,50 @@
     slot_broker(boost::asio::any_io_executor executor, timer_service& timers, broker_settings settings,
                 observers to_call);
 
-    /// Begins to talk to the others.
+    /// Opens the socket and starts to exchange heartbeats with the other members.
     void start();
-    /// This process is about to stop: it no longer coordinates, and says so.
+    /// Prepares the shutdown of this process. It hands over the coordination if another member can
+    /// coordinate, and tells the other members that it is shutting down.
     void leave();
 
-    /// Another process that may be a member.
+    /// Adds another process that may be a member. Only IPv4 addresses are supported; others are ignored.
     void add_member(const boost::asio::ip::address& address, double processor_share);
     void forget_member(const boost::asio::ip::address& address);
 
     void set_server(policy::server_key server, policy::service_key service, unsigned slots,
                     policy::domain_key domain);
     void remove_server(policy::server_key server);
-    /// The server has started anew, under another key: this start is gone.
+    /// A server restarted under another key. `former` is the key of the run that has ended.
     void take_restart(policy::server_key former);
+    /// Sets the quota of a workspace.
     void set_allowance(policy::workspace_key workspace, policy::allowance limit);
     void remove_allowance(policy::workspace_key workspace);
 
-    /// A ticket that no other process draws.
+    /// Returns an id for a slot request that is unique among all processes.
     [[nodiscard]] policy::slot_ticket next_ticket() noexcept;
 
-    /// One of the answers is called once, not before this returns, unless the request is withdrawn.
+    /// Requests a slot. One of the callbacks in `to_call` is called once, after this function has returned,
+    /// unless the request is withdrawn before.
     void request(const policy::slot_request& wanted, slot_answer to_call);
-    /// The request no longer wants a slot. A grant on its way is returned.
+    /// Withdraws a slot request. If the slot was granted already and the grant is in transit, the slot is
+    /// returned.
     void withdraw(policy::slot_ticket ticket);
-    /// A granted request has left its slot.
+    /// Reports that a request has left the slot that it was granted.
     void release(const policy::slot_release& ended);
 
     [[nodiscard]] slot_source source() const noexcept { return m_source; }
-    /// Since when slots come from there.
+    /// The time at which source() last changed.
     [[nodiscard]] policy::time_point source_since() const noexcept { return m_source_since; }
-    /// Requests that a server works on, as far as this process gives out its slots.
+    /// Requests that the server is working on, as far as this process granted their slots.
     [[nodiscard]] unsigned outstanding(policy::server_key server) const {
         return m_coordinator.scheduler().outstanding(server);
     }
-    /// Whether all other members hear from this process; where nobody coordinates, nobody can be sure to.
+    /// Whether all other members send heartbeats to this process. With `coordinates` = false this can't be
+    /// known, and the result is always true.
     [[nodiscard]] bool is_candidate() const {
         return !m_settings.coordinates || m_election.is_candidate(clock::now());
     }
-    /// Members that the coordinator counts; 0: none has told.
+    /// Number of members that the coordinator last reported; 0: unknown.
     [[nodiscard]] std::size_t members_told() const noexcept { return m_census.told(); }
 
 private:
@@ -126,7 +141,7 @@
     /// A member whose requests this process coordinates.
     struct served_member {
         batch_channel channel;
-        policy::time_point heard;
+        policy::time_point heard; ///< time of its last message
     };
 
     void tick();
@@ -173,12 +188,14 @@
 
     slot_source m_source = slot_source::own_part;
     policy::time_point m_source_since;
-    policy::member_key m_coordinating_member = 0; ///< while m_source is coordinator
-    std::optional<batch_channel> m_upstream;      ///< while m_source is coordinator
-    policy::time_point m_alone_since; ///< when this process started, or lost its coordinator, last
-    deferred_refusals m_deferred;     ///< while a coordinator is expected
-    std::map<policy::member_key, served_member> m_served; ///< while m_source is own_coordination
-    std::set<policy::member_key> m_told_members;          ///< served ones for which something may be due
+    policy::member_key m_coordinating_member = 0; ///< valid while m_source is coordinator
+    std::optional<batch_channel> m_upstream; ///< session with the coordinator, while m_source is coordinator
+    policy::time_point m_alone_since;        ///< when this process last started or lost its coordinator
+    deferred_refusals m_deferred;            ///< used while a coordinator is expected
+    /// Members that this process coordinates; empty unless m_source is own_coordination.
+    std::map<policy::member_key, served_member> m_served;
+    /// Members of m_served whose channels may have datagrams to send.
+    std::set<policy::member_key> m_told_members;
     policy::member_census m_census;
 
     own_requests m_requests;
--- a/src/coordination/slot_coordinator.cpp
+++ b/src/coordination/slot_coordinator.cpp
@@ -1,4 +1,5 @@
-// Limits first, then the scheduler.
+// Checks each slot request against the quarantine, the retry budget and the workspace's quota before it
+// reaches slot_scheduler.
 #include "coordination/slot_coordinator.hpp"
 
 #include <algorithm>
@@ -11,10 +12,11 @@
 
 using std::chrono::milliseconds;
 
-/// Told to callers whose workspace has used up its allowance: not before the units are there, and not so soon
-/// that the same refusal is certain to follow.
+/// Bounds of the wait that is suggested to callers whose workspace has used up its quota. The wait lasts
+/// until the quota has enough units again, so that the caller isn't certain to be refused once more.
 constexpr milliseconds least_allowance_wait{200};
 constexpr milliseconds most_allowance_wait{5000};
+/// The wait that is suggested to callers when the retry budget of a service is used up.
 constexpr milliseconds repeat_wait{500};
 
 } // namespace
@@ -85,7 +87,7 @@
 
 void slot_coordinator::take_withdrawal(policy::slot_ticket ticket, policy::time_point now) {
     if (!m_scheduler.withdraw(ticket)) {
-        return; // granted meanwhile: a release follows
+        return; // the slot was granted meanwhile, and the member will release it
     }
     const auto found = m_requests.find(ticket);
     if (found != m_requests.end()) {
--- a/src/coordination/slot_coordinator.hpp
+++ b/src/coordination/slot_coordinator.hpp
@@ -1,5 +1,5 @@
-// Gives slots to the requests of all members that are attached, within the limits that hold over all of them.
-// Knows no socket and no clock.
+// Grants slots to the requests of all attached members, within the limits that apply to all members together.
+// Uses no socket and no clock; the caller passes messages and times in.
 #pragma once
 
 #include "coordination/message.hpp"
@@ -15,7 +15,8 @@
 
 namespace borageford::coordination {
 
-/// Tickets are unique over all members: each draws them from a range of its own.
+/// The ids of slot requests (tickets) are unique among all members, because each member has its own range of
+/// them.
 class slot_coordinator {
 public:
     slot_coordinator(policy::slot_scheduler_limits slots, policy::allowance_limits allowances,
@@ -25,26 +26,29 @@
     [[nodiscard]] const policy::slot_scheduler& scheduler() const noexcept { return m_scheduler; }
     [[nodiscard]] policy::allowance_book& allowances() noexcept { return m_allowances; }
 
-    /// The part of all limits that this process may give out.
+    /// Sets the shares that this process may grant, each from 0 to 1: `slots` of all slots, `limits` of the
+    /// quotas and of the retry budget.
     void set_shares(double slots, double limits, policy::time_point now);
 
-    /// A server has ended and started anew, under another key.
+    /// A server restarted under another key. `former` is the key of the run that has ended.
     void take_restart(policy::server_key former, policy::time_point now);
 
-    /// Takes what a member says.
+    /// Processes the items that a member sent.
     void take(policy::member_key member, const batch_items& items, policy::time_point now);
 
-    /// A member is gone: its requests wait no more, and its slots are free.
+    /// Drops a member. Its waiting requests are removed, and the slots that its requests occupy become free.
     void detach(policy::member_key member, policy::time_point now);
 
-    /// Decides what can be decided now and returns what each member is to be told.
+    /// Grants free slots and refuses requests that can't be served in time. Returns the items to send, by
+    /// member.
     [[nodiscard]] std::map<policy::member_key, batch_items> decide(policy::time_point now);
 
 private:
+    /// A request that waits for a slot or occupies one.
     struct known_request {
         policy::member_key member = 0;
         policy::workspace_key workspace = 0;
-        double charged_units = 0;
+        double charged_units = 0; ///< charged to the workspace's quota; given back if it doesn't run
         std::uint64_t fingerprint = 0;
         bool is_running = false;
     };
@@ -60,7 +64,7 @@
     policy::crash_suspects m_suspects;
     policy::return_memory m_returns;
     std::unordered_map<policy::slot_ticket, known_request> m_requests;
-    std::map<policy::member_key, batch_items> m_output;
+    std::map<policy::member_key, batch_items> m_output; ///< decisions since the last call of decide()
 };
 
 } // namespace borageford::coordination
