--- a/src/store/native_format.cpp
+++ b/src/store/native_format.cpp
@@ -1,4 +1,4 @@
-// JSON over HTTP.
+// Encodes and decodes the table's calls as JSON over HTTP, in the project's own format.
 #include "store/native_format.hpp"
 
 #include "store/store_call.hpp"
--- a/src/store/native_format.hpp
+++ b/src/store/native_format.hpp
@@ -1,4 +1,4 @@
-// The table's calls as docs/INTERFACES.md describes them.
+// The encoding of the table's calls in the project's own format, which docs/INTERFACES.md describes.
 #pragma once
 
 #include "http/message.hpp"
@@ -11,8 +11,8 @@
 
 namespace borageford::store {
 
-/// Decoding throws std::exception for an answer that isn't what the protocol promises. An empty optional from
-/// a decoder of rows means that the status was none that the call expects.
+/// A decoding function throws std::exception for an answer that violates the protocol. It returns an empty
+/// optional when the call doesn't expect the status of the answer.
 class native_format {
 public:
     [[nodiscard]] http::request encode_transaction(const transaction& changes) const;
@@ -20,7 +20,7 @@
                                                                        const http::response& answer) const;
 
     [[nodiscard]] http::request encode_read(std::string_view key) const;
-    /// Sets `found` when the row exists; false: the status was unexpected.
+    /// Sets `found` when the row exists. Returns false when the call doesn't expect the status of the answer.
     [[nodiscard]] bool decode_read(const http::response& answer, std::optional<row>& found) const;
 
     [[nodiscard]] http::request encode_scan(std::string_view prefix, std::string_view after,
--- a/src/store/object_store.cpp
+++ b/src/store/object_store.cpp
@@ -1,4 +1,4 @@
-// The object store's calls over HTTP.
+// Sends the object store's calls over HTTP and decodes the answers.
 #include "store/object_store.hpp"
 
 #include "store/store_call.hpp"
@@ -73,7 +73,8 @@
                            std::chrono::milliseconds timeout)
     : m_executor(std::move(executor)), m_address(std::move(address)), m_timeout(timeout) {}
 
-// The calls below encode their arguments before they return, so a caller's views needn't outlive the call.
+// The functions below encode their arguments before they return an awaitable. Views that are passed to them
+// needn't stay valid until the awaitable is done.
 
 asio::awaitable<void> object_store::put(std::string_view key, std::string bytes) {
     return send_put(m_executor, m_address, m_timeout, "/objects/" + encode_for_target(key), std::move(bytes));
--- a/src/store/repeated_question.hpp
+++ b/src/store/repeated_question.hpp
@@ -1,4 +1,4 @@
-// One question to the store, asked more than once, of which the first answer counts.
+// One request to the store that is sent more than once; the first answer counts.
 #pragma once
 
 #include "store/store_error.hpp"
@@ -19,12 +19,13 @@
 
 namespace borageford::store {
 
-/// A silent store loses the questions that reach it, and the answers to those that are open, also after it is
-/// well again. So a question is asked once more beside the one that is open, which may yet be answered by a
-/// store that is only slow. A refusal is an answer as well.
+/// An unresponsive store never answers the requests that it received during an outage or shortly before it,
+/// not even after it has recovered. Therefore the request is sent again while the first call is still open.
+/// The first call is kept, because a store that is merely slow may still answer it. A refusal counts as an
+/// answer, too.
 ///
-/// Belongs to one coroutine and its executor. What is still open when this is destroyed is given up, and its
-/// connection closed.
+/// Belongs to one coroutine and its executor. The destructor cancels the calls that are still open and
+/// closes their connections.
 template <typename Answer>
 class repeated_question {
 public:
@@ -36,15 +37,16 @@
     repeated_question(repeated_question&&) = delete;
     repeated_question& operator=(repeated_question&&) = delete;
 
-    /// Begins a call that puts the question, beside those that are open.
+    /// Starts one more call of the same request. The calls that are open go on.
     void ask(boost::asio::awaitable<Answer> call);
 
-    /// To be called once. Throws store_error when the first call to end had failed.
+    /// Waits for the first call to end and returns its answer. Throws store_error if that call failed. May
+    /// be called only once.
     [[nodiscard]] boost::asio::awaitable<Answer> first_answer();
 
 private:
     using outcome = std::variant<Answer, store_error>;
-    /// Has room for one: later outcomes don't fit and are dropped.
+    /// Has a capacity of one outcome, so later outcomes are dropped.
     using outcome_channel =
         boost::asio::experimental::channel<void(boost::system::error_code, std::shared_ptr<outcome>)>;
 
@@ -53,7 +55,7 @@
 
     boost::asio::any_io_executor m_executor;
     std::shared_ptr<outcome_channel> m_first;
-    /// Each lives as long as its call.
+    /// The cancellation signals of the calls. Each signal lives as long as its call.
     std::vector<std::weak_ptr<boost::asio::cancellation_signal>> m_calls;
 };
 
--- a/src/store/repeated_read.cpp
+++ b/src/store/repeated_read.cpp
@@ -1,4 +1,4 @@
-// A timer that asks again while no answer comes.
+// Starts another read at every tick of a timer until the first read is answered.
 #include "store/repeated_read.hpp"
 
 #include "store/repeated_question.hpp"
--- a/src/store/repeated_read.hpp
+++ b/src/store/repeated_read.hpp
@@ -1,4 +1,4 @@
-// Reading a whole table when nothing is known yet and the store may not answer.
+// Reads a complete table from a store that may be unresponsive, for a process that has no data yet.
 #pragma once
 
 #include "base/timer_service.hpp"
@@ -12,15 +12,16 @@
 
 namespace borageford::store {
 
-/// Reads all rows whose keys start with `prefix`. While no answer comes, the question is asked again at every
-/// `period`, over a connection of its own; the first answer counts, a refusal as well, and later ones are
-/// passed over.
+/// Reads all rows whose keys start with `prefix`. While there is no answer, the read is started again after
+/// each `period`, over another connection. The first answer counts, also if it is a refusal; later answers
+/// are ignored.
 ///
-/// A store that is silent loses the questions that reach it meanwhile, and a question waits seconds until it
-/// counts as lost. A process that had just started, and knew no configuration, thus went on refusing its
-/// callers for up to a whole timeout after the store was back.
+/// An unresponsive store loses the reads that it receives, and a lost read times out only after seconds.
+/// Without the repeated reads, a process that had just started and had no configuration refused its callers
+/// for up to one timeout after the store had recovered.
 ///
-/// `table` must outlive the timeout of its calls. Throws store_error.
+/// `table` must stay valid until its calls have timed out. Throws store_error when the first answer is a
+/// failure.
 [[nodiscard]] boost::asio::awaitable<row_page> read_all_repeatedly(boost::asio::any_io_executor executor,
                                                                    timer_service& timers, table& table,
                                                                    std::string prefix,
--- a/src/store/store_call.cpp
+++ b/src/store/store_call.cpp
@@ -1,4 +1,4 @@
-// The exchange itself, and the mapping from its failures to store_error.
+// Makes an HTTP exchange with the platform and converts its failures to store_error.
 #include "store/store_call.hpp"
 
 #include "http/client.hpp"
@@ -22,8 +22,7 @@
 constexpr unsigned service_unavailable = 503;
 constexpr unsigned first_server_error = 500;
 
-/// A write whose request has left may have taken effect although its answer is lost; only a connection that
-/// never opened rules that out.
+/// A write may have taken effect although its answer was lost, unless the connection was never established.
 effect effect_of_failure(http::exchange_stage stage, call_kind kind) {
     if (kind == call_kind::read || stage == http::exchange_stage::connecting) {
         return effect::none;
@@ -48,7 +47,8 @@
     limits.idle = timeout;
     http::response answer;
     try {
-        // The stream's own timeouts run on its executor, so a strand keeps them from racing its reads.
+        // The timeouts of the stream run on its executor. The strand keeps them from running concurrently
+        // with the stream's reads.
         const asio::any_io_executor strand = asio::make_strand(executor);
         answer =
             co_await asio::co_spawn(strand, http::fetch(strand, address, call, limits), asio::use_awaitable);
--- a/src/store/store_call.hpp
+++ b/src/store/store_call.hpp
@@ -1,4 +1,4 @@
-// One HTTP exchange with the platform, with its failures told apart by what they mean for the caller.
+// One HTTP exchange with the platform. Its failures are classified by whether a write may have taken effect.
 #pragma once
 
 #include "http/message.hpp"
@@ -15,20 +15,22 @@
 
 namespace borageford::store {
 
-/// Whether a call can change what the platform holds.
+/// Whether a call can change data on the platform.
 enum class call_kind : std::uint8_t { read, write };
 
-/// Sends the request and returns the platform's answer, whatever its status but 429 and 5xx.
-/// Throws store_error; for a write that may have reached the platform its effect is unknown.
+/// Sends the request and returns the platform's answer with any status except 429 and 5xx. Throws
+/// store_error for these statuses and for failed exchanges; its effect is unknown for a write that may have
+/// reached the platform.
 boost::asio::awaitable<http::response> call_store(boost::asio::any_io_executor executor,
                                                   boost::asio::ip::tcp::endpoint address,
                                                   std::chrono::milliseconds timeout, http::request call,
                                                   call_kind kind);
 
-/// Fails with what the platform answered, for a status that the call doesn't expect.
+/// Throws store_error for an answer whose status the call doesn't expect. `call` names the call in the
+/// message.
 [[noreturn]] void refuse_answer(std::string_view call, unsigned status, call_kind kind);
 
-/// Encodes a value for a query or a path segment; "/" stays as it is.
+/// Percent-encodes a value for the query or the path of a target. "/" isn't encoded.
 [[nodiscard]] std::string encode_for_target(std::string_view text);
 
 } // namespace borageford::store
--- a/src/store/store_error.hpp
+++ b/src/store/store_error.hpp
@@ -1,4 +1,4 @@
-// What can go wrong with a call to the platform, by what it means for the caller.
+// The error of a call to the platform, with what it means for a write.
 #pragma once
 
 #include <cstdint>
@@ -7,13 +7,14 @@
 
 namespace borageford::store {
 
-/// Whether a failed write can have taken effect.
+/// Whether a failed write may have taken effect.
 enum class effect : std::uint8_t {
-    none,    ///< refused or never sent: nothing changed
-    unknown, ///< sent, and no answer came: read back to learn
+    none,    ///< the write was refused or never sent, so nothing changed
+    unknown, ///< the write was sent but not answered; the caller has to read the data to find out
 };
 
-/// An outage, a refusal for its rate, a timeout or a lost answer.
+/// Thrown when a call fails: an outage of the platform, a rate limit, a timeout, a lost or an unexpected
+/// answer.
 class store_error : public std::runtime_error {
 public:
     store_error(effect possible_effect, const std::string& text)
--- a/src/store/table.cpp
+++ b/src/store/table.cpp
@@ -1,4 +1,4 @@
-// Each call: encode, exchange, decode, in the format given.
+// Each call encodes its request in the given format, makes an HTTP exchange and decodes the answer.
 #include "store/table.hpp"
 
 #include "store/store_call.hpp"
@@ -13,16 +13,18 @@
 
 namespace {
 
+/// Rows that one page of table::read_all() may contain.
 constexpr std::size_t page_rows = 500;
 
-/// What a call needs besides its arguments; copied into its coroutine.
+/// Where and how to send a call. Copied into the coroutine of the call.
 struct call_target {
     asio::any_io_executor executor;
     asio::ip::tcp::endpoint address;
     std::chrono::milliseconds timeout;
 };
 
-/// Decodes an answer; one that isn't what the protocol promises is as good as lost.
+/// Decodes an answer. Throws store_error for an answer that violates the protocol, which is treated like a
+/// lost one.
 template <typename Decode>
 auto decode_or_refuse(call_kind kind, Decode decode) {
     try {
@@ -91,7 +93,8 @@
              std::chrono::milliseconds timeout, table_format format)
     : m_executor(std::move(executor)), m_address(std::move(address)), m_timeout(timeout), m_format(format) {}
 
-// The calls below encode their arguments before they return, so a caller's views needn't outlive the call.
+// The functions below encode their arguments before they return an awaitable. Views that are passed to them
+// needn't stay valid until the awaitable is done.
 
 asio::awaitable<transaction_result> table::transact(const transaction& changes) {
     auto call = std::visit([&](const auto& spoken) { return spoken.encode_transaction(changes); }, m_format);
@@ -119,7 +122,8 @@
         if (!after.empty() && page.position.era != all.position.era) {
             throw store_error(effect::none, "platform: it came back from a copy while its rows were read");
         }
-        // Later pages may be newer; following from the first page's version tells their changes again.
+        // Later pages may be newer than the first. The position of the first page is kept, so that a caller
+        // that requests the changes after it misses none; it receives changes between the pages again.
         all.position = after.empty() ? page.position : all.position;
         all.store_time = after.empty() ? page.store_time : all.store_time;
         has_more = page.has_more && !page.rows.empty();
--- a/src/store/table.hpp
+++ b/src/store/table.hpp
@@ -1,4 +1,4 @@
-// The platform's transactional table, in the format that the deployment speaks.
+// Client of the platform's transactional table, for the format that the deployment uses.
 #pragma once
 
 #include "store/deployed_format.hpp"
@@ -23,26 +23,30 @@
 
 using table_format = std::variant<native_format, deployed_format>;
 
-/// One HTTP exchange a call. Every call throws store_error when the store doesn't answer it.
+/// Each function makes one HTTP exchange (read_all() one for each page) and throws store_error when that
+/// fails or the store refuses the call.
 class table {
 public:
     table(boost::asio::any_io_executor executor, boost::asio::ip::tcp::endpoint address,
           std::chrono::milliseconds timeout, table_format format = native_format());
 
+    /// Commits the changes if all conditions of the transaction hold.
     boost::asio::awaitable<transaction_result> transact(const transaction& changes);
-    /// Nothing when there is no such row. May be stale.
+    /// Returns a row; nothing when there is no such row. The answer may be stale.
     boost::asio::awaitable<std::optional<row>> read(std::string_view key);
-    /// Up to `limit` rows whose keys start with `prefix`, from after `after` on. May be stale.
+    /// Returns up to `limit` rows whose keys start with `prefix` and come after `after`. The answer may be
+    /// stale.
     boost::asio::awaitable<std::vector<row>> scan(std::string_view prefix, std::string_view after,
                                                   std::size_t limit);
 
-    /// All rows whose keys start with `prefix`, page after page, and the position and the store's clock of
-    /// the first page. Throws store_error when the store begins a new era between two pages.
+    /// Reads all rows whose keys start with `prefix`, page after page. The result has the position and the
+    /// store time of the first page. Throws store_error when the store is restored from an older copy
+    /// between two pages.
     boost::asio::awaitable<row_page> read_all(std::string prefix);
 
-    /// What changed in the rows "TABLE/..." after a version; waits up to `wait` for a first change. Nothing
-    /// when that history is gone and everything has to be read again. Throws store_error for a format that
-    /// can't tell changes.
+    /// Returns the changes of the rows "TABLE/..." after a version. The store holds the call open until
+    /// there is a change, for up to `wait`. Returns nothing when the store no longer has these changes, so
+    /// that all rows have to be read again. Throws store_error for a format that has no such call.
     boost::asio::awaitable<std::optional<change_page>> changes(std::string table_name, std::uint64_t after,
                                                                std::chrono::milliseconds wait);
 
--- a/src/store/vm_directory.cpp
+++ b/src/store/vm_directory.cpp
@@ -1,4 +1,4 @@
-// Polling the list of VMs.
+// Polls the platform's list of VMs and applies what changed.
 #include "store/vm_directory.hpp"
 
 #include "base/log.hpp"
@@ -22,6 +22,7 @@
 
 constexpr unsigned status_ok = 200;
 
+/// The text of a field; empty when the field is missing or isn't a string.
 std::string text_of(const json::value& from, std::string_view key) {
     const auto* found = from.as_object().if_contains(key);
     return found == nullptr || !found->is_string() ? std::string() : json::value_to<std::string>(*found);
@@ -39,7 +40,8 @@
     return decoded;
 }
 
-/// Applies one entry of the list; one that can't be read is left out, so that it doesn't hide the others.
+/// Applies one entry of the list. A malformed entry is logged and skipped, so that the remaining entries
+/// still count.
 void apply_entry(vm_map& vms, const json::value& entry) {
     try {
         if (text_of(entry, "state") == "gone") {
@@ -55,8 +57,10 @@
 
 } // namespace
 
-/// Invariant: `version`, `reachable` and `changed` are touched only on the strand; a single poll runs at a
-/// time, so changes are applied in the order of the list's versions.
+/// The state that the polls share. It lives until the last poll has ended.
+///
+/// Invariants: `version`, `reachable` and `changed` are accessed only on the strand. Only one poll runs at
+/// a time, so changes are applied in the order of the list's versions.
 struct vm_directory::state : std::enable_shared_from_this<vm_directory::state> {
     state(const asio::any_io_executor& executor, timer_service& given_timers,
           asio::ip::tcp::endpoint given_platform, std::chrono::milliseconds given_timeout,
@@ -94,7 +98,7 @@
     void apply(const json::value& answer) {
         const auto newer = answer.at("version").to_number<std::uint64_t>();
         const auto& entries = answer.at("vms").as_array();
-        // A stale read would bring VMs back that have gone.
+        // A stale answer would add VMs again that have been removed.
         if (newer < version || entries.empty() || stopped) {
             return;
         }
