--- a/src/coordination/batch_channel.cpp
+++ b/src/coordination/batch_channel.cpp
@@ -16,20 +16,20 @@
 /// The delay doubles at each retransmission, up to this many times. A coordinator that falls behind
 /// acknowledges late. With a fixed delay of 12 ms the retransmissions of 300 members kept it behind until its
 /// members gave it up.
-constexpr unsigned most_doublings = 3;
+constexpr unsigned max_delay_doublings = 3;
 /// A datagram stays below the size of an Ethernet frame. A larger one would be fragmented, and one lost
 /// fragment would lose all of it.
-constexpr std::size_t most_bytes = 1300;
+constexpr std::size_t max_datagram_bytes = 1300;
 /// How many numbers a received batch may be ahead of the last one delivered. A batch further ahead is
 /// dropped, and its sender retransmits it.
-constexpr std::uint32_t most_early = 256;
+constexpr std::uint32_t max_batches_ahead = 256;
 
 /// Moves items from the front of `from` to the end of `to` until the datagram that holds `filled` is full.
 /// Returns whether all items were moved.
 template <typename Item>
-bool move_some(std::vector<Item>& from, std::vector<Item>& to, const batch_items& filled) {
+bool move_until_full(std::vector<Item>& from, std::vector<Item>& to, const batch_items& filled) {
     auto next = from.begin();
-    while (next != from.end() && filled.encoded_size() < most_bytes) {
+    while (next != from.end() && filled.encoded_size() < max_datagram_bytes) {
         to.push_back(std::move(*next));
         ++next;
     }
@@ -44,13 +44,13 @@
         batch_items items;
         // The receiver processes the lists in this order, because a later list can refer to requests and
         // servers of an earlier one.
-        [[maybe_unused]] const bool all = move_some(m_pending.reports, items.reports, items) &&
-                                          move_some(m_pending.holds, items.holds, items) &&
-                                          move_some(m_pending.asks, items.asks, items) &&
-                                          move_some(m_pending.withdrawals, items.withdrawals, items) &&
-                                          move_some(m_pending.releases, items.releases, items) &&
-                                          move_some(m_pending.grants, items.grants, items) &&
-                                          move_some(m_pending.refusals, items.refusals, items);
+        [[maybe_unused]] const bool all = move_until_full(m_pending.reports, items.reports, items) &&
+                                          move_until_full(m_pending.holds, items.holds, items) &&
+                                          move_until_full(m_pending.asks, items.asks, items) &&
+                                          move_until_full(m_pending.withdrawals, items.withdrawals, items) &&
+                                          move_until_full(m_pending.releases, items.releases, items) &&
+                                          move_until_full(m_pending.grants, items.grants, items) &&
+                                          move_until_full(m_pending.refusals, items.refusals, items);
         m_unacknowledged.push_back({++m_last_sealed, std::move(items), {}, {}, 0});
     }
 }
@@ -60,7 +60,7 @@
     std::vector<datagram> due;
     for (auto& batch : m_unacknowledged) {
         const bool is_new = batch.sends == 0;
-        const auto delay = retransmit_delay * (1U << std::min(batch.sends, most_doublings + 1) >> 1U);
+        const auto delay = retransmit_delay * (1U << std::min(batch.sends, max_delay_doublings + 1) >> 1U);
         if (!is_new && now - batch.sent < delay) {
             continue;
         }
@@ -75,12 +75,12 @@
     return due;
 }
 
-void batch_channel::stamp(datagram& message) const noexcept {
+void batch_channel::set_session_fields(datagram& message) const noexcept {
     message.session = m_session;
-    message.acknowledged = m_last_taken;
+    message.acknowledged = m_last_delivered;
 }
 
-void batch_channel::take_acknowledgement(std::uint32_t batch) {
+void batch_channel::handle_acknowledgement(std::uint32_t batch) {
     while (!m_unacknowledged.empty() && m_unacknowledged.front().number <= batch) {
         m_unacknowledged.pop_front();
     }
@@ -93,16 +93,16 @@
     return m_unacknowledged.front().first_sent;
 }
 
-std::vector<batch_items> batch_channel::take_batch(std::uint32_t number, batch_items items) {
+std::vector<batch_items> batch_channel::receive_batch(std::uint32_t number, batch_items items) {
     std::vector<batch_items> next;
-    if (number <= m_last_taken || number > m_last_taken + most_early) {
+    if (number <= m_last_delivered || number > m_last_delivered + max_batches_ahead) {
         return next;
     }
-    m_early.try_emplace(number, std::move(items));
-    while (!m_early.empty() && m_early.begin()->first == m_last_taken + 1) {
-        next.push_back(std::move(m_early.begin()->second));
-        m_early.erase(m_early.begin());
-        ++m_last_taken;
+    m_buffered.try_emplace(number, std::move(items));
+    while (!m_buffered.empty() && m_buffered.begin()->first == m_last_delivered + 1) {
+        next.push_back(std::move(m_buffered.begin()->second));
+        m_buffered.erase(m_buffered.begin());
+        ++m_last_delivered;
     }
     return next;
 }
--- a/src/coordination/batch_channel.hpp
+++ b/src/coordination/batch_channel.hpp
@@ -29,20 +29,20 @@
     [[nodiscard]] batch_items& pending() noexcept { return m_pending; }
 
     /// Returns a datagram for each batch that has to be sent now: new batches, and batches whose
-    /// acknowledgement is overdue. The caller completes each datagram with stamp() and with the status of the
-    /// sender.
+    /// acknowledgement is overdue. The caller completes each datagram with set_session_fields() and with the
+    /// status of the sender.
     [[nodiscard]] std::vector<datagram> take_due(policy::time_point now);
 
     /// Sets the session id and the acknowledgement, which every datagram of the session contains.
-    void stamp(datagram& message) const noexcept;
+    void set_session_fields(datagram& message) const noexcept;
 
     /// Drops the sent batches up to this number, which the other side has acknowledged.
-    void take_acknowledgement(std::uint32_t batch);
+    void handle_acknowledgement(std::uint32_t batch);
 
     /// Accepts a received batch and returns the batches that can be delivered now, in order. The result is
     /// empty while an earlier batch is missing or when this batch was delivered before. When the batch fills
     /// a gap, the buffered batches that follow it are returned with it.
-    [[nodiscard]] std::vector<batch_items> take_batch(std::uint32_t number, batch_items items);
+    [[nodiscard]] std::vector<batch_items> receive_batch(std::uint32_t number, batch_items items);
 
     [[nodiscard]] bool has_unacknowledged() const noexcept { return !m_unacknowledged.empty(); }
     /// When the oldest unacknowledged batch was sent for the first time; nothing when all sent batches are
@@ -65,9 +65,9 @@
     batch_items m_pending;
     std::deque<sent_batch> m_unacknowledged; ///< ascending numbers
     std::uint32_t m_last_sealed = 0;         ///< number of the newest batch of this side; 0: none yet
-    std::uint32_t m_last_taken = 0;          ///< number of the last batch delivered here; 0: none yet
-    /// Received batches that wait for an earlier one; their numbers are greater than m_last_taken + 1.
-    std::map<std::uint32_t, batch_items> m_early;
+    std::uint32_t m_last_delivered = 0;      ///< number of the last batch delivered here; 0: none yet
+    /// Received batches that wait for an earlier one; their numbers are greater than m_last_delivered + 1.
+    std::map<std::uint32_t, batch_items> m_buffered;
 };
 
 } // namespace borageford::coordination
--- a/src/coordination/slot_broker.cpp
+++ b/src/coordination/slot_broker.cpp
@@ -250,7 +250,7 @@
 
 void slot_broker::flush_channel(policy::member_key member, batch_channel& channel, policy::time_point now) {
     for (auto& message : channel.take_due(now)) {
-        channel.stamp(message);
+        channel.set_session_fields(message);
         send(member, std::move(message));
     }
 }
@@ -309,7 +309,7 @@
     message.wants_reply = true;
     message.known = m_election.known(clock::now());
     if (m_source == slot_source::coordinator && member == m_coordinating_member) {
-        m_upstream->stamp(message);
+        m_upstream->set_session_fields(message);
     }
     send(member, std::move(message));
 }
@@ -379,7 +379,7 @@
         reply.known = m_election.known(now);
         const auto served = m_served.find(member);
         if (served != m_served.end()) {
-            served->second.channel.stamp(reply);
+            served->second.channel.set_session_fields(reply);
         }
         send(member, std::move(reply));
     }
@@ -387,19 +387,19 @@
 
 void slot_broker::take_from_coordinator(datagram message) {
     m_census.note_told(message.sender.members, clock::now());
-    m_upstream->take_acknowledgement(message.acknowledged);
+    m_upstream->handle_acknowledgement(message.acknowledged);
     if (message.batch == 0) {
         return;
     }
     const auto session = m_upstream->session();
-    for (const auto& items : m_upstream->take_batch(message.batch, std::move(message.items))) {
+    for (const auto& items : m_upstream->receive_batch(message.batch, std::move(message.items))) {
         deliver(items);
     }
     if (!m_upstream.has_value() || m_upstream->session() != session) {
         return;
     }
     datagram reply;
-    m_upstream->stamp(reply);
+    m_upstream->set_session_fields(reply);
     send(m_coordinating_member, std::move(reply));
 }
 
@@ -424,17 +424,17 @@
     }
     served->second.heard = now;
     m_census.note_served(member, now);
-    served->second.channel.take_acknowledgement(message.acknowledged);
+    served->second.channel.handle_acknowledgement(message.acknowledged);
     if (message.batch == 0) {
         return;
     }
-    for (const auto& items : served->second.channel.take_batch(message.batch, std::move(message.items))) {
+    for (const auto& items : served->second.channel.receive_batch(message.batch, std::move(message.items))) {
         take_items(member, items, now);
     }
     hand_out(now);
     datagram reply;
     if (served->second.channel.pending().is_empty()) {
-        served->second.channel.stamp(reply);
+        served->second.channel.set_session_fields(reply);
         send(member, std::move(reply));
     }
     schedule_flush();
--- a/tests/unit/test_coordination.cpp
+++ b/tests/unit/test_coordination.cpp
@@ -215,7 +215,7 @@
         for (std::size_t count = on_the_way.size() / 2 + 1; count > 0 && !on_the_way.empty(); --count) {
             auto message = std::move(on_the_way.back());
             on_the_way.pop_back();
-            for (const auto& items : receiver.take_batch(message.batch, std::move(message.items))) {
+            for (const auto& items : receiver.receive_batch(message.batch, std::move(message.items))) {
                 for (const auto& ask : items.asks) {
                     taken.push_back(ask.ticket);
                 }
@@ -223,8 +223,8 @@
         }
         if (random() % 3 != 0) {
             datagram reply;
-            receiver.stamp(reply);
-            sender.take_acknowledgement(reply.acknowledged);
+            receiver.set_session_fields(reply);
+            sender.handle_acknowledgement(reply.acknowledged);
         }
     }
     REQUIRE(taken.size() == 200);
