--- a/src/coordination/own_requests.cpp
+++ b/src/coordination/own_requests.cpp
@@ -6,8 +6,8 @@
 
 namespace borageford::coordination {
 
-void own_requests::add(const policy::slot_request& wanted, slot_answer to_call) {
-    m_waiting.emplace(wanted.ticket, waiting_request{wanted, std::move(to_call)});
+void own_requests::add(const policy::slot_request& wanted, slot_callbacks callbacks) {
+    m_waiting.emplace(wanted.ticket, waiting_request{wanted, std::move(callbacks)});
 }
 
 bool own_requests::withdraw(policy::slot_ticket ticket) {
@@ -22,25 +22,25 @@
     return held.mapped();
 }
 
-bool own_requests::take_grant(const policy::slot_grant& grant) {
+bool own_requests::apply_grant(const policy::slot_grant& grant) {
     const auto waiting = m_waiting.extract(grant.ticket);
     if (waiting.empty()) {
         return false;
     }
     const auto& request = waiting.mapped().request;
     m_running[grant.ticket] = {grant.ticket, grant.server, request.service, request.tier, request.cost};
-    waiting.mapped().to_call.on_grant(grant);
+    waiting.mapped().callbacks.on_grant(grant);
     return true;
 }
 
-void own_requests::take_refusal(const policy::slot_refusal& refusal) {
+void own_requests::apply_refusal(const policy::slot_refusal& refusal) {
     const auto waiting = m_waiting.extract(refusal.ticket);
     if (!waiting.empty()) {
-        waiting.mapped().to_call.on_refusal(refusal);
+        waiting.mapped().callbacks.on_refusal(refusal);
     }
 }
 
-batch_items own_requests::tell_all() const {
+batch_items own_requests::list_all() const {
     batch_items items;
     for (const auto& [ticket, hold] : m_running) {
         items.holds.push_back(hold);
@@ -51,7 +51,7 @@
     return items;
 }
 
-batch_items own_requests::ask_again(std::span<const policy::slot_ticket> tickets) const {
+batch_items own_requests::find_waiting(std::span<const policy::slot_ticket> tickets) const {
     batch_items items;
     for (const auto ticket : tickets) {
         const auto found = m_waiting.find(ticket);
--- a/src/coordination/own_requests.hpp
+++ b/src/coordination/own_requests.hpp
@@ -13,7 +13,7 @@
 namespace borageford::coordination {
 
 /// The callbacks of a slot request. Exactly one of them is called, once, unless the request is withdrawn.
-struct slot_answer {
+struct slot_callbacks {
     std::function<void(const policy::slot_grant&)> on_grant;
     std::function<void(const policy::slot_refusal&)> on_refusal;
 };
@@ -22,7 +22,7 @@
 class own_requests {
 public:
     /// Adds a request that waits for a slot.
-    void add(const policy::slot_request& wanted, slot_answer to_call);
+    void add(const policy::slot_request& wanted, slot_callbacks callbacks);
     /// Removes a waiting request without calling it back. Returns whether the request was waiting.
     bool withdraw(policy::slot_ticket ticket);
     /// Ends a request that occupies a slot and returns the slot; nothing when the request occupied none.
@@ -30,9 +30,9 @@
 
     /// Calls `on_grant` of a waiting request, which occupies the slot from now on. Returns false when the
     /// request is no longer waiting.
-    bool take_grant(const policy::slot_grant& grant);
+    bool apply_grant(const policy::slot_grant& grant);
     /// Calls `on_refusal` of a request and forgets the request; does nothing when it is no longer waiting.
-    void take_refusal(const policy::slot_refusal& refusal);
+    void apply_refusal(const policy::slot_refusal& refusal);
 
     [[nodiscard]] bool occupies_slot(policy::slot_ticket ticket) const { return m_running.contains(ticket); }
     /// Number of requests that wait for a slot.
@@ -41,14 +41,14 @@
     [[nodiscard]] std::size_t running() const noexcept { return m_running.size(); }
 
     /// Returns everything that a new coordinator needs: the occupied slots and the waiting requests.
-    [[nodiscard]] batch_items tell_all() const;
+    [[nodiscard]] batch_items list_all() const;
     /// Returns slot requests for those of the given requests that still wait.
-    [[nodiscard]] batch_items ask_again(std::span<const policy::slot_ticket> tickets) const;
+    [[nodiscard]] batch_items find_waiting(std::span<const policy::slot_ticket> tickets) const;
 
 private:
     struct waiting_request {
         policy::slot_request request;
-        slot_answer to_call;
+        slot_callbacks callbacks;
     };
 
     std::unordered_map<policy::slot_ticket, waiting_request> m_waiting;
--- a/src/coordination/slot_broker.cpp
+++ b/src/coordination/slot_broker.cpp
@@ -53,11 +53,11 @@
 }
 
 slot_broker::slot_broker(asio::any_io_executor executor, timer_service& timers, broker_settings settings,
-                         observers to_call)
+                         observers callbacks)
     : m_executor(std::move(executor)),
       m_timers(timers),
       m_settings(settings),
-      m_observers(std::move(to_call)),
+      m_observers(std::move(callbacks)),
       m_incarnation(identifier::random().low),
       m_self(key_of(settings.local.address())),
       m_election(m_self, settings.processor_share, settings.election, clock::now()),
@@ -123,10 +123,10 @@
     return (m_incarnation << ticket_shift) | ++m_last_ticket;
 }
 
-void slot_broker::request(const policy::slot_request& wanted, slot_answer to_call) {
+void slot_broker::request(const policy::slot_request& wanted, slot_callbacks callbacks) {
     auto asked = wanted;
     asked.domain = m_settings.domain;
-    m_requests.add(asked, std::move(to_call));
+    m_requests.add(asked, std::move(callbacks));
     batch_items items;
     items.asks.push_back(asked);
     pass_on(std::move(items));
@@ -239,7 +239,7 @@
 }
 
 void slot_broker::ask_deferred_again(policy::time_point now) {
-    m_coordinator.take(m_self, m_requests.ask_again(m_deferred.take_all()), now);
+    m_coordinator.take(m_self, m_requests.find_waiting(m_deferred.take_all()), now);
 }
 
 void slot_broker::report_change_of_source(slot_source before) const {
@@ -480,10 +480,10 @@
     }
     m_served.clear();
     m_coordinator.detach(m_self, clock::now());
-    m_deferred.clear(); // tell_all() below includes these requests
+    m_deferred.clear(); // list_all() below includes these requests
     m_coordinating_member = coordinator;
     m_upstream.emplace(identifier::random().low);
-    m_upstream->pending() = m_requests.tell_all();
+    m_upstream->pending() = m_requests.list_all();
     m_upstream->pending().reports = m_coordinator.scheduler().report_servers(most_reports, clock::now());
     schedule_flush();
     report_change_of_source(before);
@@ -503,7 +503,7 @@
     if (before == slot_source::coordinator) {
         m_alone_since = now;
         m_upstream.reset();
-        m_coordinator.take(m_self, m_requests.tell_all(), now);
+        m_coordinator.take(m_self, m_requests.list_all(), now);
     }
     schedule_flush();
     report_change_of_source(before);
@@ -535,15 +535,15 @@
         m_coordinator.scheduler().adopt(report, clock::now());
     }
     for (const auto& grant : items.grants) {
-        take_grant(grant);
+        apply_grant(grant);
     }
     for (const auto& refusal : items.refusals) {
-        m_requests.take_refusal(refusal);
+        m_requests.apply_refusal(refusal);
     }
 }
 
-void slot_broker::take_grant(const policy::slot_grant& grant) {
-    if (m_requests.take_grant(grant) || m_requests.occupies_slot(grant.ticket)) {
+void slot_broker::apply_grant(const policy::slot_grant& grant) {
+    if (m_requests.apply_grant(grant) || m_requests.occupies_slot(grant.ticket)) {
         return;
     }
     // The request was withdrawn, or a previous coordinator granted it a slot, while this grant was in
--- a/src/coordination/slot_broker.hpp
+++ b/src/coordination/slot_broker.hpp
@@ -87,7 +87,7 @@
     };
 
     slot_broker(boost::asio::any_io_executor executor, timer_service& timers, broker_settings settings,
-                observers to_call);
+                observers callbacks);
 
     /// Opens the socket and starts to exchange heartbeats with the other members.
     void start();
@@ -111,9 +111,9 @@
     /// Returns an id for a slot request that is unique among all processes.
     [[nodiscard]] policy::slot_ticket next_ticket() noexcept;
 
-    /// Requests a slot. One of the callbacks in `to_call` is called once, after this function has returned,
+    /// Requests a slot. One of the callbacks in `callbacks` is called once, after this function has returned,
     /// unless the request is withdrawn before.
-    void request(const policy::slot_request& wanted, slot_answer to_call);
+    void request(const policy::slot_request& wanted, slot_callbacks callbacks);
     /// Withdraws a slot request. If the slot was granted already and the grant is in transit, the slot is
     /// returned.
     void withdraw(policy::slot_ticket ticket);
@@ -168,7 +168,7 @@
     void expire_members(policy::time_point now);
 
     void deliver(const batch_items& items);
-    void take_grant(const policy::slot_grant& grant);
+    void apply_grant(const policy::slot_grant& grant);
     void pass_on(batch_items items);
     void schedule_flush();
     void flush();
