--- a/src/coordination/slot_coordinator.cpp
+++ b/src/coordination/slot_coordinator.cpp
@@ -14,21 +14,21 @@
 
 /// Bounds of the wait that is suggested to callers whose workspace has used up its quota. The wait lasts
 /// until the quota has enough units again, so that the caller isn't certain to be refused once more.
-constexpr milliseconds least_allowance_wait{200};
-constexpr milliseconds most_allowance_wait{5000};
+constexpr milliseconds min_quota_wait{200};
+constexpr milliseconds max_quota_wait{5000};
 /// The wait that is suggested to callers when the retry budget of a service is used up.
-constexpr milliseconds repeat_wait{500};
+constexpr milliseconds retry_budget_wait{500};
 
 } // namespace
 
 slot_coordinator::slot_coordinator(policy::slot_scheduler_limits slots, policy::allowance_limits allowances,
                                    policy::repeat_limits repeats)
-    : m_scheduler(slots), m_allowances(allowances), m_repeats(repeats) {}
+    : m_scheduler(slots), m_quotas(allowances), m_retry_budget(repeats) {}
 
 void slot_coordinator::set_shares(double slots, double limits, policy::time_point now) {
     m_scheduler.set_share(slots);
-    m_allowances.set_share(limits, now);
-    m_repeats.set_share(limits);
+    m_quotas.set_share(limits, now);
+    m_retry_budget.set_share(limits);
 }
 
 void slot_coordinator::take_restart(policy::server_key former, policy::time_point now) {
@@ -44,59 +44,58 @@
         m_scheduler.add_running({hold.ticket, hold.server, hold.service, hold.tier}, now);
         m_requests[hold.ticket] = {member, 0, 0, 0, true};
     }
-    for (const auto& ask : items.asks) {
-        take_ask(member, ask, now);
+    for (const auto& request : items.asks) {
+        handle_slot_request(member, request, now);
     }
     for (const auto ticket : items.withdrawals) {
-        take_withdrawal(ticket, now);
+        handle_withdrawal(ticket, now);
     }
     for (const auto& ended : items.releases) {
-        take_release(ended, now);
+        handle_release(ended, now);
     }
 }
 
-void slot_coordinator::take_ask(policy::member_key member, const policy::slot_request& ask,
-                                policy::time_point now) {
-    if (const auto held = m_suspects.held_for(ask.fingerprint, now)) {
-        refuse(member, {ask.ticket, policy::refusal_reason::held_back, *held});
+void slot_coordinator::handle_slot_request(policy::member_key member, const policy::slot_request& request,
+                                           policy::time_point now) {
+    if (const auto held = m_suspects.held_for(request.fingerprint, now)) {
+        refuse(member, {request.ticket, policy::refusal_reason::held_back, *held});
         return;
     }
-    if (ask.sends == 0) {
-        m_repeats.count_request(ask.service, now);
-    } else if (!m_repeats.try_repeat(ask.service, now)) {
-        const auto used = m_repeats.look(ask.service, now);
-        refuse(member, {ask.ticket, policy::refusal_reason::over_retry_budget, repeat_wait, used.repeats + 1,
-                        used.allowed});
+    if (request.sends == 0) {
+        m_retry_budget.count_request(request.service, now);
+    } else if (!m_retry_budget.try_repeat(request.service, now)) {
+        const auto used = m_retry_budget.look(request.service, now);
+        refuse(member, {request.ticket, policy::refusal_reason::over_retry_budget, retry_budget_wait,
+                        used.repeats + 1, used.allowed});
         return;
     }
-    const double units = ask.is_charged ? 0 : ask.units;
-    const int rank = policy::rank_in_workspace(ask.tier);
-    if (units > 0 && !m_allowances.try_take(ask.workspace, units, rank, now)) {
-        const auto wait =
-            std::clamp<policy::duration>(m_allowances.time_until(ask.workspace, units, rank, now),
-                                         least_allowance_wait, most_allowance_wait);
-        refuse(member, {ask.ticket, policy::refusal_reason::over_allowance, wait, units,
-                        m_allowances.available(ask.workspace, units, rank, now)});
+    const double units = request.is_charged ? 0 : request.units;
+    const int rank = policy::rank_in_workspace(request.tier);
+    if (units > 0 && !m_quotas.try_take(request.workspace, units, rank, now)) {
+        const auto wait = std::clamp<policy::duration>(
+            m_quotas.time_until(request.workspace, units, rank, now), min_quota_wait, max_quota_wait);
+        refuse(member, {request.ticket, policy::refusal_reason::over_allowance, wait, units,
+                        m_quotas.available(request.workspace, units, rank, now)});
         return;
     }
-    m_requests[ask.ticket] = {member, ask.workspace, units, ask.fingerprint, false};
-    auto known = ask;
-    known.returns = m_returns.refusals(ask.fingerprint, now);
+    m_requests[request.ticket] = {member, request.workspace, units, request.fingerprint, false};
+    auto known = request;
+    known.returns = m_refusal_history.refusals(request.fingerprint, now);
     m_scheduler.add(known, now);
 }
 
-void slot_coordinator::take_withdrawal(policy::slot_ticket ticket, policy::time_point now) {
+void slot_coordinator::handle_withdrawal(policy::slot_ticket ticket, policy::time_point now) {
     if (!m_scheduler.withdraw(ticket)) {
         return; // the slot was granted meanwhile, and the member will release it
     }
     const auto found = m_requests.find(ticket);
     if (found != m_requests.end()) {
-        m_allowances.give_back(found->second.workspace, found->second.charged_units, now);
+        m_quotas.give_back(found->second.workspace, found->second.charged_units, now);
         m_requests.erase(found);
     }
 }
 
-void slot_coordinator::take_release(const policy::slot_release& ended, policy::time_point now) {
+void slot_coordinator::handle_release(const policy::slot_release& ended, policy::time_point now) {
     m_scheduler.release(ended, now);
     const auto found = m_requests.find(ended.ticket);
     if (found == m_requests.end()) {
@@ -109,7 +108,7 @@
         m_suspects.note_gone(ended.server, now);
     }
     if (policy::has_not_run(ended.outcome)) {
-        m_allowances.give_back(found->second.workspace, found->second.charged_units, now);
+        m_quotas.give_back(found->second.workspace, found->second.charged_units, now);
     }
     m_requests.erase(found);
 }
@@ -126,7 +125,7 @@
         }
     }
     for (const auto ticket : tickets) {
-        take_withdrawal(ticket, now);
+        handle_withdrawal(ticket, now);
         if (m_requests.contains(ticket)) {
             m_scheduler.release({ticket, 0, policy::slot_outcome::abandoned, {}, {}}, now);
             m_requests.erase(ticket);
@@ -139,13 +138,13 @@
     for (const auto& grant : m_scheduler.grant(now)) {
         auto& request = m_requests.at(grant.ticket);
         request.is_running = true;
-        m_returns.forget(request.fingerprint);
+        m_refusal_history.forget(request.fingerprint);
         m_output[request.member].grants.push_back(grant);
     }
     for (const auto& refusal : m_scheduler.take_refusals()) {
         const auto found = m_requests.find(refusal.ticket);
-        m_allowances.give_back(found->second.workspace, found->second.charged_units, now);
-        m_returns.note_refused(found->second.fingerprint, now);
+        m_quotas.give_back(found->second.workspace, found->second.charged_units, now);
+        m_refusal_history.note_refused(found->second.fingerprint, now);
         m_output[found->second.member].refusals.push_back(refusal);
         m_requests.erase(found);
     }
--- a/src/coordination/slot_coordinator.hpp
+++ b/src/coordination/slot_coordinator.hpp
@@ -24,7 +24,7 @@
 
     [[nodiscard]] policy::slot_scheduler& scheduler() noexcept { return m_scheduler; }
     [[nodiscard]] const policy::slot_scheduler& scheduler() const noexcept { return m_scheduler; }
-    [[nodiscard]] policy::allowance_book& allowances() noexcept { return m_allowances; }
+    [[nodiscard]] policy::allowance_book& allowances() noexcept { return m_quotas; }
 
     /// Sets the shares that this process may grant, each from 0 to 1: `slots` of all slots, `limits` of the
     /// quotas and of the retry budget.
@@ -53,16 +53,17 @@
         bool is_running = false;
     };
 
-    void take_ask(policy::member_key member, const policy::slot_request& ask, policy::time_point now);
-    void take_withdrawal(policy::slot_ticket ticket, policy::time_point now);
-    void take_release(const policy::slot_release& ended, policy::time_point now);
+    void handle_slot_request(policy::member_key member, const policy::slot_request& request,
+                             policy::time_point now);
+    void handle_withdrawal(policy::slot_ticket ticket, policy::time_point now);
+    void handle_release(const policy::slot_release& ended, policy::time_point now);
     void refuse(policy::member_key member, const policy::slot_refusal& refusal);
 
     policy::slot_scheduler m_scheduler;
-    policy::allowance_book m_allowances;
-    policy::repeat_budget m_repeats;
+    policy::allowance_book m_quotas;
+    policy::repeat_budget m_retry_budget;
     policy::crash_suspects m_suspects;
-    policy::return_memory m_returns;
+    policy::return_memory m_refusal_history;
     std::unordered_map<policy::slot_ticket, known_request> m_requests;
     std::map<policy::member_key, batch_items> m_output; ///< decisions since the last call of decide()
 };
