--- a/src/coordination/slot_broker.cpp
+++ b/src/coordination/slot_broker.cpp
@@ -129,7 +129,7 @@
     m_requests.add(asked, std::move(callbacks));
     batch_items items;
     items.asks.push_back(asked);
-    pass_on(std::move(items));
+    forward_items(std::move(items));
 }
 
 void slot_broker::withdraw(policy::slot_ticket ticket) {
@@ -138,7 +138,7 @@
     }
     batch_items items;
     items.withdrawals.push_back(ticket);
-    pass_on(std::move(items));
+    forward_items(std::move(items));
 }
 
 void slot_broker::release(const policy::slot_release& ended) {
@@ -150,10 +150,10 @@
     }
     batch_items items;
     items.releases.push_back(ended);
-    pass_on(std::move(items));
+    forward_items(std::move(items));
 }
 
-void slot_broker::pass_on(batch_items items) {
+void slot_broker::forward_items(batch_items items) {
     if (m_source == slot_source::coordinator) {
         auto& pending = m_upstream->pending();
         std::ranges::move(items.holds, std::back_inserter(pending.holds));
@@ -161,12 +161,12 @@
         std::ranges::move(items.withdrawals, std::back_inserter(pending.withdrawals));
         std::ranges::move(items.releases, std::back_inserter(pending.releases));
     } else {
-        take_items(m_self, items, clock::now());
+        apply_items(m_self, items, clock::now());
     }
     schedule_flush();
 }
 
-void slot_broker::take_items(policy::member_key member, const batch_items& items, policy::time_point now) {
+void slot_broker::apply_items(policy::member_key member, const batch_items& items, policy::time_point now) {
     m_coordinator.take(member, items, now);
     for (const auto& ended : items.releases) {
         m_observers.on_release(ended);
@@ -190,7 +190,7 @@
         watch_retransmission();
         return;
     }
-    hand_out(now);
+    grant_slots(now);
     for (const auto member : std::exchange(m_told_members, {})) {
         const auto served = m_served.find(member);
         if (served != m_served.end()) {
@@ -202,7 +202,7 @@
 
 /// Grants slots and refuses requests. Decisions about requests of this process are delivered at once,
 /// decisions about other members' requests are queued in the channels of these members.
-void slot_broker::hand_out(policy::time_point now) {
+void slot_broker::grant_slots(policy::time_point now) {
     for (auto& [member, items] : m_coordinator.decide(now)) {
         if (expects_coordinator(now)) {
             m_deferred.take_from(items.refusals);
@@ -238,11 +238,11 @@
     return is_alone && m_election.member_count() > 1 && now - m_alone_since < m_settings.coordinator_patience;
 }
 
-void slot_broker::ask_deferred_again(policy::time_point now) {
+void slot_broker::resubmit_deferred(policy::time_point now) {
     m_coordinator.take(m_self, m_requests.find_waiting(m_deferred.take_all()), now);
 }
 
-void slot_broker::report_change_of_source(slot_source before) const {
+void slot_broker::report_source_change(slot_source before) const {
     const bool is_told = m_source == slot_source::coordinator;
     report_source({to_string(before), to_string(m_source), is_told ? m_coordinating_member : m_self,
                    m_requests.waiting(), m_requests.running()});
@@ -314,7 +314,7 @@
     send(member, std::move(message));
 }
 
-heartbeat_receiver slot_broker::role_of(policy::member_key candidate) const {
+heartbeat_receiver slot_broker::receiver_kind_of(policy::member_key candidate) const {
     if (m_source == slot_source::own_part) {
         return heartbeat_receiver::next;
     }
@@ -325,7 +325,7 @@
 void slot_broker::send_heartbeats(policy::time_point now) {
     m_heartbeats.begin_tick(m_census.told());
     for (const auto member : m_election.candidates(now)) {
-        if (m_heartbeats.is_due(role_of(member))) {
+        if (m_heartbeats.is_due(receiver_kind_of(member))) {
             send_heartbeat(member);
         }
     }
@@ -342,7 +342,7 @@
     expire_members(now);
     choose_source(now);
     if (!m_deferred.is_empty() && !expects_coordinator(now)) {
-        ask_deferred_again(now);
+        resubmit_deferred(now);
     }
     send_heartbeats(now);
     schedule_flush();
@@ -365,9 +365,9 @@
                                                     sender.backends_confirmed, sender.unbroken});
     if (m_source == slot_source::coordinator && member == m_coordinating_member &&
         message->session == m_upstream->session()) {
-        take_from_coordinator(std::move(*message));
+        handle_coordinator_message(std::move(*message));
     } else if (message->session != 0 && m_source == slot_source::own_coordination) {
-        take_from_member(member, std::move(*message));
+        handle_member_message(member, std::move(*message));
     }
     for (const auto named : known) {
         if (m_election.learn(named, now)) {
@@ -385,7 +385,7 @@
     }
 }
 
-void slot_broker::take_from_coordinator(datagram message) {
+void slot_broker::handle_coordinator_message(datagram message) {
     m_census.note_told(message.sender.members, clock::now());
     m_upstream->handle_acknowledgement(message.acknowledged);
     if (message.batch == 0) {
@@ -403,7 +403,7 @@
     send(m_coordinating_member, std::move(reply));
 }
 
-void slot_broker::take_from_member(policy::member_key member, datagram message) {
+void slot_broker::handle_member_message(policy::member_key member, datagram message) {
     const auto now = clock::now();
     auto served = m_served.find(member);
     if (served == m_served.end() || served->second.channel.session() != message.session) {
@@ -429,9 +429,9 @@
         return;
     }
     for (const auto& items : served->second.channel.receive_batch(message.batch, std::move(message.items))) {
-        take_items(member, items, now);
+        apply_items(member, items, now);
     }
-    hand_out(now);
+    grant_slots(now);
     datagram reply;
     if (served->second.channel.pending().is_empty()) {
         served->second.channel.set_session_fields(reply);
@@ -449,16 +449,16 @@
     using role = policy::coordinator_election::role;
     if (choice.who == role::self) {
         if (m_source != slot_source::own_coordination) {
-            use_own(slot_source::own_coordination);
+            use_local_source(slot_source::own_coordination);
         }
     } else if (choice.who == role::other && m_election.is_acting_member(choice.member)) {
         const bool is_attached = m_source == slot_source::coordinator &&
-                                 m_coordinating_member == choice.member && !is_session_stuck(now);
+                                 m_coordinating_member == choice.member && !has_session_timed_out(now);
         if (!is_attached) {
             attach_to(choice.member);
         }
     } else if (m_source != slot_source::own_part) {
-        use_own(slot_source::own_part);
+        use_local_source(slot_source::own_part);
     }
     m_election.act(m_source == slot_source::own_coordination);
     update_shares(now);
@@ -467,7 +467,7 @@
 /// Whether this process receives messages from the coordinator but no acknowledgements. The coordinator has
 /// then dropped this process and its session, for instance because the network failed in this one direction
 /// only.
-bool slot_broker::is_session_stuck(policy::time_point now) const {
+bool slot_broker::has_session_timed_out(policy::time_point now) const {
     const auto oldest = m_upstream->oldest_unacknowledged();
     return oldest.has_value() && now - *oldest > stuck_session_limit;
 }
@@ -486,10 +486,10 @@
     m_upstream->pending() = m_requests.list_all();
     m_upstream->pending().reports = m_coordinator.scheduler().report_servers(most_reports, clock::now());
     schedule_flush();
-    report_change_of_source(before);
+    report_source_change(before);
 }
 
-void slot_broker::use_own(slot_source source) {
+void slot_broker::use_local_source(slot_source source) {
     const auto now = clock::now();
     const auto before = std::exchange(m_source, source);
     m_source_since = now;
@@ -506,7 +506,7 @@
         m_coordinator.take(m_self, m_requests.list_all(), now);
     }
     schedule_flush();
-    report_change_of_source(before);
+    report_source_change(before);
 }
 
 void slot_broker::update_shares(policy::time_point now) {
@@ -550,7 +550,7 @@
     // transit. The slot is returned unused.
     batch_items items;
     items.releases.push_back({grant.ticket, grant.server, policy::slot_outcome::refused, {}, {}});
-    pass_on(std::move(items));
+    forward_items(std::move(items));
 }
 
 } // namespace borageford::coordination
--- a/src/coordination/slot_broker.hpp
+++ b/src/coordination/slot_broker.hpp
@@ -146,30 +146,30 @@
 
     void tick();
     void receive(const boost::asio::ip::udp::endpoint& from, std::span<const std::byte> bytes);
-    void report_change_of_source(slot_source before) const;
-    void hand_out(policy::time_point now);
-    void take_items(policy::member_key member, const batch_items& items, policy::time_point now);
-    void take_from_coordinator(datagram message);
-    void take_from_member(policy::member_key member, datagram message);
+    void report_source_change(slot_source before) const;
+    void grant_slots(policy::time_point now);
+    void apply_items(policy::member_key member, const batch_items& items, policy::time_point now);
+    void handle_coordinator_message(datagram message);
+    void handle_member_message(policy::member_key member, datagram message);
     void send_heartbeats(policy::time_point now);
-    [[nodiscard]] heartbeat_receiver role_of(policy::member_key candidate) const;
+    [[nodiscard]] heartbeat_receiver receiver_kind_of(policy::member_key candidate) const;
     void send_heartbeat(policy::member_key member);
     void send(policy::member_key member, datagram message);
     [[nodiscard]] member_status status() const;
     [[nodiscard]] boost::asio::ip::udp::endpoint endpoint_of(policy::member_key member) const;
 
     void choose_source(policy::time_point now);
-    [[nodiscard]] bool is_session_stuck(policy::time_point now) const;
+    [[nodiscard]] bool has_session_timed_out(policy::time_point now) const;
     void attach_to(policy::member_key coordinator);
-    void use_own(slot_source source);
+    void use_local_source(slot_source source);
     void update_shares(policy::time_point now);
     [[nodiscard]] bool expects_coordinator(policy::time_point now) const;
-    void ask_deferred_again(policy::time_point now);
+    void resubmit_deferred(policy::time_point now);
     void expire_members(policy::time_point now);
 
     void deliver(const batch_items& items);
     void apply_grant(const policy::slot_grant& grant);
-    void pass_on(batch_items items);
+    void forward_items(batch_items items);
     void schedule_flush();
     void flush();
     void flush_channel(policy::member_key member, batch_channel& channel, policy::time_point now);
