--- a/src/coordination/slot_broker.cpp
+++ b/src/coordination/slot_broker.cpp
@@ -23,13 +23,13 @@
 /// While there are unacknowledged batches, this is the time between two checks whether to send them again.
 constexpr milliseconds retransmit_check{6};
 /// The coordinator drops a member from which it receives no message for this long; its slots become free.
-constexpr milliseconds member_silence{600};
+constexpr milliseconds member_timeout{600};
 /// A member starts a new session when its oldest batch isn't acknowledged for this long, which leaves time
 /// for some retransmissions.
-constexpr milliseconds stuck_session_limit{250};
+constexpr milliseconds session_timeout{250};
 /// Maximum number of server reports at the start of a session. They fill a few datagrams, so that hundreds of
 /// members that attach at the same time don't saturate the network link of a small machine.
-constexpr std::size_t most_reports = 64;
+constexpr std::size_t max_initial_reports = 64;
 /// The upper half of a ticket is taken from the incarnation of the process, the lower half is a counter.
 constexpr unsigned ticket_shift = 32;
 
@@ -68,21 +68,21 @@
                      [this](const asio::ip::udp::endpoint& from, std::span<const std::byte> bytes) {
                          receive(from, bytes);
                      });
-    m_alone_since = clock::now();
-    update_shares(m_alone_since);
+    m_uncoordinated_since = clock::now();
+    update_shares(m_uncoordinated_since);
     m_tick_timer = m_timers.every(m_executor, tick_period, [this] { tick(); });
 }
 
 void slot_broker::leave() {
     m_election.leave();
-    std::vector<policy::member_key> told = m_election.candidates(clock::now());
+    std::vector<policy::member_key> receivers = m_election.candidates(clock::now());
     for (const auto& [member, served] : m_served) {
-        told.push_back(member);
+        receivers.push_back(member);
     }
     choose_source(clock::now());
     // The status is sent at once, because the other members keep sending slot requests to this process, where
     // they would wait in vain, until they know that it shuts down.
-    for (const auto member : told) {
+    for (const auto member : receivers) {
         send(member, {});
     }
 }
@@ -124,11 +124,11 @@
 }
 
 void slot_broker::request(const policy::slot_request& wanted, slot_callbacks callbacks) {
-    auto asked = wanted;
-    asked.domain = m_settings.domain;
-    m_requests.add(asked, std::move(callbacks));
+    auto local_request = wanted;
+    local_request.domain = m_settings.domain;
+    m_requests.add(local_request, std::move(callbacks));
     batch_items items;
-    items.asks.push_back(asked);
+    items.asks.push_back(local_request);
     forward_items(std::move(items));
 }
 
@@ -191,7 +191,7 @@
         return;
     }
     grant_slots(now);
-    for (const auto member : std::exchange(m_told_members, {})) {
+    for (const auto member : std::exchange(m_members_to_flush, {})) {
         const auto served = m_served.find(member);
         if (served != m_served.end()) {
             flush_channel(member, served->second.channel, now);
@@ -223,7 +223,7 @@
         auto& pending = served->second.channel.pending();
         std::ranges::move(items.grants, std::back_inserter(pending.grants));
         std::ranges::move(items.refusals, std::back_inserter(pending.refusals));
-        m_told_members.insert(member);
+        m_members_to_flush.insert(member);
     }
     for (const auto& change : m_coordinator.scheduler().take_health_changes()) {
         m_observers.on_health_change(change);
@@ -235,7 +235,8 @@
 /// it.
 bool slot_broker::expects_coordinator(policy::time_point now) const {
     const bool is_alone = m_source != slot_source::coordinator && m_served.empty();
-    return is_alone && m_election.member_count() > 1 && now - m_alone_since < m_settings.coordinator_patience;
+    return is_alone && m_election.member_count() > 1 &&
+           now - m_uncoordinated_since < m_settings.coordinator_patience;
 }
 
 void slot_broker::resubmit_deferred(policy::time_point now) {
@@ -243,8 +244,8 @@
 }
 
 void slot_broker::report_source_change(slot_source before) const {
-    const bool is_told = m_source == slot_source::coordinator;
-    report_source({to_string(before), to_string(m_source), is_told ? m_coordinating_member : m_self,
+    const bool has_coordinator = m_source == slot_source::coordinator;
+    report_source({to_string(before), to_string(m_source), has_coordinator ? m_coordinating_member : m_self,
                    m_requests.waiting(), m_requests.running()});
 }
 
@@ -266,7 +267,7 @@
     m_retransmit_timer = m_timers.after(m_executor, retransmit_check, [this] {
         for (const auto& [member, served] : m_served) {
             if (served.channel.has_unacknowledged()) {
-                m_told_members.insert(member);
+                m_members_to_flush.insert(member);
             }
         }
         schedule_flush();
@@ -282,7 +283,7 @@
     result.is_leaving = m_election.is_leaving();
     result.processor_share = m_settings.processor_share;
     result.domain = m_settings.domain;
-    result.members = static_cast<unsigned>(m_census.count());
+    result.members = static_cast<unsigned>(m_active_members.count());
     const auto held = m_observers.read_versions();
     result.configuration_version = held.configuration;
     result.backends = held.backends;
@@ -323,7 +324,7 @@
 }
 
 void slot_broker::send_heartbeats(policy::time_point now) {
-    m_heartbeats.begin_tick(m_census.told());
+    m_heartbeats.begin_tick(m_active_members.told());
     for (const auto member : m_election.candidates(now)) {
         if (m_heartbeats.is_due(receiver_kind_of(member))) {
             send_heartbeat(member);
@@ -369,9 +370,9 @@
     } else if (message->session != 0 && m_source == slot_source::own_coordination) {
         handle_member_message(member, std::move(*message));
     }
-    for (const auto named : known) {
-        if (m_election.learn(named, now)) {
-            send_heartbeat(named);
+    for (const auto learned : known) {
+        if (m_election.learn(learned, now)) {
+            send_heartbeat(learned);
         }
     }
     if (wants_reply) {
@@ -386,7 +387,7 @@
 }
 
 void slot_broker::handle_coordinator_message(datagram message) {
-    m_census.note_told(message.sender.members, clock::now());
+    m_active_members.note_told(message.sender.members, clock::now());
     m_upstream->handle_acknowledgement(message.acknowledged);
     if (message.batch == 0) {
         return;
@@ -418,12 +419,12 @@
             // A member without reports has just started. With the reports of this process it can place
             // requests well even if it loses its coordinator soon.
             served->second.channel.pending().reports =
-                m_coordinator.scheduler().report_servers(most_reports, now);
+                m_coordinator.scheduler().report_servers(max_initial_reports, now);
         }
         report_attached(member, m_served.size() + 1);
     }
-    served->second.heard = now;
-    m_census.note_served(member, now);
+    served->second.last_message = now;
+    m_active_members.note_served(member, now);
     served->second.channel.handle_acknowledgement(message.acknowledged);
     if (message.batch == 0) {
         return;
@@ -469,7 +470,7 @@
 /// only.
 bool slot_broker::has_session_timed_out(policy::time_point now) const {
     const auto oldest = m_upstream->oldest_unacknowledged();
-    return oldest.has_value() && now - *oldest > stuck_session_limit;
+    return oldest.has_value() && now - *oldest > session_timeout;
 }
 
 void slot_broker::attach_to(policy::member_key coordinator) {
@@ -484,7 +485,8 @@
     m_coordinating_member = coordinator;
     m_upstream.emplace(identifier::random().low);
     m_upstream->pending() = m_requests.list_all();
-    m_upstream->pending().reports = m_coordinator.scheduler().report_servers(most_reports, clock::now());
+    m_upstream->pending().reports =
+        m_coordinator.scheduler().report_servers(max_initial_reports, clock::now());
     schedule_flush();
     report_source_change(before);
 }
@@ -501,7 +503,7 @@
         m_served.clear();
     }
     if (before == slot_source::coordinator) {
-        m_alone_since = now;
+        m_uncoordinated_since = now;
         m_upstream.reset();
         m_coordinator.take(m_self, m_requests.list_all(), now);
     }
@@ -511,17 +513,17 @@
 
 void slot_broker::update_shares(policy::time_point now) {
     if (m_source == slot_source::own_coordination) {
-        m_coordinator.set_shares(1, m_census.coordinators_share(m_served.size() + 1, now), now);
+        m_coordinator.set_shares(1, m_active_members.coordinators_share(m_served.size() + 1, now), now);
         return;
     }
-    const double part = m_census.own_share(m_election.member_count());
-    m_coordinator.set_shares(part, part, now);
+    const double share = m_active_members.own_share(m_election.member_count());
+    m_coordinator.set_shares(share, share, now);
 }
 
 void slot_broker::expire_members(policy::time_point now) {
     for (auto served = m_served.begin(); served != m_served.end();) {
-        if (now - served->second.heard > member_silence) {
-            report_lost(served->first, now - served->second.heard);
+        if (now - served->second.last_message > member_timeout) {
+            report_lost(served->first, now - served->second.last_message);
             m_coordinator.detach(served->first, now);
             served = m_served.erase(served);
         } else {
--- a/src/coordination/slot_broker.hpp
+++ b/src/coordination/slot_broker.hpp
@@ -133,7 +133,7 @@
         return !m_settings.coordinates || m_election.is_candidate(clock::now());
     }
     /// Number of members that the coordinator last reported; 0: unknown.
-    [[nodiscard]] std::size_t members_told() const noexcept { return m_census.told(); }
+    [[nodiscard]] std::size_t members_told() const noexcept { return m_active_members.told(); }
 
 private:
     using clock = std::chrono::steady_clock;
@@ -141,7 +141,7 @@
     /// A member whose requests this process coordinates.
     struct served_member {
         batch_channel channel;
-        policy::time_point heard; ///< time of its last message
+        policy::time_point last_message; ///< time of its last message
     };
 
     void tick();
@@ -189,14 +189,14 @@
     slot_source m_source = slot_source::own_part;
     policy::time_point m_source_since;
     policy::member_key m_coordinating_member = 0; ///< valid while m_source is coordinator
-    std::optional<batch_channel> m_upstream; ///< session with the coordinator, while m_source is coordinator
-    policy::time_point m_alone_since;        ///< when this process last started or lost its coordinator
-    deferred_refusals m_deferred;            ///< used while a coordinator is expected
+    std::optional<batch_channel> m_upstream;  ///< session with the coordinator, while m_source is coordinator
+    policy::time_point m_uncoordinated_since; ///< when this process last started or lost its coordinator
+    deferred_refusals m_deferred;             ///< used while a coordinator is expected
     /// Members that this process coordinates; empty unless m_source is own_coordination.
     std::map<policy::member_key, served_member> m_served;
     /// Members of m_served whose channels may have datagrams to send.
-    std::set<policy::member_key> m_told_members;
-    policy::member_census m_census;
+    std::set<policy::member_key> m_members_to_flush;
+    policy::member_census m_active_members;
 
     own_requests m_requests;
 
