--- a/src/coordination/broker_events.cpp
+++ b/src/coordination/broker_events.cpp
@@ -16,8 +16,8 @@
     return boost::asio::ip::address_v4(static_cast<std::uint32_t>(member)).to_string();
 }
 
-void report_refusals(policy::member_key member, std::span<const policy::slot_refusal> refusals,
-                     std::size_t waiting, std::size_t running) {
+void log_refusals(policy::member_key member, std::span<const policy::slot_refusal> refusals,
+                  std::size_t waiting, std::size_t running) {
     for (const auto& refusal : refusals) {
         const auto wait = std::chrono::duration_cast<milliseconds>(refusal.retry_after);
         events::write(events::event_kind::slot_refused, {{"ticket", refusal.ticket},
@@ -31,7 +31,7 @@
     }
 }
 
-void report_source(const source_change& change) {
+void log_source_change(const source_change& change) {
     events::write(events::event_kind::slot_source_changed,
                   {{"from", change.from},
                    {"to", change.to},
@@ -40,12 +40,12 @@
                    {"running", std::uint64_t(change.running)}});
 }
 
-void report_attached(policy::member_key member, std::size_t members) {
+void log_attached_member(policy::member_key member, std::size_t members) {
     events::write(events::event_kind::member_attached,
                   {{"member", describe_member(member)}, {"members", std::uint64_t(members)}});
 }
 
-void report_lost(policy::member_key member, policy::duration silent) {
+void log_lost_member(policy::member_key member, policy::duration silent) {
     const auto ms = std::chrono::duration_cast<milliseconds>(silent);
     events::write(events::event_kind::member_lost,
                   {{"member", describe_member(member)}, {"silent_ms", std::int64_t(ms.count())}});
--- a/src/coordination/broker_events.hpp
+++ b/src/coordination/broker_events.hpp
@@ -16,8 +16,8 @@
 
 /// Logs each refusal of slot requests of `member`. `waiting` and `running` are the numbers of requests that
 /// wait for a slot and that occupy one, as counted by the process that refuses.
-void report_refusals(policy::member_key member, std::span<const policy::slot_refusal> refusals,
-                     std::size_t waiting, std::size_t running);
+void log_refusals(policy::member_key member, std::span<const policy::slot_refusal> refusals,
+                  std::size_t waiting, std::size_t running);
 
 /// A change of the process that grants slots to the requests of this process.
 struct source_change {
@@ -27,13 +27,13 @@
     std::size_t waiting = 0;            ///< requests of this process that wait for a slot
     std::size_t running = 0;            ///< requests of this process that occupy a slot
 };
-void report_source(const source_change& change);
+void log_source_change(const source_change& change);
 
 /// Logs that this process now coordinates `member`. `members` is the number of members that it coordinates,
 /// itself included.
-void report_attached(policy::member_key member, std::size_t members);
+void log_attached_member(policy::member_key member, std::size_t members);
 /// Logs that a coordinated member is unresponsive and was dropped. `silent` is the time since its last
 /// message.
-void report_lost(policy::member_key member, policy::duration silent);
+void log_lost_member(policy::member_key member, policy::duration silent);
 
 } // namespace borageford::coordination
--- a/src/coordination/deferred_refusals.hpp
+++ b/src/coordination/deferred_refusals.hpp
@@ -18,20 +18,20 @@
 public:
     /// Removes from `refusals` those that the local share of a limit caused, and keeps the ids of their
     /// requests.
-    void take_from(std::vector<policy::slot_refusal>& refusals) {
+    void extract_from(std::vector<policy::slot_refusal>& refusals) {
         std::erase_if(refusals, [this](const policy::slot_refusal& refusal) {
-            const bool is_for_want_of_part = refusal.reason == policy::refusal_reason::over_allowance ||
+            const bool exceeds_local_share = refusal.reason == policy::refusal_reason::over_allowance ||
                                              refusal.reason == policy::refusal_reason::over_retry_budget;
-            if (is_for_want_of_part) {
+            if (exceeds_local_share) {
                 m_tickets.push_back(refusal.ticket);
             }
-            return is_for_want_of_part;
+            return exceeds_local_share;
         });
     }
 
     [[nodiscard]] bool is_empty() const noexcept { return m_tickets.empty(); }
     /// Returns the ids of the kept requests and forgets them; the caller submits the requests again.
-    [[nodiscard]] std::vector<policy::slot_ticket> take_all() { return std::exchange(m_tickets, {}); }
+    [[nodiscard]] std::vector<policy::slot_ticket> take_tickets() { return std::exchange(m_tickets, {}); }
     void clear() noexcept { m_tickets.clear(); }
 
 private:
--- a/src/coordination/heartbeat_schedule.cpp
+++ b/src/coordination/heartbeat_schedule.cpp
@@ -11,20 +11,20 @@
 /// hundreds of members at every tick would use up the processor of a small coordinator. Two heartbeats at
 /// every second tick still fit into election_limits::silence, after which a coordinator counts as
 /// unresponsive.
-constexpr std::size_t members_at_each_tick = 60;
-constexpr std::size_t longest_period = 2; // ticks
+constexpr std::size_t max_members_at_each_tick = 60;
+constexpr std::size_t max_period_ticks = 2;
 /// A candidate that isn't the coordinator gets one heartbeat while the coordinator gets this many.
 constexpr unsigned candidate_factor = 4;
 /// Absent candidates get a heartbeat at each of the first ticks, this many of them, and once in this many
 /// ticks later on.
-constexpr unsigned absent_period = 20;
+constexpr unsigned absent_period_ticks = 20;
 
 } // namespace
 
 void heartbeat_schedule::begin_tick(std::size_t members) noexcept {
     ++m_tick;
-    m_period =
-        static_cast<unsigned>(std::clamp<std::size_t>(members / members_at_each_tick, 1, longest_period));
+    m_period = static_cast<unsigned>(
+        std::clamp<std::size_t>(members / max_members_at_each_tick, 1, max_period_ticks));
 }
 
 bool heartbeat_schedule::is_due(heartbeat_receiver to) const noexcept {
@@ -38,7 +38,7 @@
     case heartbeat_receiver::absent:
         break;
     }
-    return m_tick < absent_period || m_tick % absent_period == 0;
+    return m_tick < absent_period_ticks || m_tick % absent_period_ticks == 0;
 }
 
 } // namespace borageford::coordination
--- a/src/coordination/slot_broker.cpp
+++ b/src/coordination/slot_broker.cpp
@@ -205,10 +205,10 @@
 void slot_broker::grant_slots(policy::time_point now) {
     for (auto& [member, items] : m_coordinator.decide(now)) {
         if (expects_coordinator(now)) {
-            m_deferred.take_from(items.refusals);
+            m_deferred.extract_from(items.refusals);
         }
         const auto& scheduler = m_coordinator.scheduler();
-        report_refusals(member, items.refusals, scheduler.waiting(), scheduler.running());
+        log_refusals(member, items.refusals, scheduler.waiting(), scheduler.running());
         for (const auto& grant : items.grants) {
             m_observers.on_grant(grant.server);
         }
@@ -240,13 +240,14 @@
 }
 
 void slot_broker::resubmit_deferred(policy::time_point now) {
-    m_coordinator.take(m_self, m_requests.find_waiting(m_deferred.take_all()), now);
+    m_coordinator.take(m_self, m_requests.find_waiting(m_deferred.take_tickets()), now);
 }
 
 void slot_broker::report_source_change(slot_source before) const {
     const bool has_coordinator = m_source == slot_source::coordinator;
-    report_source({to_string(before), to_string(m_source), has_coordinator ? m_coordinating_member : m_self,
-                   m_requests.waiting(), m_requests.running()});
+    log_source_change({to_string(before), to_string(m_source),
+                       has_coordinator ? m_coordinating_member : m_self, m_requests.waiting(),
+                       m_requests.running()});
 }
 
 void slot_broker::flush_channel(policy::member_key member, batch_channel& channel, policy::time_point now) {
@@ -421,7 +422,7 @@
             served->second.channel.pending().reports =
                 m_coordinator.scheduler().report_servers(max_initial_reports, now);
         }
-        report_attached(member, m_served.size() + 1);
+        log_attached_member(member, m_served.size() + 1);
     }
     served->second.last_message = now;
     m_active_members.note_served(member, now);
@@ -523,7 +524,7 @@
 void slot_broker::expire_members(policy::time_point now) {
     for (auto served = m_served.begin(); served != m_served.end();) {
         if (now - served->second.last_message > member_timeout) {
-            report_lost(served->first, now - served->second.last_message);
+            log_lost_member(served->first, now - served->second.last_message);
             m_coordinator.detach(served->first, now);
             served = m_served.erase(served);
         } else {
