--- a/src/store/object_store.cpp
+++ b/src/store/object_store.cpp
@@ -24,7 +24,7 @@
         "PUT", std::move(target), {{"Content-Type", "application/octet-stream"}}, std::move(bytes)};
     const auto answer = co_await call_store(executor, address, timeout, std::move(call), call_kind::write);
     if (answer.head.status >= first_error_status) {
-        refuse_answer("put of an object", answer.head.status, call_kind::write);
+        throw_unexpected_status("put of an object", answer.head.status, call_kind::write);
     }
 }
 
@@ -37,7 +37,7 @@
         co_return std::nullopt;
     }
     if (answer.head.status != status_ok) {
-        refuse_answer("get of an object", answer.head.status, call_kind::read);
+        throw_unexpected_status("get of an object", answer.head.status, call_kind::read);
     }
     co_return std::move(answer.body);
 }
@@ -58,7 +58,7 @@
     http::request call{"GET", std::move(target), {}, ""};
     const auto answer = co_await call_store(executor, address, timeout, std::move(call), call_kind::read);
     if (answer.head.status != status_ok) {
-        refuse_answer("list of objects", answer.head.status, call_kind::read);
+        throw_unexpected_status("list of objects", answer.head.status, call_kind::read);
     }
     try {
         co_return decode_entries(answer.body);
--- a/src/store/repeated_read.cpp
+++ b/src/store/repeated_read.cpp
@@ -12,10 +12,10 @@
 asio::awaitable<row_page> read_all_repeatedly(asio::any_io_executor executor, timer_service& timers,
                                               table& table, std::string prefix,
                                               std::chrono::milliseconds period) {
-    repeated_question<row_page> question(executor);
-    question.ask(table.read_all(prefix));
-    const auto repeat = timers.every(executor, period, [&] { question.ask(table.read_all(prefix)); });
-    co_return co_await question.first_answer();
+    repeated_question<row_page> read(executor);
+    read.ask(table.read_all(prefix));
+    const auto repeat = timers.every(executor, period, [&] { read.ask(table.read_all(prefix)); });
+    co_return co_await read.first_answer();
 }
 
 } // namespace borageford::store
--- a/src/store/store_call.cpp
+++ b/src/store/store_call.cpp
@@ -63,12 +63,12 @@
         throw store_error(effect::none, describe(call, "out of service"));
     }
     if (status >= first_server_error) {
-        refuse_answer(call.method + " " + call.target, status, kind);
+        throw_unexpected_status(call.method + " " + call.target, status, kind);
     }
     co_return answer;
 }
 
-void refuse_answer(std::string_view call, unsigned status, call_kind kind) {
+void throw_unexpected_status(std::string_view call, unsigned status, call_kind kind) {
     const auto possible =
         kind == call_kind::write && status >= first_server_error ? effect::unknown : effect::none;
     throw store_error(possible, "platform: " + std::string(call) + " was answered " + std::to_string(status));
--- a/src/store/store_call.hpp
+++ b/src/store/store_call.hpp
@@ -28,7 +28,7 @@
 
 /// Throws store_error for an answer whose status the call doesn't expect. `call` names the call in the
 /// message.
-[[noreturn]] void refuse_answer(std::string_view call, unsigned status, call_kind kind);
+[[noreturn]] void throw_unexpected_status(std::string_view call, unsigned status, call_kind kind);
 
 /// Percent-encodes a value for the query or the path of a target. "/" isn't encoded.
 [[nodiscard]] std::string encode_for_target(std::string_view text);
--- a/src/store/table.cpp
+++ b/src/store/table.cpp
@@ -14,7 +14,7 @@
 namespace {
 
 /// Rows that one page of table::read_all() may contain.
-constexpr std::size_t page_rows = 500;
+constexpr std::size_t rows_per_page = 500;
 
 /// Where and how to send a call. Copied into the coroutine of the call.
 struct call_target {
@@ -26,7 +26,7 @@
 /// Decodes an answer. Throws store_error for an answer that violates the protocol, which is treated like a
 /// lost one.
 template <typename Decode>
-auto decode_or_refuse(call_kind kind, Decode decode) {
+auto decode_or_throw(call_kind kind, Decode decode) {
     try {
         return decode();
     } catch (const std::exception& error) {
@@ -42,12 +42,12 @@
 asio::awaitable<transaction_result> send_transaction(call_target target, table_format format,
                                                      transaction changes, http::request call) {
     const auto answer = co_await exchange(target, std::move(call), call_kind::write);
-    auto result = decode_or_refuse(call_kind::write, [&] {
-        return std::visit([&](const auto& spoken) { return spoken.decode_transaction(changes, answer); },
+    auto result = decode_or_throw(call_kind::write, [&] {
+        return std::visit([&](const auto& codec) { return codec.decode_transaction(changes, answer); },
                           format);
     });
     if (!result.has_value()) {
-        refuse_answer("transact", answer.head.status, call_kind::write);
+        throw_unexpected_status("transact", answer.head.status, call_kind::write);
     }
     co_return *std::move(result);
 }
@@ -55,11 +55,11 @@
 asio::awaitable<std::optional<row>> send_read(call_target target, table_format format, http::request call) {
     const auto answer = co_await exchange(target, std::move(call), call_kind::read);
     std::optional<row> found;
-    const bool is_expected = decode_or_refuse(call_kind::read, [&] {
-        return std::visit([&](const auto& spoken) { return spoken.decode_read(answer, found); }, format);
+    const bool is_expected = decode_or_throw(call_kind::read, [&] {
+        return std::visit([&](const auto& codec) { return codec.decode_read(answer, found); }, format);
     });
     if (!is_expected) {
-        refuse_answer("row", answer.head.status, call_kind::read);
+        throw_unexpected_status("row", answer.head.status, call_kind::read);
     }
     co_return found;
 }
@@ -67,18 +67,18 @@
 asio::awaitable<row_page> send_scan(call_target target, table_format format, std::string prefix,
                                     http::request call) {
     const auto answer = co_await exchange(target, std::move(call), call_kind::read);
-    auto page = decode_or_refuse(call_kind::read, [&] {
-        return std::visit([&](const auto& spoken) { return spoken.decode_scan(prefix, answer); }, format);
+    auto page = decode_or_throw(call_kind::read, [&] {
+        return std::visit([&](const auto& codec) { return codec.decode_scan(prefix, answer); }, format);
     });
     if (!page.has_value()) {
-        refuse_answer("scan", answer.head.status, call_kind::read);
+        throw_unexpected_status("scan", answer.head.status, call_kind::read);
     }
     co_return *std::move(page);
 }
 
 http::request encode_scan(const table_format& format, std::string_view prefix, std::string_view after,
                           std::size_t limit) {
-    return std::visit([&](const auto& spoken) { return spoken.encode_scan(prefix, after, limit); }, format);
+    return std::visit([&](const auto& codec) { return codec.encode_scan(prefix, after, limit); }, format);
 }
 
 asio::awaitable<std::vector<row>> scan_rows(call_target target, table_format format, std::string prefix,
@@ -97,12 +97,12 @@
 // needn't stay valid until the awaitable is done.
 
 asio::awaitable<transaction_result> table::transact(const transaction& changes) {
-    auto call = std::visit([&](const auto& spoken) { return spoken.encode_transaction(changes); }, m_format);
+    auto call = std::visit([&](const auto& codec) { return codec.encode_transaction(changes); }, m_format);
     return send_transaction({m_executor, m_address, m_timeout}, m_format, changes, std::move(call));
 }
 
 asio::awaitable<std::optional<row>> table::read(std::string_view key) {
-    auto call = std::visit([&](const auto& spoken) { return spoken.encode_read(key); }, m_format);
+    auto call = std::visit([&](const auto& codec) { return codec.encode_read(key); }, m_format);
     return send_read({m_executor, m_address, m_timeout}, m_format, std::move(call));
 }
 
@@ -118,7 +118,7 @@
     while (has_more) {
         const auto after = all.rows.empty() ? std::string() : all.rows.back().key;
         auto page = co_await send_scan({m_executor, m_address, m_timeout}, m_format, prefix,
-                                       encode_scan(m_format, prefix, after, page_rows));
+                                       encode_scan(m_format, prefix, after, rows_per_page));
         if (!after.empty() && page.position.era != all.position.era) {
             throw store_error(effect::none, "platform: it came back from a copy while its rows were read");
         }
@@ -143,9 +143,9 @@
     if (format->has_lost_history(answer)) {
         co_return std::nullopt;
     }
-    auto page = decode_or_refuse(call_kind::read, [&] { return format->decode_changes(answer); });
+    auto page = decode_or_throw(call_kind::read, [&] { return format->decode_changes(answer); });
     if (!page.has_value()) {
-        refuse_answer("changes", answer.head.status, call_kind::read);
+        throw_unexpected_status("changes", answer.head.status, call_kind::read);
     }
     co_return page;
 }
--- a/src/store/vm_directory.cpp
+++ b/src/store/vm_directory.cpp
@@ -85,12 +85,12 @@
             const auto answer = co_await call_store(self->strand, self->platform, self->timeout,
                                                     std::move(call), call_kind::read);
             if (answer.head.status != status_ok) {
-                refuse_answer("list of VMs", answer.head.status, call_kind::read);
+                throw_unexpected_status("list of VMs", answer.head.status, call_kind::read);
             }
             self->apply(json::parse(answer.body));
-            self->note_reachable(true, "");
+            self->set_reachable(true, "");
         } catch (const std::exception& error) {
-            self->note_reachable(false, error.what());
+            self->set_reachable(false, error.what());
         }
         self->polling = false;
     }
@@ -113,7 +113,7 @@
         }
     }
 
-    void note_reachable(bool now, const std::string& error) {
+    void set_reachable(bool now, const std::string& error) {
         if (now == reachable) {
             return;
         }
