--- a/tests/unit/test_coordination.cpp
+++ b/tests/unit/test_coordination.cpp
@@ -22,27 +22,27 @@
 
 const time_point start_time = time_point{} + 1h;
 
-slot_request make_ask(slot_ticket ticket) {
-    slot_request ask;
-    ask.ticket = ticket;
-    ask.service = 7;
-    ask.workspace = 9;
-    ask.tier = 2;
-    ask.arrived = start_time - 30ms;
-    ask.deadline = start_time + 4s;
-    ask.target = 500ms;
-    ask.cost = {1460, 80};
-    ask.units = 1540;
-    ask.fingerprint = 99;
-    ask.sends = 1;
-    ask.is_charged = true;
-    ask.avoided = {11, 12};
-    return ask;
+slot_request make_slot_request(slot_ticket ticket) {
+    slot_request request;
+    request.ticket = ticket;
+    request.service = 7;
+    request.workspace = 9;
+    request.tier = 2;
+    request.arrived = start_time - 30ms;
+    request.deadline = start_time + 4s;
+    request.target = 500ms;
+    request.cost = {1460, 80};
+    request.units = 1540;
+    request.fingerprint = 99;
+    request.sends = 1;
+    request.is_charged = true;
+    request.avoided = {11, 12};
+    return request;
 }
 
 batch_items make_items(slot_ticket ticket) {
     batch_items items;
-    items.asks.push_back(make_ask(ticket));
+    items.asks.push_back(make_slot_request(ticket));
     return items;
 }
 
@@ -54,10 +54,10 @@
 /// loss.
 class member_network {
 public:
-    /// Adds a member that knows the members `told` from its start.
-    void add(member_key key, const std::vector<member_key>& told) {
+    /// Adds a member that knows the members `known_members` from its start.
+    void add(member_key key, const std::vector<member_key>& known_members) {
         auto election = make_election(key, 0.19);
-        for (const auto other : told) {
+        for (const auto other : known_members) {
             election.add(other, 0.19);
         }
         m_members.emplace(key, std::move(election));
@@ -101,14 +101,14 @@
         if (found == m_members.end()) {
             return;
         }
-        tell(m_members.at(from), from, found->second);
-        tell(found->second, to, m_members.at(from));
+        send_status(m_members.at(from), from, found->second);
+        send_status(found->second, to, m_members.at(from));
     }
 
-    void tell(const coordinator_election& from, member_key key, coordinator_election& to) const {
+    void send_status(const coordinator_election& from, member_key key, coordinator_election& to) const {
         to.hear(key, {0.19, from.is_acting(m_now), from.is_eligible(m_now), from.is_leaving()}, m_now);
-        for (const auto named : from.known(m_now)) {
-            to.learn(named, m_now);
+        for (const auto learned : from.known(m_now)) {
+            to.learn(learned, m_now);
         }
     }
 
@@ -134,32 +134,32 @@
     sent.items.refusals.push_back({7, refusal_reason::over_allowance, 250ms});
     sent.items.reports.push_back({81, 40ms, 150ms, 2, 31.5, 0.02, 12, 0.011, 0.25});
     const auto receiver_now = start_time + 1000h;
-    const auto taken = decode(encode(sent, start_time), receiver_now);
-    REQUIRE(taken.has_value());
-    CHECK(taken->sender.incarnation == 5);
-    CHECK(taken->sender.processor_share == Approx(0.19));
-    CHECK(taken->sender.configuration_version == 17);
-    CHECK(taken->sender.backends == store::position{2, 23});
-    CHECK(taken->sender.is_in_touch);
-    CHECK(taken->sender.domain == 9);
-    CHECK(taken->sender.configuration_confirmed == 1000);
-    CHECK(taken->sender.backends_confirmed == 2000);
-    CHECK(taken->sender.unbroken == 30s);
-    CHECK(taken->known == sent.known);
-    CHECK(taken->batch == 2);
-    REQUIRE(taken->items.asks.size() == 1);
-    const auto& ask = taken->items.asks.front();
-    CHECK(ask.arrived == receiver_now - 30ms);
-    CHECK(ask.deadline == receiver_now + 4s);
-    CHECK(ask.cost.prompt == 1460);
-    CHECK(ask.domain == 9); // the failure domain of the sending gateway
-    CHECK(ask.avoided == std::array<server_key, 2>{11, 12});
-    CHECK(ask.is_charged);
-    CHECK(taken->items.releases.front().outcome == slot_outcome::broken);
-    CHECK(taken->items.refusals.front().reason == refusal_reason::over_allowance);
-    CHECK(taken->items.withdrawals == std::vector<slot_ticket>{4});
-    REQUIRE(taken->items.reports.size() == 1);
-    const auto& report = taken->items.reports.front();
+    const auto received = decode(encode(sent, start_time), receiver_now);
+    REQUIRE(received.has_value());
+    CHECK(received->sender.incarnation == 5);
+    CHECK(received->sender.processor_share == Approx(0.19));
+    CHECK(received->sender.configuration_version == 17);
+    CHECK(received->sender.backends == store::position{2, 23});
+    CHECK(received->sender.is_in_touch);
+    CHECK(received->sender.domain == 9);
+    CHECK(received->sender.configuration_confirmed == 1000);
+    CHECK(received->sender.backends_confirmed == 2000);
+    CHECK(received->sender.unbroken == 30s);
+    CHECK(received->known == sent.known);
+    CHECK(received->batch == 2);
+    REQUIRE(received->items.asks.size() == 1);
+    const auto& request = received->items.asks.front();
+    CHECK(request.arrived == receiver_now - 30ms);
+    CHECK(request.deadline == receiver_now + 4s);
+    CHECK(request.cost.prompt == 1460);
+    CHECK(request.domain == 9); // the failure domain of the sending gateway
+    CHECK(request.avoided == std::array<server_key, 2>{11, 12});
+    CHECK(request.is_charged);
+    CHECK(received->items.releases.front().outcome == slot_outcome::broken);
+    CHECK(received->items.refusals.front().reason == refusal_reason::over_allowance);
+    CHECK(received->items.withdrawals == std::vector<slot_ticket>{4});
+    REQUIRE(received->items.reports.size() == 1);
+    const auto& report = received->items.reports.front();
     CHECK(report.server == 81);
     CHECK(report.failed_ago == 40ms);
     CHECK(report.rest_left == 150ms);
@@ -194,30 +194,30 @@
     batch_channel sender(1);
     batch_channel receiver(1);
     std::mt19937 random(7);
-    std::vector<datagram> on_the_way;
-    std::vector<slot_ticket> taken;
+    std::vector<datagram> in_transit;
+    std::vector<slot_ticket> received;
     auto now = start_time;
     for (slot_ticket ticket = 1; ticket <= 200 || sender.has_unacknowledged(); ++ticket) {
         REQUIRE(ticket < 5000);
         now += 3ms;
         if (ticket <= 200) {
-            sender.pending().asks.push_back(make_ask(ticket));
+            sender.pending().asks.push_back(make_slot_request(ticket));
         }
         for (auto& message : sender.take_due(now)) {
             if (random() % 10 != 0) {
-                on_the_way.push_back(message);
+                in_transit.push_back(message);
             }
             if (random() % 10 == 0) {
-                on_the_way.push_back(message);
+                in_transit.push_back(message);
             }
         }
-        std::ranges::shuffle(on_the_way, random);
-        for (std::size_t count = on_the_way.size() / 2 + 1; count > 0 && !on_the_way.empty(); --count) {
-            auto message = std::move(on_the_way.back());
-            on_the_way.pop_back();
+        std::ranges::shuffle(in_transit, random);
+        for (std::size_t count = in_transit.size() / 2 + 1; count > 0 && !in_transit.empty(); --count) {
+            auto message = std::move(in_transit.back());
+            in_transit.pop_back();
             for (const auto& items : receiver.receive_batch(message.batch, std::move(message.items))) {
-                for (const auto& ask : items.asks) {
-                    taken.push_back(ask.ticket);
+                for (const auto& request : items.asks) {
+                    received.push_back(request.ticket);
                 }
             }
         }
@@ -227,9 +227,9 @@
             sender.handle_acknowledgement(reply.acknowledged);
         }
     }
-    REQUIRE(taken.size() == 200);
-    for (std::size_t index = 0; index < taken.size(); ++index) {
-        CHECK(taken[index] == index + 1);
+    REQUIRE(received.size() == 200);
+    for (std::size_t index = 0; index < received.size(); ++index) {
+        CHECK(received[index] == index + 1);
     }
 }
 
@@ -238,7 +238,7 @@
     // retransmitted their batches every 12 ms kept it behind: with 300 members, only one caller in four was
     // served.
     batch_channel channel(1);
-    channel.pending().asks.push_back(make_ask(1));
+    channel.pending().asks.push_back(make_slot_request(1));
     std::size_t sends = 0;
     for (auto passed = 0ms; passed < 240ms; passed += 1ms) {
         sends += channel.take_due(start_time + passed).size();
@@ -276,13 +276,13 @@
 TEST_CASE("the order of candidates follows the processor shares that members report", "[policy][election]") {
     auto election = make_election(1, 0.1);
     const auto now = start_time + 3s;
-    const auto tell = [&](member_key member, double share) {
+    const auto send_status = [&](member_key member, double share) {
         election.hear(member, {share, false, true, false}, now);
         return election.candidates(now);
     };
-    CHECK(tell(2, 0.2) == std::vector<member_key>{2});
-    CHECK(tell(3, 0.3) == std::vector<member_key>{3, 2});
-    CHECK(tell(2, 0.4) == std::vector<member_key>{2, 3});
+    CHECK(send_status(2, 0.2) == std::vector<member_key>{2});
+    CHECK(send_status(3, 0.3) == std::vector<member_key>{3, 2});
+    CHECK(send_status(2, 0.4) == std::vector<member_key>{2, 3});
     election.forget(2);
     CHECK(election.candidates(now) == std::vector<member_key>{3});
 }
@@ -290,7 +290,7 @@
 TEST_CASE("many items are split into several datagrams of bounded size", "[coordination]") {
     batch_channel channel(1);
     for (slot_ticket ticket = 1; ticket <= 100; ++ticket) {
-        channel.pending().asks.push_back(make_ask(ticket));
+        channel.pending().asks.push_back(make_slot_request(ticket));
     }
     const auto due = channel.take_due(start_time);
     CHECK(due.size() > 4);
@@ -459,7 +459,7 @@
     coordinator.scheduler().set_server(51, 7, 8);
     coordinator.allowances().set_limit(9, {.rate = 100, .burst = 150}, start_time);
     const auto now = start_time + 10s;
-    const auto ask = [&](slot_ticket ticket) {
+    const auto request = [&](slot_ticket ticket) {
         auto items = make_items(ticket);
         items.asks.front().units = 100;
         items.asks.front().tier = 0;
@@ -469,10 +469,10 @@
         coordinator.take(100, items, now);
         return coordinator.decide(now)[100];
     };
-    REQUIRE(ask(1).grants.size() == 1);
-    REQUIRE(ask(2).refusals.size() == 1);
+    REQUIRE(request(1).grants.size() == 1);
+    REQUIRE(request(2).refusals.size() == 1);
     batch_items ended;
     ended.releases.push_back({1, 51, slot_outcome::refused, 1ms, {}});
     coordinator.take(100, ended, now);
-    CHECK(ask(3).grants.size() == 1);
+    CHECK(request(3).grants.size() == 1);
 }
