--- a/tests/unit/test_slot_broker.cpp
+++ b/tests/unit/test_slot_broker.cpp
@@ -25,16 +25,16 @@
 
 /// A simulated member with a greater processor share. It reports whether it coordinates, acknowledges all
 /// batches and grants no slots.
-class played_member {
+class simulated_member {
 public:
-    explicit played_member(asio::io_context& context)
+    explicit simulated_member(asio::io_context& context)
         : m_socket(context, udp::endpoint(asio::ip::make_address("127.0.0.2"), 0)) {
         receive();
     }
 
     [[nodiscard]] unsigned short port() const { return m_socket.local_endpoint().port(); }
     void coordinate(bool is_acting) { m_is_acting = is_acting; }
-    [[nodiscard]] bool was_asked(slot_ticket ticket) const { return m_asked.contains(ticket); }
+    [[nodiscard]] bool has_received(slot_ticket ticket) const { return m_received.contains(ticket); }
     [[nodiscard]] const std::vector<server_report>& reports() const { return m_reports; }
 
 private:
@@ -44,17 +44,17 @@
                                         if (error) {
                                             return;
                                         }
-                                        take(size);
+                                        handle_datagram(size);
                                         receive();
                                     });
     }
 
-    void take(std::size_t size) {
+    void handle_datagram(std::size_t size) {
         const auto now = std::chrono::steady_clock::now();
         const auto message = decode(std::as_bytes(std::span(m_bytes)).first(size), now);
         REQUIRE(message.has_value());
-        for (const auto& ask : message->items.asks) {
-            m_asked.insert(ask.ticket);
+        for (const auto& request_slot : message->items.asks) {
+            m_received.insert(request_slot.ticket);
         }
         m_reports.insert(m_reports.end(), message->items.reports.begin(), message->items.reports.end());
         datagram reply;
@@ -72,29 +72,29 @@
     std::array<unsigned char, 2048> m_bytes{};
     udp::endpoint m_from;
     bool m_is_acting = true;
-    std::set<slot_ticket> m_asked;
+    std::set<slot_ticket> m_received;
     std::vector<server_report> m_reports;
 };
 
 /// A broker with the simulated member, and the outcome of each slot request.
-class played_site {
+class broker_site {
 public:
-    played_site() : m_broker(m_context.get_executor(), m_timers, make_settings(), make_observers()) {
+    broker_site() : m_broker(m_context.get_executor(), m_timers, make_settings(), make_observers()) {
         m_broker.add_member(asio::ip::make_address("127.0.0.2"), 64);
         m_broker.set_allowance(workspace, {.rate = 1, .burst = 3000});
         m_broker.set_server(1, engines, 4, 0);
         m_broker.start();
     }
 
-    void run_until(const std::function<bool()>& is_so) {
-        while (!is_so()) {
+    void run_until(const std::function<bool()>& condition) {
+        while (!condition()) {
             m_context.run_one();
         }
     }
     [[nodiscard]] bool has_source(slot_source source) const { return m_broker.source() == source; }
 
     /// Requests a slot for a request that costs `units` of its workspace's quota.
-    slot_ticket ask(double units) {
+    slot_ticket request_slot(double units) {
         slot_request wanted;
         wanted.ticket = m_broker.next_ticket();
         wanted.service = engines;
@@ -114,7 +114,7 @@
     void release(slot_ticket ticket, slot_outcome outcome) {
         m_broker.release({ticket, 1, outcome, 100ms, 50ms, 10});
     }
-    played_member& other() { return m_other; }
+    simulated_member& other() { return m_other; }
 
 private:
     broker_settings make_settings() const {
@@ -133,7 +133,7 @@
 
     asio::io_context m_context;
     timer_service m_timers;
-    played_member m_other{m_context};
+    simulated_member m_other{m_context};
     std::set<slot_ticket> m_granted;
     std::set<slot_ticket> m_refused;
     slot_broker m_broker;
@@ -146,17 +146,17 @@
     // While the coordinator restarts, each gateway may grant only its local share of each quota. One large
     // request can need more than that. Its caller was refused for exceeding a quota that it had hardly
     // used.
-    played_site site;
+    broker_site site;
     site.run_until([&] { return site.has_source(slot_source::coordinator); });
     site.other().coordinate(false);
     site.run_until([&] { return site.has_source(slot_source::own_part); });
-    const auto large = site.ask(30000);
-    const auto small = site.ask(500);
+    const auto large = site.request_slot(30000);
+    const auto small = site.request_slot(500);
     site.run_until(
         [&] { return site.was_granted(small); }); // its decision comes after that about the large request
     CHECK_FALSE(site.was_refused(large));
     site.other().coordinate(true);
-    site.run_until([&] { return site.other().was_asked(large); });
+    site.run_until([&] { return site.other().has_received(large); });
     CHECK_FALSE(site.was_refused(large));
 }
 
@@ -164,14 +164,14 @@
           "[coordination][slot_broker]") {
     // All gateways were killed and have restarted. Until a gateway has found the coordinator, it may grant
     // only its local share of each quota. Callers that retried large requests at once were refused.
-    played_site site;
+    broker_site site;
     site.other().coordinate(false);
-    const auto large = site.ask(30000);
-    const auto small = site.ask(500);
+    const auto large = site.request_slot(30000);
+    const auto small = site.request_slot(500);
     site.run_until([&] { return site.was_granted(small); });
     CHECK_FALSE(site.was_refused(large));
     site.other().coordinate(true);
-    site.run_until([&] { return site.other().was_asked(large); });
+    site.run_until([&] { return site.other().has_received(large); });
     CHECK_FALSE(site.was_refused(large));
 }
 
@@ -179,11 +179,11 @@
           "[coordination][slot_broker]") {
     // A server accepted no connection from this gateway. A new coordinator that doesn't know this would
     // send requests of other members to that server.
-    played_site site;
+    broker_site site;
     site.run_until([&] { return site.has_source(slot_source::coordinator); });
     site.other().coordinate(false);
     site.run_until([&] { return site.has_source(slot_source::own_part); });
-    const auto first = site.ask(500);
+    const auto first = site.request_slot(500);
     site.run_until([&] { return site.was_granted(first); });
     site.release(first, slot_outcome::unreachable);
     site.other().coordinate(true);
