--- a/tests/unit/test_coordination.cpp
+++ b/tests/unit/test_coordination.cpp
@@ -54,7 +54,7 @@
 /// loss.
 class member_network {
 public:
-    /// Adds a member that knows the members `known_members` from its start.
+    /// Adds a member that knows `known_members` from its start.
     void add(member_key key, const std::vector<member_key>& known_members) {
         auto election = make_election(key, 0.19);
         for (const auto other : known_members) {
--- a/tests/unit/test_slot_broker.cpp
+++ b/tests/unit/test_slot_broker.cpp
@@ -53,8 +53,8 @@
         const auto now = std::chrono::steady_clock::now();
         const auto message = decode(std::as_bytes(std::span(m_bytes)).first(size), now);
         REQUIRE(message.has_value());
-        for (const auto& request_slot : message->items.asks) {
-            m_received.insert(request_slot.ticket);
+        for (const auto& request : message->items.asks) {
+            m_received.insert(request.ticket);
         }
         m_reports.insert(m_reports.end(), message->items.reports.begin(), message->items.reports.end());
         datagram reply;
