--- a/src/coordination/batch_channel.hpp
+++ b/src/coordination/batch_channel.hpp
@@ -58,7 +58,7 @@
         unsigned sends = 0;
     };
 
-    /// Turns the pending items into numbered batches, each of the size of one datagram.
+    /// Turns the pending items into numbered batches, each of which fits into one datagram.
     void seal_pending();
 
     std::uint64_t m_session;
--- a/src/coordination/slot_broker.cpp
+++ b/src/coordination/slot_broker.cpp
@@ -93,7 +93,7 @@
     }
 }
 
-void slot_broker::forget_member(const asio::ip::address& address) {
+void slot_broker::remove_member(const asio::ip::address& address) {
     m_election.forget(key_of(address));
 }
 
--- a/src/coordination/slot_broker.hpp
+++ b/src/coordination/slot_broker.hpp
@@ -97,7 +97,7 @@
 
     /// Adds another process that may be a member. Only IPv4 addresses are supported; others are ignored.
     void add_member(const boost::asio::ip::address& address, double processor_share);
-    void forget_member(const boost::asio::ip::address& address);
+    void remove_member(const boost::asio::ip::address& address);
 
     void set_server(policy::server_key server, policy::service_key service, unsigned slots,
                     policy::domain_key domain);
