--- a/src/coordination/message.hpp
+++ b/src/coordination/message.hpp
@@ -49,10 +49,10 @@
 /// list in this order.
 struct batch_items {
     std::vector<policy::server_report> reports;   ///< sent with the first batches of a session only
-    std::vector<slot_hold> holds;                 ///< sent to a coordinator
-    std::vector<policy::slot_request> asks;       ///< sent to a coordinator
+    std::vector<slot_hold> holds;                 ///< occupied slots, sent to a new coordinator
+    std::vector<policy::slot_request> asks;       ///< requests for slots, sent to a coordinator
     std::vector<policy::slot_ticket> withdrawals; ///< slot requests that are no longer needed
-    std::vector<policy::slot_release> releases;   ///< sent to a coordinator
+    std::vector<policy::slot_release> releases;   ///< slots that requests have left, sent to a coordinator
     std::vector<policy::slot_grant> grants;       ///< sent by a coordinator
     std::vector<policy::slot_refusal> refusals;   ///< sent by a coordinator
 
--- a/src/coordination/slot_broker.hpp
+++ b/src/coordination/slot_broker.hpp
@@ -188,7 +188,7 @@
 
     slot_source m_source = slot_source::own_part;
     policy::time_point m_source_since;
-    policy::member_key m_coordinating_member = 0; ///< valid while m_source is coordinator
+    policy::member_key m_coordinating_member = 0; ///< the coordinator, while m_source is coordinator
     std::optional<batch_channel> m_upstream;  ///< session with the coordinator, while m_source is coordinator
     policy::time_point m_uncoordinated_since; ///< when this process last started or lost its coordinator
     deferred_refusals m_deferred;             ///< used while a coordinator is expected
