--- a/src/coordination/slot_broker.cpp
+++ b/src/coordination/slot_broker.cpp
@@ -76,7 +76,7 @@
 void slot_broker::leave() {
     m_election.leave();
     std::vector<policy::member_key> receivers = m_election.candidates(clock::now());
-    for (const auto& [member, served] : m_served) {
+    for (const auto& [member, served] : m_coordinated_members) {
         receivers.push_back(member);
     }
     choose_source(clock::now());
@@ -192,8 +192,8 @@
     }
     grant_slots(now);
     for (const auto member : std::exchange(m_members_to_flush, {})) {
-        const auto served = m_served.find(member);
-        if (served != m_served.end()) {
+        const auto served = m_coordinated_members.find(member);
+        if (served != m_coordinated_members.end()) {
             flush_channel(member, served->second.channel, now);
         }
     }
@@ -216,8 +216,8 @@
             deliver(items);
             continue;
         }
-        const auto served = m_served.find(member);
-        if (served == m_served.end()) {
+        const auto served = m_coordinated_members.find(member);
+        if (served == m_coordinated_members.end()) {
             continue;
         }
         auto& pending = served->second.channel.pending();
@@ -234,7 +234,7 @@
 /// become the coordinator. This includes a process that coordinates, while no other member has attached to
 /// it.
 bool slot_broker::expects_coordinator(policy::time_point now) const {
-    const bool is_alone = m_source != slot_source::coordinator && m_served.empty();
+    const bool is_alone = m_source != slot_source::coordinator && m_coordinated_members.empty();
     return is_alone && m_election.member_count() > 1 &&
            now - m_uncoordinated_since < m_settings.coordinator_patience;
 }
@@ -259,14 +259,14 @@
 
 void slot_broker::watch_retransmission() {
     const bool is_needed = (m_upstream.has_value() && m_upstream->has_unacknowledged()) ||
-                           std::ranges::any_of(m_served, [](const auto& entry) {
+                           std::ranges::any_of(m_coordinated_members, [](const auto& entry) {
                                return entry.second.channel.has_unacknowledged();
                            });
     if (!is_needed || m_retransmit_timer.is_active()) {
         return;
     }
     m_retransmit_timer = m_timers.after(m_executor, retransmit_check, [this] {
-        for (const auto& [member, served] : m_served) {
+        for (const auto& [member, served] : m_coordinated_members) {
             if (served.channel.has_unacknowledged()) {
                 m_members_to_flush.insert(member);
             }
@@ -379,8 +379,8 @@
     if (wants_reply) {
         datagram reply;
         reply.known = m_election.known(now);
-        const auto served = m_served.find(member);
-        if (served != m_served.end()) {
+        const auto served = m_coordinated_members.find(member);
+        if (served != m_coordinated_members.end()) {
             served->second.channel.set_session_fields(reply);
         }
         send(member, std::move(reply));
@@ -407,22 +407,24 @@
 
 void slot_broker::handle_member_message(policy::member_key member, datagram message) {
     const auto now = clock::now();
-    auto served = m_served.find(member);
-    if (served == m_served.end() || served->second.channel.session() != message.session) {
+    auto served = m_coordinated_members.find(member);
+    if (served == m_coordinated_members.end() || served->second.channel.session() != message.session) {
         // A new session begins with batch 1. Any other batch belongs to a session that this process has
         // already dropped; its member starts a new session when it receives no acknowledgement.
         if (message.batch != 1) {
             return;
         }
         m_coordinator.detach(member, now);
-        served = m_served.insert_or_assign(member, served_member{batch_channel(message.session), now}).first;
+        served = m_coordinated_members
+                     .insert_or_assign(member, coordinated_member{batch_channel(message.session), now})
+                     .first;
         if (message.items.reports.empty()) {
             // A member without reports has just started. With the reports of this process it can place
             // requests well even if it loses its coordinator soon.
             served->second.channel.pending().reports =
                 m_coordinator.scheduler().report_servers(max_initial_reports, now);
         }
-        log_attached_member(member, m_served.size() + 1);
+        log_attached_member(member, m_coordinated_members.size() + 1);
     }
     served->second.last_message = now;
     m_active_members.note_served(member, now);
@@ -477,10 +479,10 @@
 void slot_broker::attach_to(policy::member_key coordinator) {
     const auto before = std::exchange(m_source, slot_source::coordinator);
     m_source_since = clock::now();
-    for (const auto& [member, served] : m_served) {
+    for (const auto& [member, served] : m_coordinated_members) {
         m_coordinator.detach(member, clock::now());
     }
-    m_served.clear();
+    m_coordinated_members.clear();
     m_coordinator.detach(m_self, clock::now());
     m_deferred.clear(); // list_all() below includes these requests
     m_coordinating_member = coordinator;
@@ -498,10 +500,10 @@
     m_source_since = now;
     update_shares(now);
     if (source == slot_source::own_part) {
-        for (const auto& [member, served] : m_served) {
+        for (const auto& [member, served] : m_coordinated_members) {
             m_coordinator.detach(member, now);
         }
-        m_served.clear();
+        m_coordinated_members.clear();
     }
     if (before == slot_source::coordinator) {
         m_uncoordinated_since = now;
@@ -514,7 +516,8 @@
 
 void slot_broker::update_shares(policy::time_point now) {
     if (m_source == slot_source::own_coordination) {
-        m_coordinator.set_shares(1, m_active_members.coordinators_share(m_served.size() + 1, now), now);
+        m_coordinator.set_shares(
+            1, m_active_members.coordinators_share(m_coordinated_members.size() + 1, now), now);
         return;
     }
     const double share = m_active_members.own_share(m_election.member_count());
@@ -522,11 +525,11 @@
 }
 
 void slot_broker::expire_members(policy::time_point now) {
-    for (auto served = m_served.begin(); served != m_served.end();) {
+    for (auto served = m_coordinated_members.begin(); served != m_coordinated_members.end();) {
         if (now - served->second.last_message > member_timeout) {
             log_lost_member(served->first, now - served->second.last_message);
             m_coordinator.detach(served->first, now);
-            served = m_served.erase(served);
+            served = m_coordinated_members.erase(served);
         } else {
             ++served;
         }
--- a/src/coordination/slot_broker.hpp
+++ b/src/coordination/slot_broker.hpp
@@ -139,7 +139,7 @@
     using clock = std::chrono::steady_clock;
 
     /// A member whose requests this process coordinates.
-    struct served_member {
+    struct coordinated_member {
         batch_channel channel;
         policy::time_point last_message; ///< time of its last message
     };
@@ -193,8 +193,8 @@
     policy::time_point m_uncoordinated_since; ///< when this process last started or lost its coordinator
     deferred_refusals m_deferred;             ///< used while a coordinator is expected
     /// Members that this process coordinates; empty unless m_source is own_coordination.
-    std::map<policy::member_key, served_member> m_served;
-    /// Members of m_served whose channels may have datagrams to send.
+    std::map<policy::member_key, coordinated_member> m_coordinated_members;
+    /// Members of m_coordinated_members whose channels may have datagrams to send.
     std::set<policy::member_key> m_members_to_flush;
     policy::member_census m_active_members;
 
