--- a/src/coordination/slot_broker.cpp
+++ b/src/coordination/slot_broker.cpp
@@ -1,4 +1,5 @@
-// Roles change with what is heard; the requests that wait or run are told to whoever decides next.
+// Changes the source of slots according to the messages received from other members. After each change, the
+// requests that wait for a slot or occupy one are reported to the new source.
 #include "coordination/slot_broker.hpp"
 
 #include "base/identifier.hpp"
@@ -19,17 +20,20 @@
 namespace {
 
 constexpr milliseconds tick_period{50};
-/// Unacknowledged batches are looked at this often.
+/// While there are unacknowledged batches, this is the time between two checks whether to send them again.
 constexpr milliseconds retransmit_check{6};
-/// A member that is silent for this long has its slots given to others.
-constexpr milliseconds member_silence{600};
-/// Without an acknowledgement for this long a session is begun anew; some retransmissions fit into it.
-constexpr milliseconds stuck_session_limit{250};
-/// Servers that a member tells a coordinator of at first: a few datagrams from each, so that hundreds that
-/// attach together don't fill a small machine's link.
-constexpr std::size_t most_reports = 64;
+/// The coordinator drops a member from which it receives no message for this long; its slots become free.
+constexpr milliseconds member_timeout{600};
+/// A member starts a new session when its oldest batch isn't acknowledged for this long, which leaves time
+/// for some retransmissions.
+constexpr milliseconds session_timeout{250};
+/// Maximum number of server reports at the start of a session. They fill a few datagrams, so that hundreds of
+/// members that attach at the same time don't saturate the network link of a small machine.
+constexpr std::size_t max_initial_reports = 64;
+/// The upper half of a ticket is taken from the incarnation of the process, the lower half is a counter.
 constexpr unsigned ticket_shift = 32;
 
+/// The key of a member is its IPv4 address; 0 for an IPv6 address, which has no key.
 policy::member_key key_of(const asio::ip::address& address) {
     return address.is_v4() ? address.to_v4().to_uint() : 0;
 }
@@ -49,11 +53,11 @@
 }
 
 slot_broker::slot_broker(asio::any_io_executor executor, timer_service& timers, broker_settings settings,
-                         observers to_call)
+                         observers callbacks)
     : m_executor(std::move(executor)),
       m_timers(timers),
       m_settings(settings),
-      m_observers(std::move(to_call)),
+      m_observers(std::move(callbacks)),
       m_incarnation(identifier::random().low),
       m_self(key_of(settings.local.address())),
       m_election(m_self, settings.processor_share, settings.election, clock::now()),
@@ -64,20 +68,21 @@
                      [this](const asio::ip::udp::endpoint& from, std::span<const std::byte> bytes) {
                          receive(from, bytes);
                      });
-    m_alone_since = clock::now();
-    update_shares(m_alone_since);
+    m_uncoordinated_since = clock::now();
+    update_shares(m_uncoordinated_since);
     m_tick_timer = m_timers.every(m_executor, tick_period, [this] { tick(); });
 }
 
 void slot_broker::leave() {
     m_election.leave();
-    std::vector<policy::member_key> told = m_election.candidates(clock::now());
-    for (const auto& [member, served] : m_served) {
-        told.push_back(member);
+    std::vector<policy::member_key> receivers = m_election.candidates(clock::now());
+    for (const auto& [member, served] : m_coordinated_members) {
+        receivers.push_back(member);
     }
     choose_source(clock::now());
-    // At once: until they know, their requests would wait here for nothing.
-    for (const auto member : told) {
+    // The status is sent at once, because the other members keep sending slot requests to this process, where
+    // they would wait in vain, until they know that it shuts down.
+    for (const auto member : receivers) {
         send(member, {});
     }
 }
@@ -88,7 +93,7 @@
     }
 }
 
-void slot_broker::forget_member(const asio::ip::address& address) {
+void slot_broker::remove_member(const asio::ip::address& address) {
     m_election.forget(key_of(address));
 }
 
@@ -118,13 +123,13 @@
     return (m_incarnation << ticket_shift) | ++m_last_ticket;
 }
 
-void slot_broker::request(const policy::slot_request& wanted, slot_answer to_call) {
-    auto asked = wanted;
-    asked.domain = m_settings.domain;
-    m_requests.add(asked, std::move(to_call));
+void slot_broker::request(const policy::slot_request& wanted, slot_callbacks callbacks) {
+    auto local_request = wanted;
+    local_request.domain = m_settings.domain;
+    m_requests.add(local_request, std::move(callbacks));
     batch_items items;
-    items.asks.push_back(asked);
-    pass_on(std::move(items));
+    items.asks.push_back(local_request);
+    forward_items(std::move(items));
 }
 
 void slot_broker::withdraw(policy::slot_ticket ticket) {
@@ -133,21 +138,22 @@
     }
     batch_items items;
     items.withdrawals.push_back(ticket);
-    pass_on(std::move(items));
+    forward_items(std::move(items));
 }
 
 void slot_broker::release(const policy::slot_release& ended) {
     const auto held = m_requests.release(ended.ticket);
     if (m_source == slot_source::coordinator && held.has_value()) {
-        // To be known here too when the coordinator is lost.
+        // The coordinator learns from the release, too. The local scheduler needs the same knowledge of the
+        // server when it has to grant slots after the coordinator is lost.
         m_coordinator.scheduler().observe(ended, held->cost.prompt, clock::now());
     }
     batch_items items;
     items.releases.push_back(ended);
-    pass_on(std::move(items));
+    forward_items(std::move(items));
 }
 
-void slot_broker::pass_on(batch_items items) {
+void slot_broker::forward_items(batch_items items) {
     if (m_source == slot_source::coordinator) {
         auto& pending = m_upstream->pending();
         std::ranges::move(items.holds, std::back_inserter(pending.holds));
@@ -155,12 +161,12 @@
         std::ranges::move(items.withdrawals, std::back_inserter(pending.withdrawals));
         std::ranges::move(items.releases, std::back_inserter(pending.releases));
     } else {
-        take_items(m_self, items, clock::now());
+        apply_items(m_self, items, clock::now());
     }
     schedule_flush();
 }
 
-void slot_broker::take_items(policy::member_key member, const batch_items& items, policy::time_point now) {
+void slot_broker::apply_items(policy::member_key member, const batch_items& items, policy::time_point now) {
     m_coordinator.take(member, items, now);
     for (const auto& ended : items.releases) {
         m_observers.on_release(ended);
@@ -184,24 +190,25 @@
         watch_retransmission();
         return;
     }
-    hand_out(now);
-    for (const auto member : std::exchange(m_told_members, {})) {
-        const auto served = m_served.find(member);
-        if (served != m_served.end()) {
+    grant_slots(now);
+    for (const auto member : std::exchange(m_members_to_flush, {})) {
+        const auto served = m_coordinated_members.find(member);
+        if (served != m_coordinated_members.end()) {
             flush_channel(member, served->second.channel, now);
         }
     }
     watch_retransmission();
 }
 
-/// Decides, and queues what each member is to be told.
-void slot_broker::hand_out(policy::time_point now) {
+/// Grants slots and refuses requests. Decisions about requests of this process are delivered at once,
+/// decisions about other members' requests are queued in the channels of these members.
+void slot_broker::grant_slots(policy::time_point now) {
     for (auto& [member, items] : m_coordinator.decide(now)) {
         if (expects_coordinator(now)) {
-            m_deferred.take_from(items.refusals);
+            m_deferred.extract_from(items.refusals);
         }
         const auto& scheduler = m_coordinator.scheduler();
-        report_refusals(member, items.refusals, scheduler.waiting(), scheduler.running());
+        log_refusals(member, items.refusals, scheduler.waiting(), scheduler.running());
         for (const auto& grant : items.grants) {
             m_observers.on_grant(grant.server);
         }
@@ -209,55 +216,59 @@
             deliver(items);
             continue;
         }
-        const auto served = m_served.find(member);
-        if (served == m_served.end()) {
+        const auto served = m_coordinated_members.find(member);
+        if (served == m_coordinated_members.end()) {
             continue;
         }
         auto& pending = served->second.channel.pending();
         std::ranges::move(items.grants, std::back_inserter(pending.grants));
         std::ranges::move(items.refusals, std::back_inserter(pending.refusals));
-        m_told_members.insert(member);
+        m_members_to_flush.insert(member);
     }
     for (const auto& change : m_coordinator.scheduler().take_health_changes()) {
         m_observers.on_health_change(change);
     }
 }
 
-/// Also for one that takes itself for the coordinator, as long as nobody asks it.
+/// True after a start and after the loss of a coordinator, for the time in which another process is likely to
+/// become the coordinator. This includes a process that coordinates, while no other member has attached to
+/// it.
 bool slot_broker::expects_coordinator(policy::time_point now) const {
-    const bool is_alone = m_source != slot_source::coordinator && m_served.empty();
-    return is_alone && m_election.member_count() > 1 && now - m_alone_since < m_settings.coordinator_patience;
+    const bool is_alone = m_source != slot_source::coordinator && m_coordinated_members.empty();
+    return is_alone && m_election.member_count() > 1 &&
+           now - m_uncoordinated_since < m_settings.coordinator_patience;
 }
 
-void slot_broker::ask_deferred_again(policy::time_point now) {
-    m_coordinator.take(m_self, m_requests.ask_again(m_deferred.take_all()), now);
+void slot_broker::resubmit_deferred(policy::time_point now) {
+    m_coordinator.take(m_self, m_requests.find_waiting(m_deferred.take_tickets()), now);
 }
 
-void slot_broker::report_change_of_source(slot_source before) const {
-    const bool is_told = m_source == slot_source::coordinator;
-    report_source({to_string(before), to_string(m_source), is_told ? m_coordinating_member : m_self,
-                   m_requests.waiting(), m_requests.running()});
+void slot_broker::report_source_change(slot_source before) const {
+    const bool has_coordinator = m_source == slot_source::coordinator;
+    log_source_change({to_string(before), to_string(m_source),
+                       has_coordinator ? m_coordinating_member : m_self, m_requests.waiting(),
+                       m_requests.running()});
 }
 
 void slot_broker::flush_channel(policy::member_key member, batch_channel& channel, policy::time_point now) {
     for (auto& message : channel.take_due(now)) {
-        channel.stamp(message);
+        channel.set_session_fields(message);
         send(member, std::move(message));
     }
 }
 
 void slot_broker::watch_retransmission() {
     const bool is_needed = (m_upstream.has_value() && m_upstream->has_unacknowledged()) ||
-                           std::ranges::any_of(m_served, [](const auto& entry) {
+                           std::ranges::any_of(m_coordinated_members, [](const auto& entry) {
                                return entry.second.channel.has_unacknowledged();
                            });
     if (!is_needed || m_retransmit_timer.is_active()) {
         return;
     }
     m_retransmit_timer = m_timers.after(m_executor, retransmit_check, [this] {
-        for (const auto& [member, served] : m_served) {
+        for (const auto& [member, served] : m_coordinated_members) {
             if (served.channel.has_unacknowledged()) {
-                m_told_members.insert(member);
+                m_members_to_flush.insert(member);
             }
         }
         schedule_flush();
@@ -273,7 +284,7 @@
     result.is_leaving = m_election.is_leaving();
     result.processor_share = m_settings.processor_share;
     result.domain = m_settings.domain;
-    result.members = static_cast<unsigned>(m_census.count());
+    result.members = static_cast<unsigned>(m_active_members.count());
     const auto held = m_observers.read_versions();
     result.configuration_version = held.configuration;
     result.backends = held.backends;
@@ -300,12 +311,12 @@
     message.wants_reply = true;
     message.known = m_election.known(clock::now());
     if (m_source == slot_source::coordinator && member == m_coordinating_member) {
-        m_upstream->stamp(message);
+        m_upstream->set_session_fields(message);
     }
     send(member, std::move(message));
 }
 
-heartbeat_receiver slot_broker::role_of(policy::member_key candidate) const {
+heartbeat_receiver slot_broker::receiver_kind_of(policy::member_key candidate) const {
     if (m_source == slot_source::own_part) {
         return heartbeat_receiver::next;
     }
@@ -314,9 +325,9 @@
 }
 
 void slot_broker::send_heartbeats(policy::time_point now) {
-    m_heartbeats.begin_tick(m_census.told());
+    m_heartbeats.begin_tick(m_active_members.told());
     for (const auto member : m_election.candidates(now)) {
-        if (m_heartbeats.is_due(role_of(member))) {
+        if (m_heartbeats.is_due(receiver_kind_of(member))) {
             send_heartbeat(member);
         }
     }
@@ -333,7 +344,7 @@
     expire_members(now);
     choose_source(now);
     if (!m_deferred.is_empty() && !expects_coordinator(now)) {
-        ask_deferred_again(now);
+        resubmit_deferred(now);
     }
     send_heartbeats(now);
     schedule_flush();
@@ -356,75 +367,78 @@
                                                     sender.backends_confirmed, sender.unbroken});
     if (m_source == slot_source::coordinator && member == m_coordinating_member &&
         message->session == m_upstream->session()) {
-        take_from_coordinator(std::move(*message));
+        handle_coordinator_message(std::move(*message));
     } else if (message->session != 0 && m_source == slot_source::own_coordination) {
-        take_from_member(member, std::move(*message));
+        handle_member_message(member, std::move(*message));
     }
-    for (const auto named : known) {
-        if (m_election.learn(named, now)) {
-            send_heartbeat(named);
+    for (const auto learned : known) {
+        if (m_election.learn(learned, now)) {
+            send_heartbeat(learned);
         }
     }
     if (wants_reply) {
         datagram reply;
         reply.known = m_election.known(now);
-        const auto served = m_served.find(member);
-        if (served != m_served.end()) {
-            served->second.channel.stamp(reply);
+        const auto served = m_coordinated_members.find(member);
+        if (served != m_coordinated_members.end()) {
+            served->second.channel.set_session_fields(reply);
         }
         send(member, std::move(reply));
     }
 }
 
-void slot_broker::take_from_coordinator(datagram message) {
-    m_census.note_told(message.sender.members, clock::now());
-    m_upstream->take_acknowledgement(message.acknowledged);
+void slot_broker::handle_coordinator_message(datagram message) {
+    m_active_members.note_told(message.sender.members, clock::now());
+    m_upstream->handle_acknowledgement(message.acknowledged);
     if (message.batch == 0) {
         return;
     }
     const auto session = m_upstream->session();
-    for (const auto& items : m_upstream->take_batch(message.batch, std::move(message.items))) {
+    for (const auto& items : m_upstream->receive_batch(message.batch, std::move(message.items))) {
         deliver(items);
     }
     if (!m_upstream.has_value() || m_upstream->session() != session) {
         return;
     }
     datagram reply;
-    m_upstream->stamp(reply);
+    m_upstream->set_session_fields(reply);
     send(m_coordinating_member, std::move(reply));
 }
 
-void slot_broker::take_from_member(policy::member_key member, datagram message) {
+void slot_broker::handle_member_message(policy::member_key member, datagram message) {
     const auto now = clock::now();
-    auto served = m_served.find(member);
-    if (served == m_served.end() || served->second.channel.session() != message.session) {
-        // A new session begins with its first batch; anything else belongs to one that is over here, and the
-        // member begins another when nothing is acknowledged.
+    auto served = m_coordinated_members.find(member);
+    if (served == m_coordinated_members.end() || served->second.channel.session() != message.session) {
+        // A new session begins with batch 1. Any other batch belongs to a session that this process has
+        // already dropped; its member starts a new session when it receives no acknowledgement.
         if (message.batch != 1) {
             return;
         }
         m_coordinator.detach(member, now);
-        served = m_served.insert_or_assign(member, served_member{batch_channel(message.session), now}).first;
+        served = m_coordinated_members
+                     .insert_or_assign(member, coordinated_member{batch_channel(message.session), now})
+                     .first;
         if (message.items.reports.empty()) {
-            // It has just started; should it be on its own soon, it knows what this process knows.
+            // A member without reports has just started. With the reports of this process it can place
+            // requests well even if it loses its coordinator soon.
             served->second.channel.pending().reports =
-                m_coordinator.scheduler().report_servers(most_reports, now);
+                m_coordinator.scheduler().report_servers(max_initial_reports, now);
         }
-        report_attached(member, m_served.size() + 1);
+        log_attached_member(member, m_coordinated_members.size() + 1);
     }
-    served->second.heard = now;
-    m_census.note_served(member, now);
-    served->second.channel.take_acknowledgement(message.acknowledged);
+    served->second.last_message = now;
+    m_active_members.note_served(member, now);
+    served->second.channel.handle_acknowledgement(message.acknowledged);
     if (message.batch == 0) {
         return;
     }
-    for (const auto& items : served->second.channel.take_batch(message.batch, std::move(message.items))) {
-        take_items(member, items, now);
+    for (const auto& items : served->second.channel.receive_batch(message.batch, std::move(message.items))) {
+        apply_items(member, items, now);
     }
-    hand_out(now);
+    grant_slots(now);
     datagram reply;
     if (served->second.channel.pending().is_empty()) {
-        served->second.channel.stamp(reply);
+        served->second.channel.set_session_fields(reply);
         send(member, std::move(reply));
     }
     schedule_flush();
@@ -439,80 +453,83 @@
     using role = policy::coordinator_election::role;
     if (choice.who == role::self) {
         if (m_source != slot_source::own_coordination) {
-            use_own(slot_source::own_coordination);
+            use_local_source(slot_source::own_coordination);
         }
     } else if (choice.who == role::other && m_election.is_acting_member(choice.member)) {
         const bool is_attached = m_source == slot_source::coordinator &&
-                                 m_coordinating_member == choice.member && !is_session_stuck(now);
+                                 m_coordinating_member == choice.member && !has_session_timed_out(now);
         if (!is_attached) {
             attach_to(choice.member);
         }
     } else if (m_source != slot_source::own_part) {
-        use_own(slot_source::own_part);
+        use_local_source(slot_source::own_part);
     }
     m_election.act(m_source == slot_source::own_coordination);
     update_shares(now);
 }
 
-/// The coordinator is heard but takes nothing: it has given this process up meanwhile, for instance because
-/// only this direction was cut, and knows nothing of the session any more.
-bool slot_broker::is_session_stuck(policy::time_point now) const {
+/// Whether this process receives messages from the coordinator but no acknowledgements. The coordinator has
+/// then dropped this process and its session, for instance because the network failed in this one direction
+/// only.
+bool slot_broker::has_session_timed_out(policy::time_point now) const {
     const auto oldest = m_upstream->oldest_unacknowledged();
-    return oldest.has_value() && now - *oldest > stuck_session_limit;
+    return oldest.has_value() && now - *oldest > session_timeout;
 }
 
 void slot_broker::attach_to(policy::member_key coordinator) {
     const auto before = std::exchange(m_source, slot_source::coordinator);
     m_source_since = clock::now();
-    for (const auto& [member, served] : m_served) {
+    for (const auto& [member, served] : m_coordinated_members) {
         m_coordinator.detach(member, clock::now());
     }
-    m_served.clear();
+    m_coordinated_members.clear();
     m_coordinator.detach(m_self, clock::now());
-    m_deferred.clear(); // told below, like all that wait
+    m_deferred.clear(); // list_all() below includes these requests
     m_coordinating_member = coordinator;
     m_upstream.emplace(identifier::random().low);
-    m_upstream->pending() = m_requests.tell_all();
-    m_upstream->pending().reports = m_coordinator.scheduler().report_servers(most_reports, clock::now());
+    m_upstream->pending() = m_requests.list_all();
+    m_upstream->pending().reports =
+        m_coordinator.scheduler().report_servers(max_initial_reports, clock::now());
     schedule_flush();
-    report_change_of_source(before);
+    report_source_change(before);
 }
 
-void slot_broker::use_own(slot_source source) {
+void slot_broker::use_local_source(slot_source source) {
     const auto now = clock::now();
     const auto before = std::exchange(m_source, source);
     m_source_since = now;
     update_shares(now);
     if (source == slot_source::own_part) {
-        for (const auto& [member, served] : m_served) {
+        for (const auto& [member, served] : m_coordinated_members) {
             m_coordinator.detach(member, now);
         }
-        m_served.clear();
+        m_coordinated_members.clear();
     }
     if (before == slot_source::coordinator) {
-        m_alone_since = now;
+        m_uncoordinated_since = now;
         m_upstream.reset();
-        m_coordinator.take(m_self, m_requests.tell_all(), now);
+        m_coordinator.take(m_self, m_requests.list_all(), now);
     }
     schedule_flush();
-    report_change_of_source(before);
+    report_source_change(before);
 }
 
 void slot_broker::update_shares(policy::time_point now) {
     if (m_source == slot_source::own_coordination) {
-        m_coordinator.set_shares(1, m_census.coordinators_share(m_served.size() + 1, now), now);
+        m_coordinator.set_shares(
+            1, m_active_members.coordinators_share(m_coordinated_members.size() + 1, now), now);
         return;
     }
-    const double part = m_census.own_share(m_election.member_count());
-    m_coordinator.set_shares(part, part, now);
+    const double share = m_active_members.own_share(m_election.member_count());
+    m_coordinator.set_shares(share, share, now);
 }
 
 void slot_broker::expire_members(policy::time_point now) {
-    for (auto served = m_served.begin(); served != m_served.end();) {
-        if (now - served->second.heard > member_silence) {
-            report_lost(served->first, now - served->second.heard);
+    for (auto served = m_coordinated_members.begin(); served != m_coordinated_members.end();) {
+        if (now - served->second.last_message > member_timeout) {
+            log_lost_member(served->first, now - served->second.last_message);
             m_coordinator.detach(served->first, now);
-            served = m_served.erase(served);
+            served = m_coordinated_members.erase(served);
         } else {
             ++served;
         }
@@ -524,21 +541,22 @@
         m_coordinator.scheduler().adopt(report, clock::now());
     }
     for (const auto& grant : items.grants) {
-        take_grant(grant);
+        apply_grant(grant);
     }
     for (const auto& refusal : items.refusals) {
-        m_requests.take_refusal(refusal);
+        m_requests.apply_refusal(refusal);
     }
 }
 
-void slot_broker::take_grant(const policy::slot_grant& grant) {
-    if (m_requests.take_grant(grant) || m_requests.occupies_slot(grant.ticket)) {
+void slot_broker::apply_grant(const policy::slot_grant& grant) {
+    if (m_requests.apply_grant(grant) || m_requests.occupies_slot(grant.ticket)) {
         return;
     }
-    // Withdrawn, or granted by a former coordinator, while this was on its way.
+    // The request was withdrawn, or a previous coordinator granted it a slot, while this grant was in
+    // transit. The slot is returned unused.
     batch_items items;
     items.releases.push_back({grant.ticket, grant.server, policy::slot_outcome::refused, {}, {}});
-    pass_on(std::move(items));
+    forward_items(std::move(items));
 }
 
 } // namespace borageford::coordination
--- a/src/store/object_store.cpp
+++ b/src/store/object_store.cpp
@@ -1,4 +1,4 @@
-// The object store's calls over HTTP.
+// Sends the object store's calls over HTTP and decodes the answers.
 #include "store/object_store.hpp"
 
 #include "store/store_call.hpp"
@@ -24,7 +24,7 @@
         "PUT", std::move(target), {{"Content-Type", "application/octet-stream"}}, std::move(bytes)};
     const auto answer = co_await call_store(executor, address, timeout, std::move(call), call_kind::write);
     if (answer.head.status >= first_error_status) {
-        refuse_answer("put of an object", answer.head.status, call_kind::write);
+        throw_unexpected_status("put of an object", answer.head.status, call_kind::write);
     }
 }
 
@@ -37,7 +37,7 @@
         co_return std::nullopt;
     }
     if (answer.head.status != status_ok) {
-        refuse_answer("get of an object", answer.head.status, call_kind::read);
+        throw_unexpected_status("get of an object", answer.head.status, call_kind::read);
     }
     co_return std::move(answer.body);
 }
@@ -58,7 +58,7 @@
     http::request call{"GET", std::move(target), {}, ""};
     const auto answer = co_await call_store(executor, address, timeout, std::move(call), call_kind::read);
     if (answer.head.status != status_ok) {
-        refuse_answer("list of objects", answer.head.status, call_kind::read);
+        throw_unexpected_status("list of objects", answer.head.status, call_kind::read);
     }
     try {
         co_return decode_entries(answer.body);
@@ -73,7 +73,8 @@
                            std::chrono::milliseconds timeout)
     : m_executor(std::move(executor)), m_address(std::move(address)), m_timeout(timeout) {}
 
-// The calls below encode their arguments before they return, so a caller's views needn't outlive the call.
+// The functions below encode their arguments before they return an awaitable. Views that are passed to them
+// needn't stay valid until the awaitable is done.
 
 asio::awaitable<void> object_store::put(std::string_view key, std::string bytes) {
     return send_put(m_executor, m_address, m_timeout, "/objects/" + encode_for_target(key), std::move(bytes));
--- a/tests/unit/test_slot_coordinator_random.cpp
+++ b/tests/unit/test_slot_coordinator_random.cpp
@@ -1,5 +1,6 @@
-// Random sequences of everything that members can tell a coordinator, in any order; what must hold is checked
-// after each step. The seed of a failure is shown and stays the same from run to run.
+// Tests slot_coordinator with random sequences of all messages that members can send, in any order. The
+// invariants are checked after each step. A failure prints its seed; the same seed always gives the same
+// sequence.
 #include "coordination/slot_coordinator.hpp"
 
 #include <catch2/catch.hpp>
@@ -18,9 +19,9 @@
 constexpr service_key service = 7;
 constexpr std::size_t server_count = 3;
 constexpr unsigned slots_of_each = 2;
-constexpr std::size_t most_members = 3;
+constexpr std::size_t member_count = 3;
 
-/// Members and a coordinator, driven by a sequence of random numbers.
+/// Simulated members and a coordinator, whose actions follow from a sequence of random numbers.
 class random_members {
 public:
     explicit random_members(unsigned seed)
@@ -32,12 +33,12 @@
 
     void step() {
         m_now += std::chrono::milliseconds(m_random() % 40);
-        const member_key member = 1 + m_random() % most_members;
+        const member_key member = 1 + m_random() % member_count;
         switch (m_random() % 8) {
         case 0:
         case 1:
         case 2:
-            ask(member);
+            request_slots(member);
             break;
         case 3:
             withdraw(member);
@@ -47,7 +48,7 @@
             release(member);
             break;
         case 6:
-            lose(member);
+            drop(member);
             break;
         default:
             decide();
@@ -55,9 +56,9 @@
         check();
     }
 
-    /// Everything ends, and nothing is left behind.
+    /// Drops all members and checks that the coordinator keeps none of their requests.
     void finish() {
-        for (member_key member = 1; member <= most_members; ++member) {
+        for (member_key member = 1; member <= member_count; ++member) {
             m_coordinator.detach(member, m_now);
             m_known[member] = {};
         }
@@ -72,9 +73,9 @@
         std::map<slot_ticket, server_key> running;
     };
 
-    void ask(member_key member) {
+    void request_slots(member_key member) {
         batch_items items;
-        const auto count = 1 + m_random() % 12; // many at once make some hopeless
+        const auto count = 1 + m_random() % 12; // with many requests at once, some can't be served in time
         for (unsigned index = 0; index < count; ++index) {
             slot_request wanted;
             wanted.ticket = ++m_last_ticket;
@@ -117,8 +118,9 @@
         m_coordinator.take(member, items, m_now);
     }
 
-    /// The member falls silent, or begins anew and tells what still waits and runs.
-    void lose(member_key member) {
+    /// The coordinator drops a member. The member either stays away, or starts a new session and reports
+    /// the slots that its requests still occupy.
+    void drop(member_key member) {
         m_coordinator.detach(member, m_now);
         auto& known = m_known[member];
         if (m_random() % 2 == 0) {
@@ -147,8 +149,8 @@
     void take_grant(member_key member, const slot_grant& grant) {
         auto& known = m_known[member];
         const bool was_waiting = known.waiting.erase(grant.ticket) == 1;
-        const bool crossed = m_withdrawn.erase(grant.ticket) == 1;
-        CHECK((was_waiting || crossed));
+        const bool was_withdrawn = m_withdrawn.erase(grant.ticket) == 1;
+        CHECK((was_waiting || was_withdrawn));
         known.running[grant.ticket] = grant.server;
     }
 
@@ -174,9 +176,9 @@
 
 } // namespace
 
-TEST_CASE("a member that is lost while it is refused leaves nothing behind", "[coordination]") {
-    // Under overload a request is refused on arrival, and its member changes its coordinator before that is
-    // told. The coordinator looked the request up in vain and the process ended.
+TEST_CASE("dropping a member whose requests were just refused leaves no request behind", "[coordination]") {
+    // Under overload a request is refused on arrival, and its member changes to another coordinator before
+    // the refusal is sent. The coordinator then didn't find the request, and its process crashed.
     slot_coordinator coordinator({}, {}, {});
     coordinator.scheduler().set_server(1, service, 1);
     batch_items items;
