--- a/src/policy/adaptive_limit.cpp
+++ b/src/policy/adaptive_limit.cpp
@@ -1,4 +1,5 @@
-// Two controllers: between-token times bound the running sequences, first-token times the prefill.
+// Uses one limit_controller for the running sequences, fed with times between tokens, and another one for the
+// tokens in prefill, fed with first-token times.
 #include "policy/adaptive_limit.hpp"
 
 #include <algorithm>
--- a/src/policy/allowance_book.cpp
+++ b/src/policy/allowance_book.cpp
@@ -1,4 +1,4 @@
-// Token buckets whose rates follow the share.
+// Implements the quotas as token buckets whose rate and burst follow the share of this process.
 #include "policy/allowance_book.hpp"
 
 #include <algorithm>
@@ -7,17 +7,19 @@
 
 namespace {
 
-/// Changes of process within one window that the rest of the tolerance has to cover.
+/// Changes of the coordinator within one window that the unused part of the tolerance must cover.
 constexpr double covered_changes = 3;
-/// Part of the tolerance that buckets give out. A workspace's requests are counted here by the most tokens
-/// that they may take, when they arrive; judged by the bare limit, callers who keep it would be refused at
-/// each burst. The rest is for what a coordinator doesn't know of its predecessor.
+/// Fraction of the tolerance by which the buckets exceed the quota. A request is counted when it arrives, by
+/// the most tokens that it may use, so buckets of exactly the quota would refuse workspaces that keep to it
+/// whenever they send a burst. The other half of the tolerance covers what a new coordinator doesn't know
+/// about the grants of its predecessor.
 constexpr double used_tolerance = 0.5;
-/// Part of a bucket that each rank leaves to the ranks above it.
+/// Fraction of a bucket that a request leaves untouched for each rank above its own.
 constexpr double left_per_rank = 0.25;
+/// Upper bound of the fraction that is left to higher ranks.
 constexpr double most_left_to_higher = 0.75;
-/// A request that takes less of a bucket than this takes little from anybody, and leaves accordingly little:
-/// a bookmark costs a workspace a twentieth of a summary.
+/// Requests that take a smaller fraction of the bucket than this leave a proportionally smaller reserve to
+/// higher ranks, because they hardly affect others: a bookmark costs a workspace a twentieth of a summary.
 constexpr double small_part = 0.02;
 
 } // namespace
@@ -35,8 +37,9 @@
     const double window = to_seconds(m_limits.window);
     const double tolerated = m_limits.tolerance * (limit.rate * window + limit.burst) + m_limits.slack;
     const double unused = tolerated * (1 - used_tolerance);
-    // Its part only: all gateways that come back together each begin with a bucket of their own, before they
-    // have found who coordinates, and together would give out many times what is left for such changes.
+    // Scaled by the share of this process. When all gateways restart together, each starts with a bucket of
+    // its own before they have found the coordinator; with the full level each, they would together grant
+    // many times what is reserved for such changes.
     return std::min(shared_burst(limit), unused / covered_changes * m_share);
 }
 
@@ -51,8 +54,8 @@
     }
 }
 
-/// A process that gives out a larger part than ever before, since it coordinates now, begins with that part's
-/// level, less what it had before.
+/// Raises the bucket to the initial level for the current share, less what it was given before. This happens
+/// when a process becomes coordinator and its share is larger than ever before.
 void allowance_book::add_to_first_level(entry& to, time_point now) const {
     const double level = first_level(to.limit);
     if (level > to.first_level) {
--- a/src/policy/allowance_book.hpp
+++ b/src/policy/allowance_book.hpp
@@ -1,4 +1,5 @@
-// What each workspace may still use of its allowance, for whoever gives slots to all of its requests.
+// Tracks how much of its quota each workspace has left, in the process that grants slots to the requests of
+// that workspace.
 #pragma once
 
 #include "policy/slot_request.hpp"
@@ -9,50 +10,58 @@
 
 namespace borageford::policy {
 
-/// A workspace's limit as configured, in its own units.
+/// Configured quota of a workspace. The unit is the one configured for the workspace: requests or tokens.
 struct allowance {
     double rate = 0; ///< units a second; 0: unlimited
+    /// Capacity of the token bucket, in units.
     double burst = 0;
 };
 
+/// How far the use of a workspace may exceed its quota.
 struct allowance_limits {
-    duration window = std::chrono::seconds(8); ///< over which the limit is judged
-    double tolerance = 0.1;                    ///< share by which a window may go over it
-    double slack = 0;                          ///< units by which a window may go over it besides
+    /// Time window in which the use is compared with the quota.
+    duration window = std::chrono::seconds(8);
+    double tolerance = 0.1; ///< Fraction by which the use in one window may exceed the quota.
+    double slack = 0;       ///< Further units by which the use in one window may exceed the quota.
 };
 
-/// A bucket for each workspace. Limits hold over all processes together, although a bucket is lost with the
-/// process that keeps it: a fresh bucket doesn't start full but with a part of the tolerance, so that some
-/// changes of process within one window stay inside it.
+/// Token buckets by workspace. The quota of a workspace holds over all processes together, but a bucket is
+/// lost when the process that keeps it stops. A new bucket therefore starts with only a fraction of the
+/// tolerance instead of a full burst, so that several changes of the coordinator within one window don't
+/// exceed the tolerance.
 class allowance_book {
 public:
     explicit allowance_book(allowance_limits limits) : m_limits(limits) {}
 
-    /// The part of every limit that this process may give out; less than 1 while others may give out the
-    /// rest.
+    /// Sets the fraction of every quota that this process may grant. It is below 1 while other processes may
+    /// grant the remaining fraction.
     void set_share(double share, time_point now);
 
-    /// Adds a workspace or changes its limit.
+    /// Adds a workspace or changes its quota; keeps the bucket's level when the workspace is known.
     void set_limit(workspace_key workspace, allowance limit, time_point now);
     void remove(workspace_key workspace) { m_entries.erase(workspace); }
 
-    /// Takes the units if they are there; workspaces without a limit always may. A request of a lower rank (0
-    /// is the highest) leaves a part of the bucket to the higher ones of its workspace: with first come,
-    /// first served, a workspace that sends more than it may had its long, cheap requests served and its
-    /// urgent ones refused.
+    /// Takes the units from the bucket of the workspace if there are enough, and returns whether it did. A
+    /// workspace without a quota always succeeds. `rank` orders the requests of one workspace, 0 being the
+    /// highest. A request of a lower rank must leave a part of the bucket to the higher ranks: first come,
+    /// first served would let a workspace that exceeds its quota get its long-running, cheap requests served
+    /// and its urgent ones refused.
     [[nodiscard]] bool try_take(workspace_key workspace, double units, int rank, time_point now);
-    /// Units that a request of this rank could take now; negative while the workspace is in debt.
+    /// Units that a request of this rank and size could take now; negative while the bucket is in debt; 0 for
+    /// an unknown workspace.
     [[nodiscard]] double available(workspace_key workspace, double units, int rank, time_point now) const;
-    /// Gives back what was taken for a request that didn't run.
+    /// Returns units to the bucket that were taken for a request that didn't run.
     void give_back(workspace_key workspace, double units, time_point now);
-    /// When the units will be there.
+    /// Time until try_take() can succeed; zero for an unknown workspace; `duration::max()` when it never
+    /// will, see token_bucket::time_until().
     [[nodiscard]] duration time_until(workspace_key workspace, double units, int rank, time_point now) const;
 
 private:
     struct entry {
         allowance limit;
         token_bucket bucket;
-        double first_level = 0; ///< that the bucket was given at its start, for the largest part so far
+        /// Units that the bucket has been given as its initial level, at the largest share so far.
+        double first_level = 0;
     };
 
     [[nodiscard]] double first_level(const allowance& limit) const;
--- a/src/policy/attempt_rule.hpp
+++ b/src/policy/attempt_rule.hpp
@@ -1,4 +1,4 @@
-// Whether a request may be sent to another backend server.
+// Decides whether a failed request may be sent to another backend server.
 #pragma once
 
 #include "policy/slot_request.hpp"
@@ -8,20 +8,23 @@
 
 namespace borageford::policy {
 
-/// What became of one try.
+/// Result of one attempt to run a request on a server.
 enum class try_outcome : std::uint8_t {
-    unreachable,  ///< nothing was sent: it hasn't run
-    not_executed, ///< the server said that it didn't run it
-    may_have_run  ///< sent, and no word of it, or an answer that failed
+    unreachable,  ///< The request couldn't be sent, so it hasn't run.
+    not_executed, ///< The server reported that it didn't run the request.
+    may_have_run  ///< The request was sent, and no answer or a failed answer came back.
 };
 
-/// Invariant: a request that may not be repeated is never sent again once it may have run.
+/// History of the attempts of one request.
+///
+/// Invariant: a request that isn't repeatable is never sent again once it may have run.
 class attempt_rule {
 public:
-    /// `allowed_runs`: servers that may run it, at most.
+    /// `allowed_runs`: the maximum number of servers on which a repeatable request may run.
     attempt_rule(bool is_repeatable, unsigned allowed_runs) noexcept
         : m_is_repeatable(is_repeatable), m_allowed_runs(allowed_runs) {}
 
+    /// Records an attempt that has failed.
     void record(server_key server, try_outcome outcome) noexcept {
         ++m_tries;
         m_arrivals += outcome == try_outcome::unreachable ? 0 : 1;
@@ -30,8 +33,8 @@
         m_avoided.front() = server;
     }
 
-    /// While nothing has run it, it may go elsewhere; after that only what may be repeated, and not more
-    /// often than its route allows.
+    /// Whether another attempt is allowed. A request that certainly hasn't run may be sent again. One that
+    /// may have run is sent again only if it is repeatable and has run on fewer servers than allowed.
     [[nodiscard]] bool may_try_again() const noexcept {
         if (m_tries >= most_tries) {
             return false;
@@ -39,18 +42,23 @@
         return m_runs == 0 || (m_is_repeatable && m_runs < m_allowed_runs);
     }
 
+    /// Whether some server may have run the request.
     [[nodiscard]] bool may_have_run() const noexcept { return m_runs > 0; }
-    /// Servers that it has reached; each but the first counts against the retry budget.
+    /// Attempts in which the request reached a server. Each one after the first counts against the retry
+    /// budget.
     [[nodiscard]] unsigned arrivals() const noexcept { return m_arrivals; }
+    /// All attempts, including those that reached no server.
     [[nodiscard]] unsigned tries() const noexcept { return m_tries; }
+    /// Attempts in which the request may have run.
     [[nodiscard]] unsigned runs() const noexcept { return m_runs; }
-    /// The servers that have failed it last.
+    /// Servers of the last failed attempts, most recent first; 0 in unused places.
     [[nodiscard]] const std::array<server_key, slot_request::most_avoided>& avoided() const noexcept {
         return m_avoided;
     }
 
 private:
-    /// Each try costs a wait; after so many, an answer that says so serves the caller better.
+    /// Every attempt costs time. After this many, reporting the failure serves the caller better than another
+    /// attempt.
     static constexpr unsigned most_tries = 5;
 
     bool m_is_repeatable;
--- a/src/policy/confirmation.hpp
+++ b/src/policy/confirmation.hpp
@@ -1,4 +1,4 @@
-// When the store last confirmed what a gateway holds of a table.
+// Tracks when the store last confirmed that a gateway's copy of a table is up to date.
 #pragma once
 
 #include "policy/time.hpp"
@@ -10,26 +10,30 @@
 
 namespace borageford::policy {
 
-/// A time of the store's own clock. A store that comes back from an older copy begins a new era, in which its
-/// clock may stand anywhere.
+/// A time by the store's own clock. A store that is restored from an older copy starts a new era, in which
+/// its clock may show any time.
 struct store_moment {
     std::uint64_t era = 0;
-    std::uint64_t milliseconds = 0; ///< 0: not told
+    std::uint64_t milliseconds = 0; ///< 0: unknown
 
     auto operator<=>(const store_moment&) const = default;
 };
 
-/// Gateways that hold the same version tell each other of confirmations, so that one that asks spares the
-/// others the question. A confirmation is named by the store's own clock and counts once, however often it is
-/// heard. Told as an age instead, it would come out newer by each message's way, and gateways that nobody
-/// answers any more could keep each other believing for good.
+/// The last confirmation that a gateway has of its copy of a table, received from the store or from another
+/// gateway. Gateways with the same version announce confirmations to each other, so that one gateway's poll
+/// makes polls by the other gateways unnecessary.
+///
+/// A confirmation is identified by the store's clock and counts only once, however often it is received. If
+/// gateways announced its age instead, each message would make it appear newer by the delay of that message,
+/// and gateways that the store no longer answers could confirm each other for ever.
 class confirmation {
 public:
-    /// After `longest_gap` without a confirmation it isn't known whether the store was there meanwhile.
+    /// `longest_gap`: after this long without a confirmation it is unknown whether the store was available in
+    /// between, so the span that unbroken() returns starts anew.
     explicit confirmation(time_point now, duration longest_gap = duration::max()) noexcept
         : m_longest_gap(longest_gap), m_noted(now), m_unbroken_since(now) {}
 
-    /// The store answered a question of this gateway.
+    /// The store has answered a poll of this gateway.
     void note_answer(store_moment answered, time_point now) noexcept {
         if (age(now) > m_longest_gap) {
             m_unbroken_since = now;
@@ -38,32 +42,34 @@
         m_noted = now;
     }
 
-    /// The store refused a question, couldn't be reached, or came back from an older copy.
+    /// The store refused a poll, couldn't be reached or was restored from an older copy.
     void note_failure(time_point now) noexcept { m_unbroken_since = now; }
 
-    /// Another gateway, which holds the same version, says that the store confirmed it then.
+    /// Another gateway with the same version has announced a confirmation. It is ignored unless it is newer
+    /// than the last one known here.
     void hear(store_moment answered, time_point now) noexcept {
         if (answered.milliseconds > 0 && answered > m_answered) {
             note_answer(answered, now);
         }
     }
 
-    /// What is told to others: when the store confirmed it, while that is news, and nothing afterwards. A
-    /// heartbeat that tells it is larger by a quarter.
+    /// The confirmation to announce to other gateways: the last one while it is recent, and a zero
+    /// `store_moment` afterwards. A heartbeat that carries a confirmation is larger by a quarter.
     [[nodiscard]] store_moment news(time_point now) const noexcept {
         return age(now) <= news_life ? m_answered : store_moment{};
     }
-    /// Since the last confirmation was noted here, or since the start.
+    /// Time since the last confirmation was recorded here, or since the start if there was none.
     [[nodiscard]] duration age(time_point now) const noexcept { return now - m_noted; }
-    /// When the last confirmation was noted here, or the start.
+    /// When the last confirmation was recorded here, or the start if there was none.
     [[nodiscard]] time_point noted_at() const noexcept { return m_noted; }
-    /// For how long confirmations have come without a failure or a gap; zero while one is overdue.
+    /// How long confirmations have arrived without a failure or a gap longer than `longest_gap`; zero while
+    /// the next confirmation is overdue.
     [[nodiscard]] duration unbroken(time_point now) const noexcept {
         return age(now) <= m_longest_gap ? now - m_unbroken_since : duration::zero();
     }
 
 private:
-    /// Some heartbeats, so that one may be lost.
+    /// Covers several heartbeats, so that the confirmation still arrives when one heartbeat is lost.
     static constexpr std::chrono::milliseconds news_life{300};
 
     duration m_longest_gap;
--- a/src/policy/coordinator_election.cpp
+++ b/src/policy/coordinator_election.cpp
@@ -1,4 +1,5 @@
-// The fittest candidate that is heard, then the strongest, then who coordinates already, then the lowest key.
+// Prefers, among the responsive candidates: the best `fitness`, then the largest processor share, then the
+// acting coordinator, then the lowest key.
 #include "policy/coordinator_election.hpp"
 
 #include <algorithm>
@@ -8,10 +9,11 @@
 
 namespace {
 
-/// Without a tick for this long the process stood still, whatever the reason: its picture of the others is
-/// old. Ticks come every 50 ms.
+/// A longer gap between two calls of tick() means that the process was suspended and that its knowledge of
+/// the other members is out of date. Ticks come every 50 ms.
 constexpr std::chrono::milliseconds longest_tick_gap{200};
 
+/// Processor share assumed for a member that hasn't reported its share yet; larger than any real one.
 constexpr double share_before_all = 1e6;
 
 long to_thousandths(double share) {
@@ -54,7 +56,7 @@
     if (member == m_self || m_members.contains(member)) {
         return false;
     }
-    // First in the order until it tells its share itself, so that it is asked soon.
+    // The member comes first in the order until it reports its share, so that it soon receives a heartbeat.
     auto& entry = entry_of(member);
     set_share(entry, share_before_all);
     entry.learned = now;
@@ -144,7 +146,7 @@
     std::size_t seen = 0;
     for (const auto& [share, key] : rank()) {
         if (seen == m_limits.candidates) {
-            break; // others aren't heard by all
+            break; // members after the candidates don't receive everybody's heartbeats
         }
         const bool is_self = key == m_self;
         if (!is_self && is_absent(m_members.at(key), now)) {
@@ -172,7 +174,7 @@
 }
 
 bool coordinator_election::is_candidate(time_point now) const {
-    // Itself left out, the candidates are so many others only if it isn't among the first.
+    // candidates() leaves out this process, so its list is full only if this process isn't a candidate.
     return candidates(now).size() < m_limits.candidates;
 }
 
--- a/src/policy/coordinator_election.hpp
+++ b/src/policy/coordinator_election.hpp
@@ -1,4 +1,5 @@
-// Which of the processes that hear each other coordinates. Pure: what was heard goes in, a choice comes out.
+// Chooses which of the member processes coordinates. The class does no input or output: heartbeats are passed
+// in, and a choice is computed from them.
 #pragma once
 
 #include "policy/time.hpp"
@@ -12,42 +13,53 @@
 
 namespace borageford::policy {
 
-/// Names a member; the same number in all processes.
+/// Identifies a member; all processes use the same number for it.
 using member_key = std::uint64_t;
 
-/// What a member tells of itself.
+/// Status that a member reports about itself in its heartbeats.
 struct member_claim {
     double processor_share = 1;
+    /// The member coordinates.
     bool is_acting = false;
+    /// The member has passed its probation and isn't shutting down.
     bool is_eligible = false;
+    /// The member is about to stop.
     bool is_leaving = false;
 };
 
+/// Timeouts of the election.
 struct election_limits {
-    /// A member not heard for this long is passed over. Its processor may stand still for up to 100 ms when
-    /// it has used up its share, and heartbeats come every 50 ms.
+    /// A member that has sent no heartbeat for this long can't be chosen. Heartbeats are sent every 50 ms,
+    /// and a process that has used up its processor quota may be suspended for up to 100 ms.
     duration silence = std::chrono::milliseconds(250);
-    /// A process that has just started, or stood still, doesn't coordinate for this long: by then it knows
-    /// the others, and they don't change back and forth with a process that keeps failing.
+    /// A process that has just started or was suspended isn't eligible for this long. By then it knows the
+    /// other members, and a process that keeps failing doesn't make them change the coordinator again and
+    /// again.
     duration probation = std::chrono::milliseconds(2000);
-    /// A member that was silent for this long is asked rarely, and its place as a candidate goes to another.
+    /// A member that has sent no heartbeat for this long counts as absent: it receives heartbeats rarely, and
+    /// another member takes its place among the candidates.
     duration absence = std::chrono::milliseconds(1000);
-    /// A process that has just started listens for so long before it coordinates without having heard
-    /// anybody: else each restarted process took over for a moment from one that was known to all others.
+    /// A process that has just started waits this long for a first heartbeat before it chooses itself.
+    /// Without the wait, each restarted process briefly took over from a coordinator that all other members
+    /// knew.
     duration listening = std::chrono::milliseconds(250);
-    /// A member that was named by others and isn't heard for so long is forgotten. Rumours of dead members
-    /// end with the last that heard them, well within it.
+    /// A member that was learned from other members and has sent no heartbeat for this long is removed.
+    /// Members name only candidates that sent them a heartbeat recently, so a dead member is no longer named
+    /// well within this time.
     duration rumour_life = std::chrono::seconds(30);
-    /// Candidates are few, so that heartbeats grow with the members and not with their square.
+    /// Number of candidates. All members send heartbeats to the candidates only, so that the number of
+    /// heartbeats grows linearly with the number of members and not with its square.
     std::size_t candidates = 3;
 };
 
-/// No agreement is needed for safety: two coordinators at once cost precision only, since limits that must
-/// hold are divided by the members that each of them counts.
+/// Computes this process's view of who coordinates. The members needn't agree for the limits to hold: two
+/// coordinators at the same time only make the limits less precise, since limits that must hold are divided
+/// by the number of members that each coordinator counts.
 class coordinator_election {
 public:
-    /// Who coordinates for this process.
+    /// Whether this process, another member or nobody coordinates, as this process sees it.
     enum class role { self, other, nobody };
+    /// `member` is the coordinator's key when `who` isn't `nobody`.
     struct choice {
         role who = role::nobody;
         member_key member = 0;
@@ -55,41 +67,51 @@
 
     coordinator_election(member_key self, double processor_share, election_limits limits, time_point now);
 
-    /// A member exists, whether or not it has been heard.
+    /// Adds a member, which may not have sent a heartbeat yet, or updates its processor share.
     void add(member_key member, double processor_share);
-    /// Another member names this one, which may be unknown here: a process is told three others at its start,
-    /// and those may have been replaced long ago. Returns whether it is new.
+    /// Adds a member that another member has named, and returns whether it was unknown here. A process is
+    /// given only three members at its start, and these may have been replaced long ago.
     bool learn(member_key member, time_point now);
+    /// Removes a member.
     void forget(member_key member);
+    /// Records a heartbeat of a member.
     void hear(member_key member, const member_claim& claim, time_point now);
 
-    /// To be called often; a gap between two calls means that this process stood still.
+    /// Restarts the probation after a suspension, and removes learned members that have timed out. To be
+    /// called every 50 ms: a longer gap between two calls means that this process was suspended.
     void tick(time_point now);
 
-    /// Whether this process coordinates now.
+    /// Sets whether this process acts as coordinator, which it reports to the other members.
     void act(bool is_acting) noexcept { m_is_acting = is_acting; }
-    /// This process is about to stop.
+    /// Marks this process as about to stop.
     void leave() noexcept { m_is_leaving = true; }
     [[nodiscard]] bool is_leaving() const noexcept { return m_is_leaving; }
 
+    /// Chooses among the first `election_limits::candidates` members that aren't absent. Returns
+    /// `role::nobody` when none of them is responsive, or while this process waits for its first heartbeat.
     [[nodiscard]] choice choose(time_point now) const;
+    /// Whether choose() returns this process.
     [[nodiscard]] bool is_acting(time_point now) const { return choose(now).who == role::self; }
+    /// Whether this process has passed its probation and isn't about to stop.
     [[nodiscard]] bool is_eligible(time_point now) const;
 
-    /// Whether all others that know the same members send heartbeats to this process.
+    /// Whether this process is a candidate, so that all other members with the same list of members send it
+    /// heartbeats.
     [[nodiscard]] bool is_candidate(time_point now) const;
-    /// Members to send heartbeats to: the first candidates that aren't absent.
+    /// Members to send heartbeats to: the other candidates, in order of preference.
     [[nodiscard]] std::vector<member_key> candidates(time_point now) const;
-    /// Absent members that would be candidates, to be asked rarely whether they are back.
+    /// Absent members that would be candidates if they were present. They are sent heartbeats rarely, to find
+    /// out whether they are back.
     [[nodiscard]] std::vector<member_key> absent(time_point now) const;
 
-    /// Members to name to others: the one that is chosen, and the candidates that are heard.
+    /// Members to name to other members: the candidates and the chosen coordinator.
     [[nodiscard]] std::vector<member_key> known(time_point now) const;
 
-    /// All known members, this process included.
+    /// Number of all known members, including this process.
     [[nodiscard]] std::size_t member_count() const noexcept { return m_members.size() + 1; }
+    /// Whether the member has sent a heartbeat within `election_limits::silence`.
     [[nodiscard]] bool is_heard(member_key member, time_point now) const;
-    /// Whether the member said last that it coordinates.
+    /// Whether the member reported in its last heartbeat that it coordinates.
     [[nodiscard]] bool is_acting_member(member_key member) const;
 
 private:
@@ -98,21 +120,24 @@
         member_claim claim;
         time_point heard;
         bool was_heard = false;
-        /// Set for one that was only named by others: it is forgotten when it isn't heard for a while.
+        /// When the member was named by another member; nothing if it was added in another way. Such a member
+        /// is removed after `election_limits::rumour_life` without a heartbeat.
         std::optional<time_point> learned;
     };
 
-    /// A member with its place in the order of candidates; lower is better.
+    /// Sort key of a member in the order of candidates; lower is better.
     struct ranked {
-        long negative_share; ///< thousandths: what was sent as a shorter number must compare equal
+        /// Negated share in thousandths: shares that were rounded for transmission must compare equal.
+        long negative_share;
         member_key key;
         auto operator<=>(const ranked&) const = default;
     };
-    /// How fit a member is to coordinate, best first. One that leaves is still better than nobody: when all
-    /// are restarted in turn, each may still be finishing a long stream when the last one is told to stop.
+    /// Suitability as coordinator, best first. A member that is shutting down is still better than none: when
+    /// all members are restarted one after another, each may still be finishing a long stream when the last
+    /// one is told to stop.
     enum class fitness : std::uint8_t { ready, fresh, leaving };
-    /// A candidate's place in the choice; lower is better. Among equals who coordinates already goes on,
-    /// since each change costs the requests that wait a moment.
+    /// Sort key of a candidate in the choice; lower is better. Among equals the acting coordinator is kept,
+    /// since each change of the coordinator delays the waiting requests.
     struct preference {
         fitness fit;
         long negative_share;
@@ -136,10 +161,10 @@
     time_point m_started;
     bool m_is_acting = false;
     bool m_is_leaving = false;
-    std::map<member_key, member> m_members; ///< without this process
-    /// All members in the order of candidates, or empty when that has changed. A coordinator is asked for it
-    /// at every heartbeat of every member; sorted anew each time, 300 members took all of a processor share
-    /// of 0.19.
+    std::map<member_key, member> m_members; ///< All known members except this process.
+    /// All members in the order of candidates; empty when the order must be computed again. A coordinator
+    /// uses it for every heartbeat of every member. Sorting it each time took the complete processor share
+    /// (0.19 of a processor) at 300 members.
     mutable std::vector<ranked> m_order;
 };
 
--- a/src/policy/cost_estimator.cpp
+++ b/src/policy/cost_estimator.cpp
@@ -1,4 +1,4 @@
-// Running means and decayed quotients.
+// Implements the estimates as moving averages and as quotients of exponentially decaying sums.
 #include "policy/cost_estimator.hpp"
 
 #include <algorithm>
@@ -8,15 +8,21 @@
 namespace {
 
 constexpr std::size_t bytes_per_token = 4;
+/// Ended requests before a mean is used as an estimate.
 constexpr std::uint32_t samples_needed = 5;
+/// Smallest weight of a new sample in a mean.
 constexpr double smallest_weight = 0.05;
+/// Shorter prefills aren't sampled.
 constexpr std::uint64_t fewest_prefill_tokens = 64;
+/// Factor by which the prefill sums decay with each sample.
 constexpr double kept_per_prefill = 0.98;
 constexpr double shortest_prefill_seconds = 0.001;
-/// The steady rate follows when the measured one is more than this factor away.
+/// The steady rate is updated when the measured rate differs from it by more than this factor.
 constexpr double steady_band = 1.5;
-/// None is reported before so many samples: the first few are noise.
+/// The steady rate stays 0 for this many samples, because the first few are noisy.
 constexpr std::uint64_t steady_samples = 6;
+/// Key of the estimate that all pairs beyond `most_keys` share; make_key() returns this only for two empty
+/// names.
 constexpr std::string_view shared_key = "\n";
 constexpr auto soonest_return = std::chrono::milliseconds(500);
 constexpr auto latest_return = std::chrono::milliseconds(60000);
@@ -60,7 +66,7 @@
 
 void cost_estimator::record_prefill(std::uint64_t tokens, duration elapsed, time_point now) {
     if (tokens < fewest_prefill_tokens) {
-        return; // mostly the way to the engine and back
+        return; // such a time consists mostly of the transfer to the engine and back
     }
     const auto begun = std::max(now - elapsed, std::min(m_prefill_counted_to, now));
     m_prefill_counted_to = std::max(m_prefill_counted_to, now);
--- a/src/policy/cost_estimator.hpp
+++ b/src/policy/cost_estimator.hpp
@@ -1,5 +1,5 @@
-// What a request will cost, learned from those that ended: prompt tokens, expected output by workspace and
-// route, the engine's rates, and when a refused caller should come back.
+// Estimates the cost of a request from requests that have ended: prompt tokens, expected output by workspace
+// and route, the engine's token rates, and when a refused caller should retry.
 #pragma once
 
 #include "policy/rate_meter.hpp"
@@ -13,45 +13,55 @@
 
 namespace borageford::policy {
 
-/// Tokens of a text: four bytes each, rounded up (docs/INTERFACES.md).
+/// Estimated tokens of a text with this many bytes: one token for every four bytes, rounded up
+/// (docs/INTERFACES.md).
 [[nodiscard]] std::uint32_t count_prompt_tokens(std::size_t bytes) noexcept;
 
-/// When a refused caller should come back, for `tokens` that have to leave before it has room, from the
-/// measured drain rate in tokens a second. Without a measured rate the time is `unmeasured`; always between
-/// half a second and a minute.
+/// How long a refused caller should wait before it retries. `tokens` have to be worked off before there is
+/// room for its request, at the measured `drain_rate` in tokens per second. When that rate is 0 because none
+/// has been measured, the result is `unmeasured`. The result always lies between half a second and one
+/// minute.
 [[nodiscard]] std::chrono::milliseconds retry_after(std::uint64_t tokens, double drain_rate,
                                                     duration unmeasured) noexcept;
 
-/// Invariant: knows at most `most_keys` pairs of workspace and route; further ones share one estimate.
+/// Running estimates of output lengths and engine rates.
+///
+/// Invariant: output is estimated for at most `most_keys` pairs of workspace and route; all further pairs
+/// share one estimate.
 class cost_estimator {
 public:
     static constexpr std::size_t most_keys = 1024;
 
-    /// `memory`: how long measured rates of the engine count.
+    /// `memory`: time constant of the output rate; older measurements weigh less than 1/e.
     explicit cost_estimator(duration memory = std::chrono::seconds(30));
 
-    /// Learns from a request that ended with this many output tokens.
+    /// Records a request that ended with this many output tokens.
     void record_output(std::string_view workspace, std::string_view route, std::uint32_t output_tokens);
 
-    /// Expected output; `unmeasured` (from the model's configuration) until enough requests have ended.
+    /// Expected output tokens of a request. Returns `unmeasured`, the value from the model's configuration,
+    /// until enough requests of this workspace and route have ended.
     [[nodiscard]] std::uint32_t expected_output(std::string_view workspace, std::string_view route,
                                                 std::uint32_t unmeasured) const;
 
-    /// Prefill of a request whose first token came now, `elapsed` after its start. Times that several
-    /// requests spent being prefilled together count once: each alone would look slower than the engine is.
+    /// Records the prefill of a request whose first token has just arrived, `elapsed` after its start. Time
+    /// that overlaps with the prefill of earlier requests counts only once; otherwise requests that are
+    /// prefilled together would make the engine look slower than it is.
     void record_prefill(std::uint64_t tokens, duration elapsed, time_point now);
-    /// Output tokens since the last call. `was_busy`: some sequence was running in between.
+    /// Records the output tokens generated since the previous call. `was_busy`: whether a sequence was
+    /// running in between.
     void record_output_tokens(std::uint64_t tokens, bool was_busy, time_point now);
 
-    /// Tokens a second; 0 until measured.
+    /// Prompt tokens that the engine prefills per second; 0 until measured.
     [[nodiscard]] double prefill_rate() const noexcept;
-    /// The same, but changed only when the measured rate has moved well away: for placement, where every
-    /// small change of a weight moves some prefixes to another home.
+    /// The prefill rate in tokens per second, updated only when the measured rate has moved far from it; 0
+    /// until measured. It is meant for placement, where each small change of a weight moves some prefixes to
+    /// another server.
     [[nodiscard]] double steady_prefill_rate() const noexcept { return m_steady_prefill_rate; }
+    /// Output tokens that the engine generates per second of busy time; 0 until measured.
     [[nodiscard]] double output_rate() const noexcept { return m_output.rate(); }
 
 private:
-    /// A mean that follows a change of habits within some tens of requests.
+    /// Moving average of output tokens; it follows a change within some tens of requests.
     struct output_mean {
         double mean = 0;
         std::uint32_t count = 0;
@@ -60,10 +70,11 @@
     [[nodiscard]] static std::string make_key(std::string_view workspace, std::string_view route);
 
     std::map<std::string, output_mean, std::less<>> m_outputs;
-    // Sums that decay with each sample by the same factor; their quotient is the prefill rate.
+    // Sums that decay by the same factor with each sample; their quotient is the prefill rate.
     double m_prefill_tokens = 0;
     double m_prefill_seconds = 0;
-    time_point m_prefill_counted_to{}; ///< time before it is in m_prefill_seconds already
+    /// End of the time that is already included in `m_prefill_seconds`.
+    time_point m_prefill_counted_to{};
     std::uint64_t m_prefill_samples = 0;
     double m_steady_prefill_rate = 0;
     rate_meter m_output;
--- a/src/policy/crash_suspects.cpp
+++ b/src/policy/crash_suspects.cpp
@@ -1,4 +1,4 @@
-// Cuts become marks when their server is found gone.
+// Records broken connections, and marks their requests when the server turns out to have crashed.
 #include "policy/crash_suspects.hpp"
 
 #include <algorithm>
@@ -11,14 +11,14 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-/// A crash is noticed by the next request to that server, which comes within this time under any load that
-/// matters.
+/// How long a broken connection is remembered. A crash is detected by the next request to that server, which
+/// arrives within this time under any relevant load.
 constexpr milliseconds cut_lifetime{3000};
 constexpr std::size_t most_cuts = 4096;
-/// More servers than die within that time short of the loss of a failure domain.
+/// More servers than crash within `cut_lifetime`, unless a complete failure domain is lost.
 constexpr std::size_t most_ended = 512;
 constexpr std::size_t servers_before_hold = 2;
-/// Long enough for a person to look, short enough that an innocent request isn't lost for good.
+/// Long enough for an operator to investigate, short enough that an innocent request isn't refused for good.
 constexpr seconds hold_time{60};
 constexpr seconds mark_lifetime{300};
 
--- a/src/policy/crash_suspects.hpp
+++ b/src/policy/crash_suspects.hpp
@@ -1,4 +1,4 @@
-// Finds requests that crash the backend servers that run them, and holds them back.
+// Finds requests that crash the backend servers that run them, and quarantines them.
 #pragma once
 
 #include "policy/quarantine.hpp"
@@ -11,32 +11,36 @@
 
 namespace borageford::policy {
 
-/// A single request that crashes every server that runs it comes again and again, since its caller sees only
-/// broken connections; each time it takes the other requests of that server with it. All requests that were
-/// cut when a server turned out to be gone are marked; one that is marked at two servers is held back.
+/// Quarantines requests that were running on two servers when these crashed. The caller of a request that
+/// crashes every server only sees broken connections and sends the request again and again; each time, the
+/// other requests on that server fail as well. Every request whose connection broke when a server crashed is
+/// marked, and a request that is marked for two servers is quarantined.
 class crash_suspects {
 public:
     crash_suspects();
 
-    /// A request's connection broke while this server ran it.
+    /// The connection of a request broke while this server ran it. `fingerprint` identifies requests with the
+    /// same content; 0 (none) is ignored.
     void note_cut(std::uint64_t fingerprint, server_key server, time_point now);
-    /// The server doesn't take connections, or another one answers at its address: what was cut there lately
-    /// was cut by a crash.
+    /// The server refuses connections, or another server answers at its address. This marks all requests
+    /// whose connections to it broke recently.
     void note_gone(server_key server, time_point now);
-    /// The server has ended and started anew. Cuts there may be noticed later than that: connections that
-    /// went silent are ended only when the new start is known.
+    /// The server `former` has restarted. Connections to it that break after this call mark their requests as
+    /// well, because unresponsive connections are closed only when the restart is detected.
     void note_restart(server_key former, time_point now);
 
-    /// How much longer the request is held back; nothing when it isn't.
+    /// Remaining time of the request's quarantine; nothing when it isn't quarantined.
     [[nodiscard]] std::optional<duration> held_for(std::uint64_t fingerprint, time_point now) const;
 
 private:
+    /// A connection that broke while a server ran a request.
     struct cut {
         std::uint64_t fingerprint = 0;
         server_key server = 0;
         time_point at;
     };
 
+    /// A server that has restarted, by the key of its previous start.
     struct ended_start {
         server_key server = 0;
         time_point at;
--- a/src/policy/follower_duty.hpp
+++ b/src/policy/follower_duty.hpp
@@ -1,4 +1,4 @@
-// Who asks the store for what has changed, and who hears it from other gateways.
+// Chooses which gateways poll the store for changes and which learn of changes from other gateways.
 #pragma once
 
 #include "policy/time.hpp"
@@ -8,37 +8,45 @@
 
 namespace borageford::policy {
 
-/// What a gateway does about a table of the store.
+/// Role of a gateway for a table of the store.
 enum class follower_duty {
-    confirm,  ///< all others hear from this gateway: it has the store confirm often what is known
-    follow,   ///< others rely on this gateway: it asks, and asks again soon
-    rely,     ///< a gateway is heard that the store answers: what changes is told by others
-    stand_by, ///< none is heard: it asks for itself, but not so often that hundreds press a store in trouble
+    /// All other gateways receive announcements from this gateway. It polls often, so that the store confirms
+    /// the known version.
+    confirm,
+    /// Other gateways rely on this gateway. It polls, and polls again soon when an answer is missing.
+    follow,
+    rely, ///< Announcements arrive from a gateway that the store answers, and report all changes.
+    /// No such announcements arrive. The gateway polls for itself, but not so often that hundreds of gateways
+    /// overload a store in trouble.
+    stand_by,
 };
 
-/// Whether other gateways go by what this one is told.
+/// Whether other gateways rely on the announcements of a gateway with this role.
 [[nodiscard]] constexpr bool is_relied_on(follower_duty duty) noexcept {
     return duty == follower_duty::confirm || duty == follower_duty::follow;
 }
 
-/// Some gateways follow the store, and all others hear from them which versions there are. If each asked for
-/// itself, every change of a server would cost a call for each gateway, and an outage some calls a second for
-/// each of them.
+/// Chooses the role of this gateway. Some gateways poll the store and announce which versions exist to all
+/// others. If every gateway polled, each change of a server would cost one call per gateway, and an outage
+/// would cost each gateway several calls per second.
 ///
-/// The candidates to coordinate follow, since all others send them heartbeats. That is not enough: the store
-/// may say nothing more to just these few, whose questions stay open as if nothing changed, and nobody would
-/// hear that a key was taken away. So a number of others follow as well, drawn by each for itself; the
-/// coordinator hears from every member, and what one of them knows all know soon.
+/// The candidates of coordinator_election poll, since all other gateways send them heartbeats. That isn't
+/// enough: the store may stop answering just these few gateways, whose open polls look the same as if nothing
+/// changed, and no gateway would learn, for example, that a key was revoked. So some other gateways poll as
+/// well, each chosen by its own random draw. The coordinator receives heartbeats from every member, so what
+/// one of them learns soon reaches all.
 class follower_choice {
 public:
-    /// `others`: how many besides the candidates follow, on average; `draw`: this gateway's own, in [0, 1).
+    /// `others`: mean number of gateways besides the candidates that poll. `draw`: random number of this
+    /// gateway in [0, 1).
     follower_choice(double others, double draw) noexcept : m_others(others), m_draw(draw) {}
 
-    /// A gateway that follows was heard, and the store answers it.
+    /// An announcement arrived from a gateway that polls and that the store answers.
     void hear_follower(time_point now) noexcept { m_heard = now; }
 
-    /// `is_candidate`: all others send this gateway heartbeats; `members`: that the coordinator counts; 0: it
-    /// is not known.
+    /// Returns the role at this time. `is_candidate`: all other gateways send heartbeats to this one.
+    /// `members`: number of members that the coordinator counts; 0 when unknown, in which case this gateway
+    /// polls.
     [[nodiscard]] follower_duty choose(bool is_candidate, std::size_t members,
                                        time_point now) const noexcept {
         if (is_candidate || m_draw * static_cast<double>(members) < m_others) {
@@ -49,7 +57,8 @@
     }
 
 private:
-    /// Candidates are heard some times in it, also when one of them is lost.
+    /// Timeout of announcements. Each candidate announces several times within it, so losing one candidate
+    /// isn't mistaken for losing all.
     static constexpr std::chrono::milliseconds patience{1000};
 
     double m_others;
--- a/src/policy/follower_pace.hpp
+++ b/src/policy/follower_pace.hpp
@@ -1,4 +1,4 @@
-// How long a question for changes may stay open at the store, and when it is asked once more.
+// Schedules the long polls of the store: how long the store may hold one open, and when to poll again.
 #pragma once
 
 #include "policy/follower_duty.hpp"
@@ -9,19 +9,22 @@
 
 namespace borageford::policy {
 
-/// A question stays open while nothing changes, so a store that has lost it looks like one that is quiet.
-/// What a gateway holds then grows old without a sign: a key that was taken away goes on working. So what is
-/// held counts as confirmed only up to the last answer, and a gateway whose last answer is too old asks once
-/// more, whatever is open.
+/// Poll schedule of a gateway for one table. The store holds a poll open while nothing changes, so a store
+/// that has lost the poll looks the same as one without changes. The gateway's copy would then become
+/// outdated unnoticed, and, for example, a revoked key would stay valid. Therefore the copy counts as
+/// confirmed only up to the last answer, and a gateway whose last answer is too old polls again although a
+/// poll is open.
 ///
-/// All times follow from the one within which a change must be known everywhere.
+/// All times are fractions of the limit within which every gateway must know of a change.
 class follower_pace {
 public:
-    /// `draw`: this gateway's own, in [0, 1), so that not all ask at the same moment.
+    /// `change_limit`: time within which every gateway must know of a change. `draw`: random number of this
+    /// gateway in [0, 1), which keeps the gateways from polling all at the same moment.
     follower_pace(duration change_limit, double draw) noexcept
         : m_limit(std::max<duration>(change_limit, shortest_limit)), m_draw(draw) {}
 
-    /// How long the next question may stay open; `age`: since what is held was confirmed.
+    /// How long the store may hold the next poll open. `age`: time since the gateway's copy was last
+    /// confirmed.
     [[nodiscard]] duration wait(follower_duty duty, duration age) const noexcept {
         if (is_stale(duty, age)) {
             return duration::zero();
@@ -32,43 +35,47 @@
         return std::clamp<duration>(share(between_confirmations) - age, duration::zero(), longest_wait);
     }
 
-    /// Whether what is held was confirmed too long ago to go on with it unasked.
+    /// Whether the last confirmation is so old that the gateway must poll before it relies on its copy any
+    /// longer.
     [[nodiscard]] bool is_stale(follower_duty duty, duration age) const noexcept {
         const auto others_patience = share(others_least_patience) + drawn_share(others_patience_spread);
         return age > (duty == follower_duty::confirm ? share(confirming_patience) : others_patience);
     }
 
-    /// Whether it was confirmed so lately that others may go by it.
+    /// Whether the last confirmation is recent enough for other gateways to rely on it.
     [[nodiscard]] bool is_current(duration age) const noexcept { return age <= longest_gap(); }
 
-    /// Between two confirmations, for the store to have been there meanwhile as far as this gateway can tell.
+    /// Longest time between two confirmations for which the store counts as continuously available.
     [[nodiscard]] duration longest_gap() const noexcept { return share(confirming_patience); }
 
-    /// After a question that is to be answered at once, until it is asked once more.
+    /// How long to wait for the answer to a poll that the store should answer at once before polling again.
     [[nodiscard]] duration repeat_delay(follower_duty duty) const noexcept {
         const auto delay = share(least_repeat_delay) + drawn_share(repeat_delay_spread);
         return is_relied_on(duty) ? delay : delay * repeat_factor_of_others;
     }
 
-    /// By then a question is answered that may stay open for `wait`, by a store that isn't silent.
+    /// Timeout of a poll that the store may hold open for `wait`.
     [[nodiscard]] duration answer_limit(duration wait) const noexcept { return wait + share(answer_slack); }
 
 private:
     static constexpr std::chrono::milliseconds shortest_limit{500};
-    /// Each question costs a call. The store takes no longer wait than 30 s.
+    /// Longest time for which a poll is held open. Longer polls cost fewer calls; the store accepts at most
+    /// 30 s.
     static constexpr std::chrono::seconds longest_wait{20};
 
-    // Parts of the limit, in hundredths of it.
+    // Fractions of the limit, in hundredths.
     static constexpr int between_confirmations = 50;
     static constexpr int confirming_patience = 70;
-    /// Longer than that of the confirming gateway, whose answer is to be heard before the others ask.
+    /// Longer than `confirming_patience`: the answer to the confirming gateway's poll should arrive at the
+    /// other gateways before they poll.
     static constexpr int others_least_patience = 85;
     static constexpr int others_patience_spread = 25;
     static constexpr int least_repeat_delay = 25;
     static constexpr int repeat_delay_spread = 25;
     static constexpr int answer_slack = 20;
 
-    /// Those that nobody goes by may be hundreds, and press a store in trouble.
+    /// Gateways that no others rely on may number hundreds and could overload a store in trouble, so they
+    /// poll again more slowly.
     static constexpr int repeat_factor_of_others = 3;
 
     [[nodiscard]] duration share(int hundredths) const noexcept { return m_limit * hundredths / 100; }
--- a/src/policy/late_binding.cpp
+++ b/src/policy/late_binding.cpp
@@ -1,4 +1,4 @@
-// Ranks candidates as homes and by expected first-token time, and lays offers out in time.
+// Ranks the candidates as homes and by expected first-token time, and schedules the offers.
 #include "policy/late_binding.hpp"
 
 #include "policy/random_sequence.hpp"
@@ -10,25 +10,28 @@
 namespace borageford::policy {
 namespace {
 
-/// A report older than this says nothing about the wait.
+/// Load reports older than this are ignored for the expected wait.
 constexpr auto oldest_report = std::chrono::seconds(5);
-/// Taken as the wait where nothing is known: neither attractive nor hopeless.
+/// Assumed wait of a server without a recent report; neither attractive nor prohibitive.
 constexpr double unknown_wait_seconds = 0.1;
+/// Assumed prefill rate in tokens per second when no candidate has a measured one.
 constexpr double unmeasured_prefill_rate = 4000;
-/// What crossing to another failure domain of the region costs; decides between equals.
+/// Added to the expected first-token time of a server in another failure domain of the region; it decides
+/// between otherwise equal servers.
 constexpr double other_domain_seconds = 0.005;
-/// A prefix counts as held from this share of the prompt on: less may be a preamble that all share.
+/// A server counts as holding the prefix when it has cached at least this fraction of the prompt. A smaller
+/// cached part may be a preamble that all prompts share.
 constexpr double held_share = 0.7;
 
-/// A candidate with what the decision needs to know of it.
+/// A candidate with the values that its rank depends on.
 struct assessed_candidate {
     std::size_t index = 0;
     bool is_own_region = true;
-    bool fits_target = true; ///< can prefill the prompt in time when it starts at once
+    bool fits_target = true; ///< can prefill the prompt in time if it starts at once
     double wait_seconds = 0;
     double first_token_seconds = 0;
     double home_score = 0;
-    bool can_be_home = false; ///< of one's own region and not too busy
+    bool can_be_home = false; ///< in the request's region and not too busy
     bool holds_prefix = false;
 };
 
@@ -84,8 +87,8 @@
     return assessed;
 }
 
-/// Homes in the order of preference: in time before too slow, then those that hold the prefix, then by
-/// rendezvous.
+/// Order of preference of homes: eligible ones first, then those fast enough for the target, then those that
+/// hold the prefix, then by rendezvous hashing.
 bool is_better_home(const assessed_candidate& left, const assessed_candidate& right) {
     if (left.can_be_home != right.can_be_home) {
         return left.can_be_home;
@@ -99,6 +102,8 @@
     return left.home_score > right.home_score;
 }
 
+/// Order of preference of servers that aren't homes: the request's region first, then by expected first-token
+/// time.
 bool is_better_other(const assessed_candidate& left, const assessed_candidate& right) {
     if (left.is_own_region != right.is_own_region) {
         return left.is_own_region;
@@ -106,7 +111,7 @@
     return left.first_token_seconds < right.first_token_seconds;
 }
 
-/// Moves the homes to the front; returns how many there are.
+/// Sorts the homes to the front; returns their number.
 std::size_t choose_homes(std::vector<assessed_candidate>& assessed, const late_binding_settings& settings) {
     const auto least = std::ranges::min_element(assessed, {}, &assessed_candidate::wait_seconds);
     const double busy_wait =
@@ -119,7 +124,8 @@
     return std::min(settings.homes, static_cast<std::size_t>(able));
 }
 
-/// Puts the best of a few random ones first, the rest behind them by expected first-token time.
+/// Sorts `sampled` random candidates of the request's region to the front and the remaining candidates behind
+/// them, both by expected first-token time.
 void order_others(std::span<assessed_candidate> others, std::size_t sampled, std::uint64_t seed) {
     std::ranges::sort(others, is_better_other);
     const auto own_region = std::ranges::find(others, false, &assessed_candidate::is_own_region);
--- a/src/policy/late_binding.hpp
+++ b/src/policy/late_binding.hpp
@@ -1,33 +1,41 @@
-// Placement by offers: first to the homes of the prompt's prefix, then to others, until one grants.
+// Placement by offers: a request is offered first to the home servers of its prompt's prefix and then to
+// other servers, until one grants it.
 #pragma once
 
 #include "policy/placement_values.hpp"
 
 namespace borageford::policy {
 
+/// Parameters of the placement. A home is a server that a prefix is preferably sent to, so that it is
+/// prefilled there only once.
 struct late_binding_settings {
+    /// Homes of each prefix.
     std::size_t homes = 2;
-    /// Each further home is asked this much after the one before it: asked at once, both would grant about
-    /// equally often, and every prefix would be prefilled twice.
+    /// Delay of the offer to each further home after the previous one. Offered at the same time, both homes
+    /// would grant about equally often, and every prefix would be prefilled on both.
     duration next_home_delay = std::chrono::milliseconds(80);
-    /// Others are asked this long after the first home, in groups; each wait for the next group is twice as
-    /// long, and each group but the second twice as large. Asked sooner, a request that waits is granted
-    /// anywhere, and its prefix is prefilled there too.
+    /// Delay of the first offers to servers that aren't homes, which are made in groups; the wait before each
+    /// further group doubles, and from the third group on the size of the group doubles. With a shorter
+    /// delay, any server would grant a waiting request, and its prefix would be prefilled on that server too.
     duration others_delay = std::chrono::milliseconds(250);
+    /// Servers in the first group.
     std::size_t first_group = 2;
-    /// Of how many random candidates the first group is the best: an entry that always took the best of
-    /// all would run to the same one as every other entry.
+    /// The first group consists of the best of this many random candidates. If every entry process always
+    /// chose the best of all candidates, all of them would choose the same server.
     std::size_t sampled = 6;
-    /// A home whose expected wait is longer than this and than `busy_factor` times the least of all is left
-    /// (bounded load).
+    /// A home is skipped (bounded load) when its expected wait exceeds both this time and `busy_factor` times
+    /// the shortest expected wait of all candidates.
     duration busy_wait = std::chrono::milliseconds(1000);
     double busy_factor = 4;
-    /// Homes are chosen among those that can prefill the whole prompt within this part of the first-token
-    /// target, if there are any.
+    /// Homes are preferably servers that can prefill the complete prompt within this fraction of the
+    /// first-token target.
     double prefill_share = 0.7;
 };
 
-/// Invariant: a plan names every candidate once; those of another region come after all of one's own.
+/// The placement policy.
+///
+/// Invariant: a plan contains every candidate once; candidates of other regions come after all candidates of
+/// the request's own region.
 class late_binding {
 public:
     late_binding() = default;
--- a/src/policy/limit_controller.cpp
+++ b/src/policy/limit_controller.cpp
@@ -1,4 +1,4 @@
-// Judges one window of samples at a time.
+// Evaluates the samples one window at a time.
 #include "policy/limit_controller.hpp"
 
 #include <algorithm>
@@ -6,15 +6,19 @@
 namespace borageford::policy {
 namespace {
 
+/// Samples kept of one window; further ones are dropped.
 constexpr std::size_t most_samples = 1024;
+/// Smallest factor by which one window may change the limit.
 constexpr double deepest_cut = 0.5;
-/// A cut aims a little under the target, so that the next window isn't over it again.
+/// A reduction aims slightly below the target, so that the next window doesn't exceed it again.
 constexpr double cut_margin = 0.95;
+/// Growth for each window, as a fraction of the limit, before the limit has shrunk for the first time.
 constexpr double fast_growth = 0.3;
+/// Growth for each window, as a fraction of the limit, after the limit has shrunk.
 constexpr double slow_growth = 0.08;
-/// No growth while the measured time is above this share of the target.
+/// The limit doesn't grow while the measured time exceeds this fraction of the target.
 constexpr double growth_threshold = 0.85;
-/// The limit counts as binding from this share on.
+/// The limit counts as nearly used up when the peak use reaches this fraction of it.
 constexpr double binding_share = 0.75;
 
 } // namespace
--- a/src/policy/member_census.cpp
+++ b/src/policy/member_census.cpp
@@ -1,4 +1,4 @@
-// Counts are kept through silence, and forgotten after a while.
+// Keeps unresponsive members in the count for a limited time.
 #include "policy/member_census.hpp"
 
 #include <algorithm>
@@ -8,10 +8,10 @@
 
 namespace {
 
-/// A silent member's part of the limits stays reserved this long: more than the windows over which limits are
-/// judged (8 and 10 s).
+/// How long the share of an unresponsive member stays reserved: longer than the windows over which the limits
+/// are evaluated (8 s and 10 s).
 constexpr std::chrono::milliseconds reservation{12000};
-/// Without ever having heard of another, a process assumes so many members.
+/// Members that a process assumes when it has never received a count.
 constexpr std::size_t assumed_members = 4;
 
 } // namespace
@@ -28,7 +28,8 @@
 }
 
 double member_census::coordinators_share(std::size_t attached, time_point now) {
-    // As long as most are silent it may well be this process that is cut off: nobody is forgotten then.
+    // While most members are unresponsive, it may well be this process that is disconnected, so no member is
+    // removed from the count.
     if (attached * 2 > count()) {
         std::erase_if(m_served, [now](const auto& entry) { return now - entry.second > reservation; });
         m_told = now - m_told_at > reservation ? 0 : m_told;
--- a/src/policy/member_census.hpp
+++ b/src/policy/member_census.hpp
@@ -1,4 +1,4 @@
-// Among how many members the limits are divided that hold over all of them.
+// Counts the members among which the system-wide limits are divided.
 #pragma once
 
 #include "policy/coordinator_election.hpp"
@@ -9,28 +9,30 @@
 
 namespace borageford::policy {
 
-/// Each process gives out its part of every limit, so counting too few members gives out too much. One that
-/// fell silent is counted for a while longer, since it may only be cut off and still be giving out its part.
+/// Number of members for dividing limits. Each process grants its share of every limit, so counting too few
+/// members would exceed the limits. An unresponsive member is counted for a while longer, because it may only
+/// be disconnected and still be granting its share.
 class member_census {
 public:
-    /// This process coordinates for a member.
+    /// Records that this process, as coordinator, serves a member.
     void note_served(member_key member, time_point now) { m_served[member] = now; }
-    /// A coordinator has told how many members it counts, this process included.
+    /// Records the number of members that a coordinator has reported, including this process; 0 is ignored.
     void note_told(std::size_t members, time_point now);
 
-    /// Members that are known of, this process included.
+    /// Number of known members, including this process.
     [[nodiscard]] std::size_t count() const noexcept;
-    /// What a coordinator told last; 0: never, or long ago.
+    /// Number of members that a coordinator last reported; 0 when none has, or not for a long time.
     [[nodiscard]] std::size_t told() const noexcept { return m_told; }
 
-    /// The part of all limits that this process gives out as the coordinator of `attached` members, itself
-    /// included.
+    /// Share of all limits that this process may grant as the coordinator of `attached` members, including
+    /// itself.
     [[nodiscard]] double coordinators_share(std::size_t attached, time_point now);
-    /// The part that it gives out on its own, hearing of so many members, itself included.
+    /// Share of all limits that this process may grant without a coordinator. `heard_of`: number of members
+    /// that it knows, including itself.
     [[nodiscard]] double own_share(std::size_t heard_of) const noexcept;
 
 private:
-    std::map<member_key, time_point> m_served; ///< when each was served last
+    std::map<member_key, time_point> m_served; ///< When each member was last served.
     std::size_t m_told = 0;
     time_point m_told_at;
 };
--- a/src/policy/offer_queue.cpp
+++ b/src/policy/offer_queue.cpp
@@ -1,4 +1,4 @@
-// Start-time fair queueing inside strict tiers, with displacement from the lowest tier up.
+// Implements start-time fair queueing within strict tiers, and displacement that starts at the lowest tier.
 #include "policy/offer_queue.hpp"
 
 #include <algorithm>
@@ -9,7 +9,7 @@
 offer_queue::offer_queue(queue_limits limits) : m_limits(limits), m_drain(limits.drain_memory) {}
 
 queue_verdict offer_queue::put(queued_offer offer, time_point now) {
-    // An offer above the whole bound could never be queued; it takes the bound for itself.
+    // An offer larger than the bound could never be queued, so it counts as exactly the bound.
     offer.tokens = std::clamp<std::uint64_t>(offer.tokens, 1, m_limits.tokens);
     queue_verdict verdict;
     if (m_places.contains(offer.dispatch)) {
@@ -161,8 +161,8 @@
     return line == lines->second.lines.end() ? 0 : line->second.tokens;
 }
 
-/// The newest offers of the heaviest workspaces, lowest tier first, until there is room; empty when the
-/// offer may not displace enough.
+/// Chooses the newest offers of the workspaces with the most waiting tokens, lowest tier first, until there
+/// is room. Returns an empty list when the new offer may not displace enough.
 std::vector<dispatch_id> offer_queue::choose_displaced(const queued_offer& offer) const {
     std::vector<dispatch_id> chosen;
     std::uint64_t freed = 0;
@@ -184,7 +184,8 @@
             }
             const std::uint64_t tokens = heaviest->newest->tokens;
             if (tier->first == offer.tier && heaviest->left < own_share + tokens) {
-                break; // its workspace would then have less waiting than the new offer's
+                // its workspace would then have fewer waiting tokens than the workspace of the new offer
+                break;
             }
             chosen.push_back(heaviest->newest->dispatch);
             freed += tokens;
