--- a/src/ledger/dispatch_ledger.cpp
+++ b/src/ledger/dispatch_ledger.cpp
@@ -1,4 +1,4 @@
-// Transitions of the ledger.
+// Implements the state transitions of dispatches.
 #include "ledger/dispatch_ledger.hpp"
 
 #include <algorithm>
--- a/src/marks/crash_mark.cpp
+++ b/src/marks/crash_mark.cpp
@@ -1,4 +1,4 @@
-// Keys and values of rows of marks.
+// Encodes and decodes the keys and values of rows of crash marks.
 #include "marks/crash_mark.hpp"
 
 #include <boost/json.hpp>
--- a/src/policy/cost_estimator.cpp
+++ b/src/policy/cost_estimator.cpp
@@ -21,8 +21,7 @@
 constexpr double steady_band = 1.5;
 /// The steady rate stays 0 for this many samples, because the first few are noisy.
 constexpr std::uint64_t steady_samples = 6;
-/// Key of the estimate that all pairs beyond `most_keys` share; make_key() returns this only for two empty
-/// names.
+/// Key under which all pairs beyond `most_keys` are recorded; make_key() returns it only for two empty names.
 constexpr std::string_view shared_key = "\n";
 constexpr auto soonest_return = std::chrono::milliseconds(500);
 constexpr auto latest_return = std::chrono::milliseconds(60000);
--- a/src/policy/cost_estimator.hpp
+++ b/src/policy/cost_estimator.hpp
@@ -26,8 +26,8 @@
 
 /// Running estimates of output lengths and engine rates.
 ///
-/// Invariant: output is estimated for at most `most_keys` pairs of workspace and route; all further pairs
-/// share one estimate.
+/// Invariant: output is estimated for at most `most_keys` pairs of workspace and route. Further pairs are
+/// recorded under one common key, and expected_output() returns `unmeasured` for them.
 class cost_estimator {
 public:
     static constexpr std::size_t most_keys = 1024;
--- a/src/policy/placement.cpp
+++ b/src/policy/placement.cpp
@@ -1,4 +1,4 @@
-// The names of the policies and the visit.
+// Maps names to placement policies and dispatches to them.
 #include "policy/placement.hpp"
 
 namespace borageford::policy {
--- a/src/policy/placement.hpp
+++ b/src/policy/placement.hpp
@@ -1,4 +1,4 @@
-// Where a request is offered. The policy is chosen by a setting and visited.
+// Chooses the backend servers that a request is offered to. A setting selects the policy.
 #pragma once
 
 #include "policy/late_binding.hpp"
@@ -13,12 +13,15 @@
 
 namespace borageford::policy {
 
-/// Policies keep no state, so one may be used from many threads.
+/// Any of the placement policies. Policies have no mutable state, so several threads may use one at the same
+/// time.
 using placement_policy = std::variant<round_robin, power_of_two, late_binding>;
 
-/// "round_robin", "power_of_two" or "late_binding" (the default of the setting); nothing for other text.
+/// The policy of this name: "round_robin", "power_of_two" or "late_binding", which is the setting's default.
+/// Nothing for other text.
 [[nodiscard]] std::optional<placement_policy> find_placement_policy(std::string_view name);
 
+/// Calls `plan` of the policy.
 [[nodiscard]] placement_plan plan_placement(const placement_policy& policy, const placement_request& request,
                                             std::span<const placement_candidate> candidates);
 
--- a/src/policy/power_of_two.cpp
+++ b/src/policy/power_of_two.cpp
@@ -1,4 +1,4 @@
-// The classic push policy on stale reports.
+// Implements the power-of-two-choices policy on load reports that may be out of date.
 #include "policy/power_of_two.hpp"
 
 #include "policy/random_sequence.hpp"
@@ -26,7 +26,7 @@
     const auto first = random.below(candidates.size());
     auto second = first;
     if (candidates.size() > 1) {
-        // Drawn from the others: skipping the first keeps both draws uniform.
+        // The second index is drawn from all candidates but the first, so that every pair is equally likely.
         second = random.below(candidates.size() - 1);
         second += second >= first ? 1 : 0;
     }
--- a/src/policy/power_of_two.hpp
+++ b/src/policy/power_of_two.hpp
@@ -1,4 +1,5 @@
-// Placement by two random choices: the one with fewer requests, by its last report and one's own since.
+// Placement by two random choices: of two random candidates, the one with fewer requests is chosen. Requests
+// are counted from its last load report and from this entry process's own offers since then.
 #pragma once
 
 #include "policy/placement_values.hpp"
--- a/src/policy/prefix_index.cpp
+++ b/src/policy/prefix_index.cpp
@@ -1,4 +1,5 @@
-// A bounded tree of prompt blocks, kept as a map from hash to block: a chained hash names its whole path.
+// Implements a bounded tree of prompt blocks as a map from hash to block, since a chained hash identifies the
+// complete path to a block.
 #include "policy/prefix_index.hpp"
 
 #include "base/hash.hpp"
@@ -29,7 +30,7 @@
         add_holder(find_or_add(hash, parent), server, now);
         parent = hash;
     }
-    // The first block becomes the latest used, so that a prompt is forgotten from its end.
+    // The first block is moved to the front last, so that the index forgets a prompt from its end.
     for (const auto hash : std::ranges::reverse_view(kept)) {
         m_recency.splice(m_recency.begin(), m_recency, m_blocks.at(hash).recency);
     }
@@ -40,7 +41,7 @@
 
 void prefix_index::record_stored(std::span<const std::uint64_t> hashes, std::uint64_t server,
                                  time_point now) {
-    // Only blocks that a prompt here has had are worth knowing, and only for them the parent is known.
+    // Only blocks of prompts that were seen here are useful, and only their parents are known.
     for (const auto hash : hashes) {
         const auto found = m_blocks.find(hash);
         if (found != m_blocks.end()) {
@@ -63,7 +64,8 @@
                                  std::uint64_t server, time_point now) {
     const auto held = hashes.first(std::min(blocks, hashes.size()));
     record_stored(held, server, now);
-    // The first block that isn't held ends the prefix, whatever is believed of those after it.
+    // Removing only the first block that isn't cached is sufficient: it ends the prefix, whatever entries
+    // exist for later blocks.
     record_evicted(hashes.subspan(held.size()).first(held.size() < hashes.size() ? 1 : 0), server);
 }
 
--- a/src/policy/quarantine.cpp
+++ b/src/policy/quarantine.cpp
@@ -1,4 +1,4 @@
-// Deaths by fingerprint; everything else is computed from them.
+// Stores the marks by fingerprint and computes all results from them.
 #include "policy/quarantine.hpp"
 
 #include <algorithm>
@@ -6,7 +6,7 @@
 namespace borageford::policy {
 namespace {
 
-/// More deaths than this of one fingerprint change nothing.
+/// Maximum number of marks kept for one fingerprint; further marks wouldn't change the result.
 constexpr std::size_t most_deaths = 16;
 
 } // namespace
--- a/src/policy/quarantine.hpp
+++ b/src/policy/quarantine.hpp
@@ -1,5 +1,5 @@
-// Requests that were running when backend servers died: after the second server lost, such a request is
-// refused for a while.
+// Quarantines requests that were running when backend servers crashed: after crashes of two servers, the
+// request is refused for a while.
 #pragma once
 
 #include "base/identifier.hpp"
@@ -15,43 +15,52 @@
 
 namespace borageford::policy {
 
+/// When a request is quarantined, and for how long.
 struct quarantine_settings {
-    /// Backend servers lost before a request is quarantined.
+    /// Number of crashes after which a request is quarantined.
     std::size_t servers_lost = 2;
     duration quarantine_time = std::chrono::hours(1);
-    /// A mark is forgotten after this time: a server that died of something else marks the innocent too.
+    /// Lifetime of a mark. A server that crashed for another reason also marks requests that didn't cause the
+    /// crash.
     duration mark_lifetime = std::chrono::hours(24);
+    /// Maximum number of fingerprints with marks.
     std::size_t most_fingerprints = 10000;
 };
 
-/// One quarantined request, as operators see it.
+/// A quarantined request, as shown to operators.
 struct quarantined_request {
+    /// Identifies requests with the same content.
     std::uint64_t fingerprint = 0;
-    std::vector<std::string> backend_servers; ///< lost while it ran
+    std::vector<std::string> backend_servers; ///< servers that crashed while the request ran
     time_point until{};
 };
 
-/// Invariants: each mark counts once, however often and from wherever it is reported; fingerprints are
-/// bounded, the one marked longest ago leaves first.
+/// Crash marks by request fingerprint.
+///
+/// Invariants: each mark counts once, however often and by whichever process it is reported; the number of
+/// fingerprints is bounded, and the one whose last mark is oldest is removed first.
 class quarantine {
 public:
     explicit quarantine(quarantine_settings settings = {});
 
-    /// The request was running when the backend server died. `mark` names that death for that request:
-    /// the same one arrives from several peers and from the table. Returns whether it was new.
+    /// Records that the request was running when the backend server crashed. `mark` identifies this crash for
+    /// this request; several peers and the table report the same mark. Returns whether the mark is new.
     bool record_mark(std::uint64_t fingerprint, std::string_view backend_server, const identifier& mark,
                      time_point now);
 
-    /// Deaths that are known; one or more means: run it only where it can hurt least.
+    /// Number of valid marks. With one or more marks, the request should run only where a crash does the
+    /// least harm.
     [[nodiscard]] std::size_t marks(std::uint64_t fingerprint, time_point now) const;
 
-    /// The time left when the request is quarantined; nothing otherwise.
+    /// Remaining time of the request's quarantine; nothing when it isn't quarantined.
     [[nodiscard]] std::optional<duration> time_left(std::uint64_t fingerprint, time_point now) const;
 
+    /// All requests that are quarantined at this time.
     [[nodiscard]] std::vector<quarantined_request> list(time_point now) const;
 
-    /// An operator lets it run again. Marks known so far stay known, so that a late copy of one doesn't
-    /// quarantine it again; false when the fingerprint has none.
+    /// Releases the request from quarantine, on behalf of an operator. Its known marks are kept as released,
+    /// so that a late copy of one of them doesn't quarantine the request again. False when the fingerprint
+    /// has no marks.
     bool release(std::uint64_t fingerprint);
 
 private:
@@ -68,7 +77,8 @@
     void remove_oldest();
 
     quarantine_settings m_settings;
-    std::unordered_map<std::uint64_t, std::vector<death>> m_deaths; ///< by fingerprint, oldest first
+    /// Marks by fingerprint, oldest first.
+    std::unordered_map<std::uint64_t, std::vector<death>> m_deaths;
 };
 
 } // namespace borageford::policy
--- a/src/policy/rate_meter.cpp
+++ b/src/policy/rate_meter.cpp
@@ -1,4 +1,4 @@
-// An exponentially decayed sum of work over an exponentially decayed sum of busy time.
+// Divides an exponentially decaying sum of work by an exponentially decaying sum of busy time.
 #include "policy/rate_meter.hpp"
 
 #include <algorithm>
@@ -7,7 +7,7 @@
 namespace borageford::policy {
 namespace {
 
-/// Below this much busy time a quotient would be noise.
+/// Less busy time than this counts as this long, since the quotient would be noise.
 constexpr double shortest_base_seconds = 0.02;
 
 } // namespace
--- a/src/policy/registration_watch.cpp
+++ b/src/policy/registration_watch.cpp
@@ -1,4 +1,4 @@
-// One moment for each missed server.
+// Stores the end of the retention time for each retained server.
 #include "policy/registration_watch.hpp"
 
 #include <algorithm>
@@ -19,7 +19,8 @@
     m_last_outage = now;
 }
 
-/// Whatever others say of their view before it.
+/// The beginning of the outage is set to the minimum, so that no other process's uninterrupted connection to
+/// the store can cover it.
 void registration_watch::note_return_from_copy(time_point now) noexcept {
     m_outage_begin = time_point::min();
     m_last_outage = now;
@@ -33,7 +34,7 @@
     }
 }
 
-/// The store was there all the while.
+/// Ends the retention that was started for an outage which affected only this process.
 void registration_watch::disown_outage(time_point now) {
     m_last_outage = time_point::min();
     for (auto& [server, until] : m_missed) {
--- a/src/policy/registration_watch.hpp
+++ b/src/policy/registration_watch.hpp
@@ -1,4 +1,5 @@
-// Tells a backend server that has left from one whose registration vanished because the store was away.
+// Distinguishes a backend server that has shut down from one whose registration disappeared because the store
+// was unavailable.
 #pragma once
 
 #include "policy/time.hpp"
@@ -10,53 +11,62 @@
 
 namespace borageford::policy {
 
-/// Registrations expire in the store without their servers' heartbeats, also while the store itself takes
-/// none. Taking all servers for gone after an outage would refuse every request until they are back. So a
-/// registration that vanishes around an outage is missed for a while, and only then taken as gone.
+/// Registrations expire in the store when the servers' heartbeats don't arrive, also while the store itself
+/// accepts no calls. If all these servers were removed after an outage, every request would be refused until
+/// they have registered again. So a registration that disappears around an outage of the store is retained
+/// for a while before the server is removed.
 class registration_watch {
 public:
-    /// How long after an outage servers have to register anew. The store's users promise about two seconds.
+    /// How long a registration is retained after an outage, so that its server can register again. The
+    /// store's clients promise to do so within about two seconds.
     static constexpr duration grace = std::chrono::milliseconds(2300);
 
-    /// How long the word of another process counts, that the store answers it. They tell it several times a
-    /// second.
+    /// How long another process's message that the store answers it stays valid. Processes send this message
+    /// several times per second.
     static constexpr duration word_life = std::chrono::milliseconds(600);
 
-    /// Word of before an outage may still be under way when it ends.
+    /// Messages sent before an outage may arrive this long after its end.
     static constexpr duration word_delay = std::chrono::milliseconds(100);
 
-    /// The store couldn't be reached from here, and had answered last at `answered`. Where it answers another
-    /// process, only this one is turned away: servers renew their registrations, and one that vanishes has
-    /// left. Missing such a server for a while sends requests to it after it has said that it leaves.
+    /// Records that this process couldn't reach the store, which had last answered at `answered`. The outage
+    /// is ignored when another process has recently reported that the store answers it: then only this
+    /// process is affected, servers still renew their registrations, and a registration that disappears
+    /// belongs to a server that has shut down. Retaining it would send requests to that server.
     void note_outage(time_point now, time_point answered) noexcept;
     void note_outage(time_point now) noexcept { note_outage(now, now); }
-    /// The store has come back from an older copy, in which registrations are missing.
+    /// Records that the store was restored from an older copy, in which registrations are missing.
     void note_return_from_copy(time_point now) noexcept;
-    /// Another process says that the store answers it, and has answered it without a break for so long. Where
-    /// this process was cut off from all others as well, it hears so only afterwards: the outage was its own
-    /// then, and servers that were missed for it have left.
+    /// Records another process's message that the store answers it and has answered it without interruption
+    /// for `unbroken`. A process that was disconnected from all others as well receives such a message only
+    /// afterwards. If `unbroken` covers the outage, only this process was affected, and the servers that it
+    /// retained for the outage have shut down.
     void note_other_in_touch(time_point now, duration unbroken = duration::zero());
 
-    /// A registration vanished: true when the server is to be taken as gone now; false when it is missed.
+    /// A registration has disappeared. Returns true when the server must be removed now, false when its
+    /// registration is retained.
     [[nodiscard]] bool is_gone(std::string_view server, time_point now);
-    /// A registration is missed by another process, whose word is relied on here.
+    /// Retains a registration that another process, which this one relies on, has announced as retained.
     void note_missed(std::string_view server, time_point now);
-    /// Servers that are missed.
+    /// Servers with a retained registration.
     [[nodiscard]] std::vector<std::string> missed() const;
-    /// A registration is there.
+    /// Records that the server is registered, which ends the retention.
     void note_present(std::string_view server);
 
-    /// Missed servers whose time is over; they are to be taken as gone.
+    /// Removes and returns the servers whose retention time is over. The caller must remove these servers.
     [[nodiscard]] std::vector<std::string> take_expired(time_point now);
 
 private:
     [[nodiscard]] bool is_around_outage(time_point now) const noexcept;
     void disown_outage(time_point now);
 
-    time_point m_last_outage = time_point::min();  ///< min: none, or none of the store's own
-    time_point m_outage_begin = time_point::min(); ///< of a series with gaps shorter than `grace`
+    /// min: there was none, or it affected only this process
+    time_point m_last_outage = time_point::min();
+    /// start of a series of outages with gaps shorter than `grace`
+    time_point m_outage_begin = time_point::min();
+    /// When another process last reported that the store answers it; min: never.
     time_point m_other_in_touch = time_point::min();
-    std::map<std::string, time_point, std::less<>> m_missed; ///< until when each is missed
+    /// Retained servers, and until when each is retained.
+    std::map<std::string, time_point, std::less<>> m_missed;
 };
 
 } // namespace borageford::policy
--- a/src/policy/rendezvous.cpp
+++ b/src/policy/rendezvous.cpp
@@ -1,4 +1,4 @@
-// One exponential variate a pair of key and server, drawn by hashing.
+// Hashes each pair of key and server to one exponentially distributed value.
 #include "policy/rendezvous.hpp"
 
 #include "base/hash.hpp"
--- a/src/policy/repeat_budget.cpp
+++ b/src/policy/repeat_budget.cpp
@@ -1,4 +1,4 @@
-// Slices of time instead of single events keep the cost of a decision bounded.
+// Counts in slices of the window instead of single events, which bounds the cost of each decision.
 #include "policy/repeat_budget.hpp"
 
 namespace borageford::policy {
@@ -6,8 +6,9 @@
 namespace {
 
 constexpr int slices_per_window = 20;
-/// Requests and repeats are judged where they arrive, and counted here when they leave; and a coordinator
-/// that took over doesn't know its predecessor's repeats.
+/// Fraction of the limit that is used. The limit applies to requests and retries where they arrive, while
+/// this class counts them when they are sent, and a new coordinator doesn't know the retries of its
+/// predecessor.
 constexpr double used_part = 0.6;
 
 } // namespace
--- a/src/policy/repeat_budget.hpp
+++ b/src/policy/repeat_budget.hpp
@@ -1,5 +1,5 @@
-// Bounds how often requests are sent to a second backend server, so that a failing service isn't pressed
-// further by everybody's repeats.
+// Limits how often requests are sent to a second backend server, so that retries don't overload a service
+// that is already failing.
 #pragma once
 
 #include "policy/slot_request.hpp"
@@ -9,32 +9,37 @@
 
 namespace borageford::policy {
 
+/// Limits of the retries of one service in a time window.
 struct repeat_limits {
-    double ratio = 0.1;  ///< repeats in a window, as a share of the requests in it
-    double reserve = 10; ///< repeats beyond that
+    double ratio = 0.1;  ///< retries in a window, as a fraction of the requests in it
+    double reserve = 10; ///< retries allowed in a window in addition to the ratio
     duration window = std::chrono::seconds(10);
 };
 
-/// Invariant: in every window, a service's repeats are at most ratio x requests + reserve x share.
+/// Counts requests and retries by service in a sliding window.
+///
+/// Invariant: in every window, the retries of a service don't exceed ratio x requests + reserve x share.
 class repeat_budget {
 public:
     explicit repeat_budget(repeat_limits limits) : m_limits(limits) {}
 
-    /// The part of the reserve that this process may use.
+    /// Sets the fraction of the reserve that this process may use.
     void set_share(double share) noexcept { m_share = share; }
 
+    /// Counts a request that is sent for the first time.
     void count_request(service_key service, time_point now);
+    /// Retries in a window, and how many are allowed in it.
     struct use {
         double repeats = 0;
         double allowed = 0;
     };
-    /// The repeats of the window that ends now.
+    /// The retries in the window that ends now.
     [[nodiscard]] use look(service_key service, time_point now);
-    /// Counts a repeat if there is room for it.
+    /// Counts a retry and returns true if the budget allows one more.
     [[nodiscard]] bool try_repeat(service_key service, time_point now);
 
 private:
-    /// Counts of one slice of time.
+    /// Counts for one slice of the window.
     struct slice {
         time_point begin;
         unsigned requests = 0;
--- a/src/policy/retry_budget.cpp
+++ b/src/policy/retry_budget.cpp
@@ -1,4 +1,4 @@
-// Each first try earns a part of a retry.
+// Each first attempt adds a fraction of a retry to the budget.
 #include "policy/retry_budget.hpp"
 
 #include <algorithm>
--- a/src/policy/retry_budget.hpp
+++ b/src/policy/retry_budget.hpp
@@ -1,17 +1,19 @@
-// Bounds an entry's own retries to a share of the first tries, so that a failure isn't answered by a storm.
+// Limits the retries of an entry process to a fraction of the first attempts, so that a failure doesn't cause
+// a retry storm.
 #pragma once
 
 namespace borageford::policy {
 
-/// Invariant: over any stretch, retries are at most `share` of the first tries plus `reserve`.
+/// Invariant: in any period, retries don't exceed `share` of the first attempts in it plus `reserve`.
 class retry_budget {
 public:
     explicit retry_budget(double share = 0.1, double reserve = 10) noexcept;
 
-    /// A request is placed for the first time.
+    /// Records that a request is placed for the first time.
     void record_first_try() noexcept;
 
-    /// Whether a request may be placed again; false: answer its caller with the error instead.
+    /// Takes one retry from the budget. False when none is left: the caller should be answered with the
+    /// error.
     [[nodiscard]] bool try_retry() noexcept;
 
 private:
--- a/src/policy/round_robin.cpp
+++ b/src/policy/round_robin.cpp
@@ -1,4 +1,4 @@
-// Takes the candidates in turn.
+// Chooses the candidates in turn, by the request's sequence number.
 #include "policy/round_robin.hpp"
 
 namespace borageford::policy {
--- a/src/policy/round_robin.hpp
+++ b/src/policy/round_robin.hpp
@@ -1,4 +1,5 @@
-// Placement in turn, blind to load and prefixes: the floor to compare with.
+// Round-robin placement, which ignores load and cached prefixes. It is the baseline for comparing the other
+// policies.
 #pragma once
 
 #include "policy/placement_values.hpp"
--- a/src/policy/token_bucket.cpp
+++ b/src/policy/token_bucket.cpp
@@ -1,4 +1,4 @@
-// The level is brought up to date at each call.
+// The level is stored with the time of its last update and recomputed at each call.
 #include "policy/token_bucket.hpp"
 
 #include <algorithm>
--- a/src/policy/token_bucket.hpp
+++ b/src/policy/token_bucket.hpp
@@ -1,28 +1,31 @@
-// A rate with a burst.
+// Token bucket: limits an average rate and allows bursts.
 #pragma once
 
 #include "policy/time.hpp"
 
 namespace borageford::policy {
 
-/// Invariant: 0 <= level <= burst, but for a debt that charge() may leave.
+/// A bucket that fills at `rate` units per second up to `burst` units, and starts full.
+///
+/// Invariant: 0 <= level <= burst, except for a debt caused by charge().
 class token_bucket {
 public:
     token_bucket(double rate, double burst, time_point now) noexcept;
 
-    /// Changes the rate and the burst and keeps the level, bounded by the new burst.
+    /// Changes the rate and the burst. The level is kept, but doesn't exceed the new burst.
     void set_rate(double rate, double burst, time_point now) noexcept;
 
-    /// Takes the amount when all of it is there.
+    /// Takes the amount if the level is sufficient, and returns whether it did.
     [[nodiscard]] bool try_take(double amount, time_point now) noexcept;
 
-    /// Takes the amount in any case, into debt when need be: for a cost that is known only afterwards.
+    /// Takes the amount even if the level becomes negative, for a cost that is known only afterwards. A
+    /// negative amount is a refund.
     void charge(double amount, time_point now) noexcept;
 
-    /// When the amount will be there, from now on; `duration::max()` when it never will.
+    /// Time until the amount is available; `duration::max()` if it never will be.
     [[nodiscard]] duration time_until(double amount, time_point now) const noexcept;
 
-    /// What is there now; negative while in debt.
+    /// Current level; negative while in debt.
     [[nodiscard]] double level_at(time_point now) const noexcept;
 
 private:
--- a/src/policy/workspace_limits.cpp
+++ b/src/policy/workspace_limits.cpp
@@ -1,4 +1,4 @@
-// Two token buckets and a count for each workspace.
+// Uses two token buckets and a count of requests in progress for each workspace.
 #include "policy/workspace_limits.hpp"
 
 #include <algorithm>
@@ -6,8 +6,10 @@
 namespace borageford::policy {
 namespace {
 
+/// Weight of a new sample in the mean duration.
 constexpr double newest_share = 0.1;
-/// Tokens may be spent ahead by so many seconds' worth: a single report costs more than one second gives.
+/// Burst of the token limit, in seconds of its rate: a single report costs more tokens than one second
+/// provides.
 constexpr double token_burst_seconds = 10;
 
 } // namespace
@@ -25,7 +27,7 @@
         found = m_usages.emplace(std::string(workspace), usage{}).first;
         found->second.limit = limit;
         share(found->second, now);
-        // A new workspace starts with its whole burst.
+        // A new workspace starts with full buckets.
         const double all = -std::max(limit.tokens_per_second * token_burst_seconds,
                                      limit.request_burst + limit.requests_per_second);
         found->second.requests.charge(all, now);
@@ -56,7 +58,7 @@
     if (limit.concurrent_requests > 0 && used.in_progress >= concurrency_share(used)) {
         return limit_refusal{error_kind::concurrency_limited, from_seconds(used.mean_seconds)};
     }
-    // A request that costs more than the burst waits for a full bucket, not for ever.
+    // A request that costs more than the burst waits for a full bucket instead of being refused for ever.
     const double burst = limit.tokens_per_second * token_burst_seconds / m_live_entries;
     const double needed = std::min(tokens, burst);
     if (limit.tokens_per_second > 0) {
@@ -79,7 +81,7 @@
                               duration took, time_point now) {
     const auto found = m_usages.find(workspace);
     if (found == m_usages.end() || found->second.in_progress == 0) {
-        return; // the workspace was removed meanwhile, and perhaps added again
+        return; // the workspace was removed since the request began, and perhaps added again
     }
     auto& used = found->second;
     --used.in_progress;
@@ -97,7 +99,7 @@
 void workspace_limits::share(usage& used, time_point now) const {
     const auto& limit = used.limit;
     const double burst = limit.request_burst > 0 ? limit.request_burst : limit.requests_per_second;
-    // A share below one request would never let any in.
+    // A burst below one request would never admit any request.
     used.requests.set_rate(limit.requests_per_second / m_live_entries, std::max(1.0, burst / m_live_entries),
                            now);
     used.tokens.set_rate(limit.tokens_per_second / m_live_entries,
--- a/src/routing/backend_record.cpp
+++ b/src/routing/backend_record.cpp
@@ -1,4 +1,4 @@
-// The key under which a start of a server is known.
+// Computes the key of a backend server's start.
 #include "routing/backend_record.hpp"
 
 #include "base/hash.hpp"
--- a/src/routing/call_fields.hpp
+++ b/src/routing/call_fields.hpp
@@ -1,25 +1,26 @@
-// The names of the header fields by which callers, the system and backend servers tell each other about a
-// request. A deployment names them; the folder platform/ has those of the users' platform.
+// Names of the HTTP header fields that callers, this system and backend servers use to describe a request.
+// They are configured for each deployment; the names of the users' platform are in the folder platform/.
 #pragma once
 
 #include <string>
 
 namespace borageford::routing {
 
+/// One name for each header field.
 struct call_fields {
-    // From the caller, passed on unchanged.
+    // Sent by the caller and forwarded unchanged.
     std::string request_id;
     std::string model;
-    std::string tokens;          ///< prompt tokens and most output tokens: "1460,80"
-    std::string prompt_parts;    ///< "ID:TOKENS,ID:TOKENS", the request's own part last
-    std::string expected_length; ///< the caller's guess at the output tokens
-    std::string last_event;      ///< the last event of a stream that the caller has
+    std::string tokens;          ///< prompt tokens and maximum output tokens, such as "1460,80"
+    std::string prompt_parts;    ///< "ID:TOKENS,ID:TOKENS"; the part specific to this request is last
+    std::string expected_length; ///< number of output tokens that the caller expects
+    std::string last_event;      ///< id of the last event of a stream that the caller has received
 
-    // From the caller, read and replaced.
-    std::string deadline; ///< milliseconds that are left
+    // Sent by the caller; read and replaced by this system.
+    std::string deadline; ///< remaining time in milliseconds
     std::string workspace;
 
-    // Set by the system alone; taken off a caller's request.
+    // Only set by this system; removed from a caller's request.
     std::string expected_server;
     std::string hold;
     std::string pin_time;
@@ -27,9 +28,9 @@
     std::string memory_source;
     std::string memory_fetch;
 
-    // In answers.
-    std::string not_executed; ///< the server says that it didn't run the request
-    std::string signature;    ///< the server's proof that the answer is its own
+    // Sent in answers.
+    std::string not_executed; ///< the server reports that it didn't run the request
+    std::string signature;    ///< the server's proof that it wrote the answer itself
 };
 
 } // namespace borageford::routing
--- a/src/routing/rollout_order.hpp
+++ b/src/routing/rollout_order.hpp
@@ -1,4 +1,4 @@
-// An operator's order to move a service to another version of its software, and what became of it.
+// An operator's order to roll out another software version of a service, and the state of that roll-out.
 #pragma once
 
 #include <chrono>
@@ -7,19 +7,21 @@
 
 namespace borageford::routing {
 
-/// Servers of the new version are started beside the old ones.
+/// The order. Servers of the new version are started in addition to the old ones.
 struct rollout_order {
     std::string service;
     std::string to;                        ///< the new version
-    std::chrono::milliseconds duration{0}; ///< within which the operator wants it done
+    std::chrono::milliseconds duration{0}; ///< time within which the operator wants the roll-out to end
 };
 
+/// State of a roll-out, reported to the operator.
 enum class rollout_state : std::uint8_t {
     running,
-    completed,  ///< the old servers may stop at once
-    rolled_back ///< the new servers may leave
+    completed,  ///< The new version is in use; the old servers may be stopped.
+    rolled_back ///< The old version is in use again; the new servers may be stopped.
 };
 
+/// State of the roll-out of a service to version `to`.
 struct rollout_status {
     std::string service;
     std::string to;
--- a/src/routing/routing_table.cpp
+++ b/src/routing/routing_table.cpp
@@ -1,4 +1,4 @@
-// The indexes, built once for each version.
+// Builds the indexes once for each version of the configuration and searches them.
 #include "routing/routing_table.hpp"
 
 #include <stdexcept>
