--- a/tests/unit/test_dispatch_ledger.cpp
+++ b/tests/unit/test_dispatch_ledger.cpp
@@ -1,4 +1,5 @@
-// The ledger's promises: an id begins once, a tombstone holds, and nothing forgotten is called "not begun".
+// Tests of the dispatch_ledger: an id starts at most once, a tombstone is permanent, and an id that was
+// finished and removed is never reported as "not begun".
 #include "ledger/dispatch_ledger.hpp"
 
 #include <catch2/catch.hpp>
@@ -19,8 +20,8 @@
 
 } // namespace
 
-TEST_CASE("a granted dispatch begins once", "[ledger]") {
-    // An old connection that had gone silent delivers a copy of a start. Were it run again, a kudos would be
+TEST_CASE("a granted dispatch starts only once", "[ledger]") {
+    // An old, unresponsive connection delivers a second copy of a start. If it ran again, its effect would be
     // counted twice.
     dispatch_ledger ledger({});
     grant_one(ledger, some_dispatch, begin + 1s);
@@ -33,9 +34,9 @@
     CHECK(ledger.attach(some_dispatch, 1s, begin) == attach_result::finished);
 }
 
-TEST_CASE("a start without a standing grant is not begun, for good", "[ledger]") {
-    // An entry was frozen after it got a grant and wakes past the lease; meanwhile its caller was told that
-    // the request didn't run.
+TEST_CASE("a start without a valid grant makes the dispatch a tombstone", "[ledger]") {
+    // An entry process was suspended after it received a grant and continues after the grant has expired.
+    // Meanwhile the caller was told that the request didn't run.
     dispatch_ledger ledger({});
     grant_one(ledger, some_dispatch, begin + 1s);
     CHECK(ledger.start(some_dispatch, begin + 1s) == start_result::not_begun);
@@ -44,7 +45,7 @@
     CHECK(ledger.attach(some_dispatch, 1s, begin) == attach_result::not_begun);
 }
 
-TEST_CASE("only grants whose time is over lapse", "[ledger]") {
+TEST_CASE("only grants that have reached their expiry time expire", "[ledger]") {
     dispatch_ledger ledger({});
     constexpr dispatch_id started{2, 2};
     constexpr dispatch_id waiting{3, 3};
@@ -58,8 +59,9 @@
     CHECK(ledger.start(waiting, begin) == start_result::begun);
 }
 
-TEST_CASE("asking for an unknown dispatch or withdrawing it keeps it from running", "[ledger]") {
-    // The start is still under way on a connection that has gone silent while the entry asks on a new one.
+TEST_CASE("an unknown dispatch can't run after an attach or a withdrawal", "[ledger]") {
+    // The start is still in transit on an unresponsive connection while the entry process asks for the
+    // dispatch's state on a new one.
     dispatch_ledger ledger({});
     CHECK(ledger.attach(some_dispatch, 1s, begin) == attach_result::not_begun);
     CHECK(ledger.take_offer(some_dispatch) == offer_result::tombstoned);
@@ -69,9 +71,9 @@
     CHECK(ledger.start(other, begin) == start_result::not_begun);
 }
 
-TEST_CASE("a finished dispatch that was forgotten is never called not begun", "[ledger]") {
-    // An entry that was frozen for long asks after a dispatch that ended meanwhile. "Not begun" would let it
-    // place the request a second time.
+TEST_CASE("a finished dispatch that was removed is never reported as not begun", "[ledger]") {
+    // An entry process that was suspended for long asks for the state of a dispatch that has finished
+    // meanwhile. "Not begun" would let it place the request a second time.
     dispatch_ledger ledger({.retention = 1min, .entries = 100});
     grant_one(ledger, some_dispatch, begin + 1s);
     REQUIRE(ledger.start(some_dispatch, begin) == start_result::begun);
@@ -84,7 +86,7 @@
     CHECK(ledger.attach(dispatch_id{2, 2}, 1s, begin + 75s) == attach_result::not_begun);
 }
 
-TEST_CASE("the ledger's size is bounded by what is over, never by what runs", "[ledger]") {
+TEST_CASE("the ledger removes ended dispatches when it is full, never running ones", "[ledger]") {
     dispatch_ledger ledger({.retention = 1h, .entries = 10});
     grant_one(ledger, some_dispatch, begin + 1s);
     REQUIRE(ledger.start(some_dispatch, begin) == start_result::begun);
@@ -99,9 +101,9 @@
     CHECK(ledger.attach(dispatch_id{100, 0}, 2s, begin + 2s) == attach_result::unknown);
 }
 
-TEST_CASE("an adopted dispatch that the backend server didn't know is as unknown as before", "[ledger]") {
-    // A plain service can't be asked. The second question about a dispatch of a former sidecar must not be
-    // answered "finished" because of the first.
+TEST_CASE("an adopted dispatch that the backend server doesn't know becomes unknown again", "[ledger]") {
+    // A plain service can't report its running requests. The second request for the state of a dispatch of a
+    // previous sidecar must not be answered "finished" because of the first request.
     dispatch_ledger ledger({});
     ledger.adopt(some_dispatch);
     CHECK(ledger.attach(some_dispatch, 1s, begin) == attach_result::running);
--- a/tests/unit/test_policy_adaptive_limit.cpp
+++ b/tests/unit/test_policy_adaptive_limit.cpp
@@ -1,4 +1,4 @@
-// The adaptive limit against an engine whose times grow with what is in progress.
+// Tests of adaptive_limit with simulated engines whose times grow with the number of running requests.
 #include "policy/adaptive_limit.hpp"
 
 #include <catch2/catch.hpp>
@@ -10,13 +10,13 @@
 
 namespace {
 
-/// An engine that is always offered as much as the limit lets in; a step of it takes `base` plus `each` for
+/// An engine that always runs as many requests as the limit admits. Each step takes `base` plus `each` for
 /// every running sequence.
 class loaded_engine {
 public:
     explicit loaded_engine(adaptive_limit& limit) : m_limit(limit) {}
 
-    /// Runs for this long; one sequence in `sequence_length` ends at each step.
+    /// Simulates `span`. At each step, one in `sequence_length` running sequences ends.
     void run(duration span, duration base, duration each) {
         const auto end = m_now + span;
         while (m_now < end) {
@@ -51,7 +51,7 @@
 
 } // namespace
 
-TEST_CASE("running sequences settle where the time between tokens meets its target",
+TEST_CASE("the limit of running sequences settles where the time between tokens meets its target",
           "[policy][adaptive_limit]") {
     adaptive_limit limit({.slots = 200});
     loaded_engine engine(limit);
@@ -60,9 +60,10 @@
     CHECK(limit.sequence_limit() <= 60);
 }
 
-TEST_CASE("a slowdown to a tenth is answered within seconds", "[policy][adaptive_limit]") {
-    // An engine that gets ten times slower would go on being filled as before, and all that it runs would
-    // miss its targets. The callers see halting answers until the limit has followed.
+TEST_CASE("the limit follows a tenfold slowdown of the engine within seconds", "[policy][adaptive_limit]") {
+    // If the limit didn't follow when the engine gets ten times slower, the engine would be kept as full as
+    // before, and everything that it runs would miss its targets. Callers would see slow streams until the
+    // limit has shrunk.
     adaptive_limit limit({.slots = 200});
     loaded_engine engine(limit);
     engine.run(60s, 2ms, 1ms);
@@ -74,14 +75,14 @@
     CHECK(limit.sequence_limit() >= before * 3 / 4);
 }
 
-TEST_CASE("however slow the engine, one request is let in", "[policy][adaptive_limit]") {
+TEST_CASE("one request is admitted however slow the engine is", "[policy][adaptive_limit]") {
     adaptive_limit limit({.slots = 64});
     loaded_engine engine(limit);
     engine.run(60s, 1s, 1s);
     CHECK(limit.sequence_limit() == 1);
 }
 
-TEST_CASE("a limit that doesn't bind doesn't grow", "[policy][adaptive_limit]") {
+TEST_CASE("a limit that isn't nearly used up doesn't grow", "[policy][adaptive_limit]") {
     adaptive_limit limit({.slots = 64});
     const auto before = limit.sequence_limit();
     auto admitted = limit.admit(10);
@@ -94,9 +95,9 @@
     limit.release(admitted);
 }
 
-TEST_CASE("prefill in progress is held to what the first-token target allows", "[policy][adaptive_limit]") {
-    // Prompts that wait inside the engine can't be overtaken by a higher tier, and each makes the next
-    // one's first token later.
+TEST_CASE("tokens in prefill are limited to what the first-token target allows", "[policy][adaptive_limit]") {
+    // Prompts that wait inside the engine can't be overtaken by a higher tier, and each delays the first
+    // token of the next one.
     constexpr double tokens_per_second = 4000;
     adaptive_limit limit({.slots = 64});
     auto now = time_point{} + 1h;
@@ -116,7 +117,7 @@
     CHECK(limit.prefill_token_limit() <= 2500);
 }
 
-TEST_CASE("a long prompt is let in alone", "[policy][adaptive_limit]") {
+TEST_CASE("a long prompt is admitted when no other prompt is in prefill", "[policy][adaptive_limit]") {
     adaptive_limit limit({.slots = 4});
     CHECK(limit.has_room(1U << 24U));
     auto admitted = limit.admit(1U << 24U);
--- a/tests/unit/test_policy_cost_estimator.cpp
+++ b/tests/unit/test_policy_cost_estimator.cpp
@@ -1,4 +1,4 @@
-// Estimates that are learned, not assumed.
+// Tests of cost_estimator, count_prompt_tokens() and retry_after().
 #include "policy/cost_estimator.hpp"
 
 #include <catch2/catch.hpp>
@@ -6,14 +6,14 @@
 using namespace borageford::policy;
 using namespace std::chrono_literals;
 
-TEST_CASE("a token is four bytes of prompt, rounded up", "[policy][cost_estimator]") {
+TEST_CASE("one token is counted for every four bytes of prompt, rounded up", "[policy][cost_estimator]") {
     CHECK(count_prompt_tokens(0) == 0);
     CHECK(count_prompt_tokens(1) == 1);
     CHECK(count_prompt_tokens(8) == 2);
     CHECK(count_prompt_tokens(9) == 3);
 }
 
-TEST_CASE("expected output is learned by workspace and route", "[policy][cost_estimator]") {
+TEST_CASE("expected output follows the ended requests of a workspace and route", "[policy][cost_estimator]") {
     cost_estimator estimator;
     CHECK(estimator.expected_output("archive", "summary", 200) == 200);
     for (int index = 0; index < 20; ++index) {
@@ -29,7 +29,7 @@
     CHECK(estimator.expected_output("archive", "summary", 200) >= 99);
 }
 
-TEST_CASE("names without end don't fill memory", "[policy][cost_estimator]") {
+TEST_CASE("an unbounded number of workspace names doesn't fill memory", "[policy][cost_estimator]") {
     cost_estimator estimator;
     for (std::size_t index = 0; index < 2 * cost_estimator::most_keys; ++index) {
         const auto name = "workspace-" + std::to_string(index);
@@ -41,7 +41,7 @@
     CHECK(estimator.expected_output("workspace-2000", "route", 200) == 200);
 }
 
-TEST_CASE("the engine's rates follow what was measured", "[policy][cost_estimator]") {
+TEST_CASE("the engine's rates follow the measurements", "[policy][cost_estimator]") {
     cost_estimator estimator;
     CHECK(estimator.prefill_rate() == 0);
     auto now = time_point{} + 1h;
@@ -59,9 +59,9 @@
     CHECK(estimator.output_rate() == Approx(100).epsilon(0.05));
 }
 
-TEST_CASE("a refused caller is told a time that follows the drain rate", "[policy][cost_estimator]") {
-    // A constant would send every refused caller back at the same moment, too early when the system is
-    // slow and too late when it is quick.
+TEST_CASE("the retry time of a refused caller follows the drain rate", "[policy][cost_estimator]") {
+    // A constant time would make all refused callers retry at the same moment, too early when the system is
+    // slow and too late when it is fast.
     CHECK(retry_after(10000, 5000, 1s) == 2000ms);
     CHECK(retry_after(10000, 500, 1s) == 20000ms);
     CHECK(retry_after(10000, 0, 3s) == 3000ms);
@@ -73,7 +73,7 @@
     cost_estimator estimator;
     auto now = time_point{} + 1h;
     for (int round = 0; round < 50; ++round) {
-        // Four prompts are sent at once; the engine prefills them one after the other.
+        // Four prompts are sent at the same time; the engine prefills them one after another.
         for (int place = 1; place <= 4; ++place) {
             estimator.record_prefill(1000, place * 250ms, now + place * 250ms);
         }
@@ -82,7 +82,7 @@
     CHECK(estimator.prefill_rate() == Approx(4000).epsilon(0.05));
 }
 
-TEST_CASE("the steady rate ignores noise and follows a slowdown", "[policy][cost_estimator]") {
+TEST_CASE("the steady prefill rate ignores noise and follows a slowdown", "[policy][cost_estimator]") {
     cost_estimator estimator;
     auto now = time_point{} + 1h;
     const auto prefill = [&](duration elapsed) {
--- a/tests/unit/test_policy_follower_duty.cpp
+++ b/tests/unit/test_policy_follower_duty.cpp
@@ -1,4 +1,5 @@
-// Who asks the store, and who is told by others.
+// Tests of follower_choice: which gateways poll the store, and which rely on other gateways. Also tests
+// retained registrations that another gateway announced.
 #include "policy/coordinator_election.hpp"
 #include "policy/follower_duty.hpp"
 #include "policy/registration_watch.hpp"
@@ -18,9 +19,9 @@
 
 } // namespace
 
-TEST_CASE("of hundreds of gateways some ask the store", "[policy][follower_duty]") {
-    // Each change of a server used to cost a call for each gateway, and an outage some calls a second for
-    // each.
+TEST_CASE("of hundreds of gateways only some poll the store", "[policy][follower_duty]") {
+    // If every gateway polled the store, each change of a server would cost one call per gateway, and an
+    // outage several calls per second from each.
     constexpr member_key members = 300;
     int candidates = 0;
     int followers = 0;
@@ -36,12 +37,12 @@
         followers += choice.choose(is_candidate, members, start_time) == follower_duty::follow ? 1 : 0;
     }
     CHECK(candidates == 3);
-    // The store may answer none of the candidates any more, without a word: others must be asking too.
+    // The store may stop answering the candidates without an error, so other gateways must poll too.
     CHECK(followers >= 12);
     CHECK(followers <= 15);
 }
 
-TEST_CASE("of a few gateways each asks the store, and so does one that doesn't know how many there are",
+TEST_CASE("every gateway polls the store when there are few gateways or their number is unknown",
           "[policy][follower_duty]") {
     follower_choice choice(12, 0.99);
     choice.hear_follower(start_time);
@@ -50,9 +51,10 @@
     CHECK(choice.choose(false, 13, start_time) == follower_duty::rely);
 }
 
-TEST_CASE("a gateway asks the store itself once nobody is heard whom it answers", "[policy][follower_duty]") {
-    // Those that ask are cut off, or the store turns just them away. The others would never hear of a server
-    // that leaves.
+TEST_CASE("a gateway polls the store itself when no announcements of a polling gateway arrive",
+          "[policy][follower_duty]") {
+    // The polling gateways may be disconnected, or the store may refuse only them. Gateways that rely on them
+    // would then never learn that a server has shut down.
     constexpr std::size_t members = 300;
     follower_choice choice(12, 0.5);
     CHECK(choice.choose(false, members, start_time) == follower_duty::stand_by);
@@ -62,9 +64,11 @@
     CHECK(choice.choose(false, members, start_time + 2s) == follower_duty::stand_by);
 }
 
-TEST_CASE("a server that another gateway misses is given up here too", "[policy][registration_watch]") {
-    // Its registration vanished in an outage, and it didn't come back. The gateway that asks the store waits
-    // for it and then gives it up, which is no change that the store would tell of.
+TEST_CASE("a server that another gateway retains is removed here after the retention time",
+          "[policy][registration_watch]") {
+    // The server's registration disappeared in an outage of the store and the server didn't register again.
+    // The gateway that polls the store retains the registration for a while and then removes the server,
+    // which the store doesn't report as a change.
     registration_watch watch;
     watch.note_missed("server", start_time);
     CHECK(watch.missed() == std::vector<std::string>{"server"});
--- a/tests/unit/test_policy_follower_pace.cpp
+++ b/tests/unit/test_policy_follower_pace.cpp
@@ -1,4 +1,5 @@
-// When the store is asked again, and whose confirmation counts.
+// Tests of follower_pace (when a gateway polls the store again) and of confirmation (which confirmations
+// count).
 #include "policy/confirmation.hpp"
 #include "policy/follower_pace.hpp"
 
@@ -13,11 +14,12 @@
 
 const time_point start_time = time_point{} + 1h;
 constexpr duration limit = 2s;
-constexpr duration longest_way = 200ms; ///< of a confirmation to all others
+constexpr duration longest_way = 200ms; ///< longest delay of a confirmation to all other gateways
 
 } // namespace
 
-TEST_CASE("one confirming gateway spares the others the question", "[policy][follower_pace]") {
+TEST_CASE("the polls of one confirming gateway make polls by other gateways unnecessary",
+          "[policy][follower_pace]") {
     const follower_pace pace(limit, 0);
     const auto confirmed_every = pace.wait(follower_duty::confirm, 0s);
     CHECK_FALSE(pace.is_stale(follower_duty::confirm, confirmed_every));
@@ -28,8 +30,8 @@
     }
 }
 
-TEST_CASE("a question for what was confirmed too long ago is answered at once", "[policy][follower_pace]") {
-    // Guards against asking with a long wait in an outage, when the question may be lost as well.
+TEST_CASE("a poll after a confirmation that is too old isn't held open", "[policy][follower_pace]") {
+    // Guards against long polls in an outage, in which the store may lose the poll as well.
     for (const auto duty : {follower_duty::confirm, follower_duty::follow, follower_duty::stand_by}) {
         const follower_pace pace(limit, 0.5);
         CHECK(pace.is_stale(duty, limit + limit / 4));
@@ -37,16 +39,18 @@
     }
 }
 
-TEST_CASE("no question stays open for longer than the store takes", "[policy][follower_pace]") {
-    // Guards against a coordinator whose every question is refused, where the limit is set to minutes.
+TEST_CASE("no poll is held open for longer than the store accepts", "[policy][follower_pace]") {
+    // The store refuses polls that ask it to wait for more than 30 s. Guards against a coordinator whose
+    // polls are all refused when the change limit is set to minutes.
     const follower_pace pace(1h, 0.5);
     for (const auto duty : {follower_duty::confirm, follower_duty::follow, follower_duty::stand_by}) {
         CHECK(pace.wait(duty, 0s) <= 30s);
     }
 }
 
-TEST_CASE("a lost question is asked again within the limit and half of it", "[policy][follower_pace]") {
-    // Guards against a change that is known too late after a silence that was just missed.
+TEST_CASE("a lost poll is repeated within one and a half times the change limit", "[policy][follower_pace]") {
+    // Guards against learning of a change too late when the store became unresponsive shortly after an
+    // answer.
     for (const double draw : {0.0, 0.5, 0.99}) {
         const follower_pace pace(limit, draw);
         CHECK(pace.is_stale(follower_duty::follow, limit + limit / 2));
@@ -54,7 +58,7 @@
     }
 }
 
-TEST_CASE("gateways whose store is silent don't all ask again at the same moment",
+TEST_CASE("gateways don't all poll an unresponsive store again at the same moment",
           "[policy][follower_pace]") {
     const follower_pace first(limit, 0.1);
     const follower_pace second(limit, 0.9);
@@ -64,8 +68,9 @@
     CHECK(first.repeat_delay(follower_duty::follow) < second.repeat_delay(follower_duty::follow));
 }
 
-TEST_CASE("a confirmation that went round doesn't count again", "[policy][confirmation]") {
-    // Guards against gateways that keep each other believing in a store that answers none of them.
+TEST_CASE("a confirmation that comes back through other gateways doesn't count again",
+          "[policy][confirmation]") {
+    // Guards against gateways that confirm each other's copies although the store answers none of them.
     constexpr store_moment first{1, 1000};
     std::vector<confirmation> gateways(3, confirmation(start_time));
     gateways.front().note_answer(first, start_time);
@@ -82,8 +87,9 @@
     }
 }
 
-TEST_CASE("a confirmation is told for some heartbeats and not in each message", "[policy][confirmation]") {
-    // Guards against standing messages that outgrow what a gateway may spend on them.
+TEST_CASE("a confirmation is announced in a few heartbeats and not in every message",
+          "[policy][confirmation]") {
+    // Guards against regular heartbeats that exceed the traffic a gateway may use for them.
     confirmation held(start_time);
     held.note_answer({1, 1000}, start_time);
     CHECK(held.news(start_time + 200ms) == store_moment{1, 1000});
@@ -91,7 +97,7 @@
 }
 
 TEST_CASE("an answer of the store itself counts whatever its clock says", "[policy][confirmation]") {
-    // Guards against a store that was replaced, and whose clock begins anew.
+    // Guards against ignoring the answers of a store that was replaced and whose clock starts anew.
     confirmation held(start_time);
     held.note_answer({1, 1000}, start_time);
     held.note_answer({1, 5}, start_time + 10s);
@@ -102,7 +108,7 @@
 }
 
 TEST_CASE("a confirmation of a newer era counts whatever the clock says", "[policy][confirmation]") {
-    // Guards against gateways that each ask for themselves until the clock has caught up.
+    // Guards against every gateway polling for itself until the clock of a restored store has caught up.
     confirmation held(start_time);
     held.note_answer({1, 1000}, start_time);
     held.hear({2, 5}, start_time + 10s);
--- a/tests/unit/test_policy_limits.cpp
+++ b/tests/unit/test_policy_limits.cpp
@@ -1,4 +1,4 @@
-// Limits per workspace, the retry budget and quarantine marks.
+// Tests of workspace_limits, retry_budget and quarantine.
 #include "policy/quarantine.hpp"
 #include "policy/retry_budget.hpp"
 #include "policy/workspace_limits.hpp"
@@ -15,7 +15,8 @@
 
 } // namespace
 
-TEST_CASE("a workspace's request rate is divided over the live entries", "[policy][workspace_limits]") {
+TEST_CASE("a workspace's request rate is divided among the live entry processes",
+          "[policy][workspace_limits]") {
     workspace_limits limits;
     limits.set_live_entries(2, start_time);
     limits.set_limit("archive", {.requests_per_second = 20, .request_burst = 20}, start_time);
@@ -46,7 +47,7 @@
     CHECK_FALSE(limits.try_begin("archive", 1, start_time));
 }
 
-TEST_CASE("an entry's share of a concurrency limit is never nothing", "[policy][workspace_limits]") {
+TEST_CASE("an entry process's share of a concurrency limit is at least one", "[policy][workspace_limits]") {
     workspace_limits limits;
     limits.set_live_entries(5, start_time);
     limits.set_limit("archive", {.concurrent_requests = 2}, start_time);
@@ -54,7 +55,7 @@
     CHECK(limits.try_begin("archive", 1, start_time));
 }
 
-TEST_CASE("tokens are charged as used, not as estimated", "[policy][workspace_limits]") {
+TEST_CASE("a finished request is charged for the tokens that it used", "[policy][workspace_limits]") {
     workspace_limits limits;
     limits.set_limit("archive", {.tokens_per_second = 100}, start_time);
     CHECK_FALSE(limits.try_begin("archive", 1000, start_time));
@@ -72,7 +73,7 @@
     CHECK(limits.try_begin("archive", 1, start_time + 60s)->retry_after > 60s);
 }
 
-TEST_CASE("a new limit keeps what was used", "[policy][workspace_limits]") {
+TEST_CASE("a new limit keeps counting earlier use", "[policy][workspace_limits]") {
     workspace_limits limits;
     limits.set_limit("archive", {.requests_per_second = 10}, start_time);
     for (int index = 0; index < 10; ++index) {
@@ -83,9 +84,9 @@
     CHECK_FALSE(limits.try_begin("archive", 1, start_time + 10ms));
 }
 
-TEST_CASE("retries are bounded as a share of first tries", "[policy][retry_budget]") {
-    // A third of the backend servers dies. Were every failed request placed again without bound, the rest
-    // would be asked for far more than they can do.
+TEST_CASE("retries are limited to a fraction of the first attempts", "[policy][retry_budget]") {
+    // When a third of the backend servers crashes, unlimited retries of all failed requests would overload
+    // the remaining servers.
     retry_budget budget(0.1, 5);
     int retries = 0;
     for (int index = 0; index < 1000; ++index) {
@@ -97,9 +98,9 @@
     CHECK(retries >= 100);
 }
 
-TEST_CASE("a request is quarantined at the second server lost", "[policy][quarantine]") {
-    // A request crashes each server that runs it, and its caller sends it again and again. The workspace's
-    // other requests would lose one server after another.
+TEST_CASE("a request is quarantined after the crash of a second server", "[policy][quarantine]") {
+    // A request crashes each server that runs it, and its caller sends it again and again. Without the
+    // quarantine, it would crash one server after another and break the other requests that run there.
     quarantine marks;
     marks.record_mark(7, "pluma-1", {1, 1}, start_time);
     marks.record_mark(7, "pluma-1", {1, 1}, start_time);
@@ -113,7 +114,7 @@
     CHECK_FALSE(marks.time_left(7, start_time + 2h));
 }
 
-TEST_CASE("an operator's release holds against late copies of the marks", "[policy][quarantine]") {
+TEST_CASE("late copies of marks don't undo an operator's release", "[policy][quarantine]") {
     quarantine marks;
     marks.record_mark(7, "pluma-1", {1, 1}, start_time);
     marks.record_mark(7, "pluma-2", {1, 2}, start_time);
@@ -126,7 +127,7 @@
     CHECK(marks.time_left(7, start_time + 3s));
 }
 
-TEST_CASE("marks are bounded and fade", "[policy][quarantine]") {
+TEST_CASE("marks are bounded in number and expire", "[policy][quarantine]") {
     quarantine marks({.most_fingerprints = 2});
     marks.record_mark(1, "a", {1, 1}, start_time);
     marks.record_mark(2, "a", {1, 2}, start_time + 1s);
--- a/tests/unit/test_policy_offer_queue.cpp
+++ b/tests/unit/test_policy_offer_queue.cpp
@@ -1,4 +1,5 @@
-// The sidecar's queue: order by tier, shares of workspaces, displacement, deadlines, expected wait.
+// Tests of offer_queue, the sidecar's queue: order by tier, fair shares of workspaces, displacement,
+// deadlines and expected wait.
 #include "policy/offer_queue.hpp"
 
 #include <catch2/catch.hpp>
@@ -25,7 +26,7 @@
 
 } // namespace
 
-TEST_CASE("the highest tier is taken first, whatever came before", "[policy][offer_queue]") {
+TEST_CASE("the highest tier is taken first in any order of arrival", "[policy][offer_queue]") {
     offer_queue queue({});
     CHECK(queue.put(make_offer(1, 2, "archive"), start_time).is_queued);
     CHECK(queue.put(make_offer(2, 0, "archive"), start_time).is_queued);
@@ -37,8 +38,8 @@
 }
 
 TEST_CASE("workspaces of one tier share by tokens, not by requests", "[policy][offer_queue]") {
-    // One workspace floods the queue with long requests; another sends a few short ones. Without shares
-    // its crews would wait behind the whole flood.
+    // One workspace fills the queue with long requests while another sends a few short ones. In plain arrival
+    // order the short requests would wait for all the long ones.
     offer_queue queue({});
     std::uint64_t number = 0;
     for (int index = 0; index < 20; ++index) {
@@ -56,7 +57,7 @@
     CHECK(served["small"] == 5000);
 }
 
-TEST_CASE("a workspace gains nothing by letting its line run empty", "[policy][offer_queue]") {
+TEST_CASE("a workspace gains nothing by letting its queue run empty", "[policy][offer_queue]") {
     offer_queue queue({});
     CHECK(queue.put(make_offer(1, 0, "a", 1000), start_time).is_queued);
     CHECK(queue.put(make_offer(2, 0, "b", 100), start_time).is_queued);
@@ -69,8 +70,8 @@
 }
 
 TEST_CASE("offers that can still meet their target go before those that can't", "[policy][offer_queue]") {
-    // A burst makes the queue longer than the first-token target. In the order of arrival every request
-    // after the burst would be late as well, for as long as the load stays near the capacity.
+    // A burst makes the queue longer than the first-token target. In plain arrival order, every request after
+    // the burst would miss its target too, for as long as the load stays near the capacity.
     offer_queue queue({});
     auto late = make_offer(1, 1, "a");
     late.target_start = start_time + 100ms;
@@ -87,7 +88,8 @@
     CHECK(queue.take_next(start_time + 500ms)->dispatch == dispatch_id{1, 3});
 }
 
-TEST_CASE("an offer that was taken but not started gives its turn back", "[policy][offer_queue]") {
+TEST_CASE("an offer that was taken but not started doesn't cost its workspace a turn",
+          "[policy][offer_queue]") {
     offer_queue queue({});
     CHECK(queue.put(make_offer(1, 0, "a", 1000), start_time).is_queued);
     CHECK(queue.put(make_offer(2, 0, "a", 100), start_time).is_queued);
@@ -98,9 +100,10 @@
     CHECK(queue.next(start_time)->workspace == "a");
 }
 
-TEST_CASE("a full queue lets a higher tier push out the lowest", "[policy][offer_queue]") {
-    // A burst of low-tier work fills the queue just before a site clearance is asked for. The clearance
-    // must get in; the low-tier request is told that it didn't run.
+TEST_CASE("in a full queue an offer of a higher tier displaces one of the lowest tier",
+          "[policy][offer_queue]") {
+    // A burst of low-tier requests fills the queue just before an urgent request arrives. The urgent request
+    // must be queued, and the caller of the displaced request is told that it didn't run.
     offer_queue queue({.requests = 3});
     CHECK(queue.put(make_offer(1, 1, "a"), start_time).is_queued);
     CHECK(queue.put(make_offer(2, 3, "a"), start_time).is_queued);
@@ -112,7 +115,7 @@
     CHECK(queue.requests() == 3);
 }
 
-TEST_CASE("a full queue refuses a tier that may push nobody out", "[policy][offer_queue]") {
+TEST_CASE("a full queue refuses an offer that may not displace another", "[policy][offer_queue]") {
     offer_queue queue({.requests = 2});
     CHECK(queue.put(make_offer(1, 0, "a"), start_time).is_queued);
     CHECK(queue.put(make_offer(2, 1, "a"), start_time).is_queued);
@@ -122,7 +125,7 @@
     CHECK(queue.requests() == 2);
 }
 
-TEST_CASE("a full queue makes room for a workspace with less waiting", "[policy][offer_queue]") {
+TEST_CASE("a full queue makes room for a workspace with fewer waiting tokens", "[policy][offer_queue]") {
     offer_queue queue({.requests = 4});
     for (std::uint64_t number = 1; number <= 4; ++number) {
         CHECK(queue.put(make_offer(number, 1, "large"), start_time).is_queued);
@@ -133,7 +136,7 @@
     CHECK_FALSE(queue.put(make_offer(6, 1, "large"), start_time).is_queued);
 }
 
-TEST_CASE("the bound in tokens displaces as many as are needed, or none", "[policy][offer_queue]") {
+TEST_CASE("the token bound displaces as many offers as needed, or none", "[policy][offer_queue]") {
     offer_queue queue({.requests = 10, .tokens = 1000});
     CHECK(queue.put(make_offer(1, 2, "a", 400), start_time).is_queued);
     CHECK(queue.put(make_offer(2, 2, "a", 400), start_time).is_queued);
@@ -147,7 +150,7 @@
     CHECK(queue.tokens() == 900);
 }
 
-TEST_CASE("a withdrawn offer leaves the queue", "[policy][offer_queue]") {
+TEST_CASE("a withdrawn offer is removed from the queue", "[policy][offer_queue]") {
     offer_queue queue({});
     CHECK(queue.put(make_offer(1, 0, "a"), start_time).is_queued);
     CHECK(queue.remove({1, 1}, start_time));
@@ -156,9 +159,9 @@
     CHECK(queue.tokens() == 0);
 }
 
-TEST_CASE("offers that can't meet their deadline are handed back", "[policy][offer_queue]") {
-    // The queue drains slower than the caller can wait. Holding the offer on would only tell the caller
-    // later what is certain now.
+TEST_CASE("offers that can't meet their deadline are removed", "[policy][offer_queue]") {
+    // The queue drains too slowly for the caller's deadline. Keeping the offer would only delay an answer
+    // that is already certain.
     offer_queue queue({});
     auto offer = make_offer(1, 0, "a");
     offer.latest_start = start_time + 500ms;
@@ -189,7 +192,7 @@
     CHECK(to_seconds(*queue.expected_wait(3)) == Approx(3.0).epsilon(0.1));
 }
 
-TEST_CASE("idle time doesn't count as slowness", "[policy][offer_queue]") {
+TEST_CASE("idle time doesn't lower the drain rate", "[policy][offer_queue]") {
     offer_queue queue({});
     auto now = start_time;
     for (std::uint64_t number = 0; number < 10; ++number) {
--- a/tests/unit/test_policy_placement.cpp
+++ b/tests/unit/test_policy_placement.cpp
@@ -1,4 +1,4 @@
-// Where requests are offered, by each policy.
+// Tests of the placement policies round_robin, power_of_two and late_binding, and of find_placement_policy().
 #include "policy/placement.hpp"
 #include "policy/rendezvous.hpp"
 
@@ -43,7 +43,7 @@
 
 } // namespace
 
-TEST_CASE("policies are found by name", "[policy][placement]") {
+TEST_CASE("placement policies are found by name", "[policy][placement]") {
     CHECK(std::holds_alternative<late_binding>(find_placement_policy("late_binding").value()));
     CHECK(std::holds_alternative<power_of_two>(find_placement_policy("power_of_two").value()));
     CHECK(std::holds_alternative<round_robin>(find_placement_policy("round_robin").value()));
@@ -67,7 +67,8 @@
     }
 }
 
-TEST_CASE("power of two takes the less loaded, counting one's own since the report", "[policy][placement]") {
+TEST_CASE("power of two chooses the less loaded candidate, counting own requests since the report",
+          "[policy][placement]") {
     auto candidates = make_candidates(2);
     candidates[0].load->running_sequences = 3;
     candidates[1].own_requests_since = 4;
@@ -78,7 +79,7 @@
     }
 }
 
-TEST_CASE("late binding asks the same two homes for one prefix, one after the other, then all others",
+TEST_CASE("late binding offers a prefix to its two homes one after the other, then to all other servers",
           "[policy][placement]") {
     const auto candidates = make_candidates(12);
     auto request = make_request(42);
@@ -98,7 +99,7 @@
     CHECK(std::ranges::is_sorted(first.offers, {}, &planned_offer::after));
 }
 
-TEST_CASE("prefixes spread over backend servers by their measured capacity", "[policy][placement]") {
+TEST_CASE("prefixes are spread over backend servers by their measured prefill rate", "[policy][placement]") {
     auto candidates = make_candidates(4);
     candidates[0].load->prefill_tokens_per_second = 8000;
     std::map<std::size_t, int> won;
@@ -110,8 +111,8 @@
 }
 
 TEST_CASE("a lost backend server moves only its own prefixes", "[policy][placement]") {
-    // A backend server dies. If the other prefixes moved too, every chapter would be prefilled again just
-    // when there is less to prefill with.
+    // When a backend server crashes, the prefixes of the other servers must keep their homes. Otherwise every
+    // chapter would be prefilled again just when there is less prefill capacity.
     const auto candidates = make_candidates(10);
     const auto left = std::span(candidates).first(9);
     for (std::uint64_t key = 0; key < 500; ++key) {
@@ -124,7 +125,7 @@
     }
 }
 
-TEST_CASE("a home that is too busy is left", "[policy][placement]") {
+TEST_CASE("a home that is too busy is skipped", "[policy][placement]") {
     auto candidates = make_candidates(6);
     const auto request = make_request(7);
     const auto home = plan_placement(late_binding{}, request, candidates).offers.front().candidate;
@@ -136,7 +137,8 @@
     CHECK(is_asked_at_once(plan_placement(late_binding{}, request, candidates), home));
 }
 
-TEST_CASE("the holder of a cached prefix is asked before a home without it", "[policy][placement]") {
+TEST_CASE("a server that has the prefix cached is offered the request before a home that hasn't",
+          "[policy][placement]") {
     auto candidates = make_candidates(6);
     const auto request = make_request(7);
     const auto last = plan_placement(late_binding{}, request, candidates).offers.back().candidate;
@@ -158,7 +160,7 @@
     }
 }
 
-TEST_CASE("another region is asked after all of one's own", "[policy][placement]") {
+TEST_CASE("servers of another region come after all servers of the request's region", "[policy][placement]") {
     auto candidates = make_candidates(6);
     candidates[0].region = "tw-north";
     candidates[1].region = "tw-north";
@@ -170,7 +172,7 @@
     }
 }
 
-TEST_CASE("one's own failure domain goes first among equals", "[policy][placement]") {
+TEST_CASE("among equal servers those of the request's failure domain come first", "[policy][placement]") {
     auto candidates = make_candidates(4);
     candidates[0].failure_domain = "sala-b";
     candidates[1].failure_domain = "sala-c";
--- a/tests/unit/test_policy_prefix_index.cpp
+++ b/tests/unit/test_policy_prefix_index.cpp
@@ -1,4 +1,5 @@
-// What is believed of the engines' caches, from one's own starts and from late events with gaps.
+// Tests of prefix_index: which servers count as holding a prefix, after started requests and after cache
+// events that arrive late or are lost.
 #include "policy/prefix_index.hpp"
 
 #include <catch2/catch.hpp>
@@ -14,7 +15,7 @@
 constexpr std::uint64_t server_a = 11;
 constexpr std::uint64_t server_b = 22;
 
-/// A prompt of a preamble, a chapter and a task, each filling whole blocks.
+/// Block hashes of a prompt that consists of a preamble, a chapter and a task, each filling complete blocks.
 std::vector<std::uint64_t> hash_prompt(char preamble, int chapter, char task) {
     std::string text(2 * prefix_block_bytes, preamble);
     std::string chapter_text = "chapter " + std::to_string(chapter);
@@ -24,7 +25,7 @@
 
 } // namespace
 
-TEST_CASE("block hashes are chained and leave out a last short block", "[policy][prefix_index]") {
+TEST_CASE("block hashes are chained and omit an incomplete last block", "[policy][prefix_index]") {
     const std::string text(3 * prefix_block_bytes + 10, 'x');
     const auto hashes = hash_prefix_blocks(text);
     REQUIRE(hashes.size() == 3);
@@ -33,7 +34,7 @@
     CHECK(hash_prefix_blocks("short").empty());
 }
 
-TEST_CASE("a server that ran a prompt is believed to hold what another shares with it",
+TEST_CASE("a server that ran a prompt counts as holding the prefix that another prompt shares with it",
           "[policy][prefix_index]") {
     prefix_index index;
     index.record_start(hash_prompt('p', 1, 's'), server_a, start_time);
@@ -44,7 +45,7 @@
     CHECK(index.find_holders(hash_prompt('q', 1, 's'), start_time).empty());
 }
 
-TEST_CASE("an eviction ends the belief, also in the middle of a prefix", "[policy][prefix_index]") {
+TEST_CASE("an evicted block ends the cached prefix, also in its middle", "[policy][prefix_index]") {
     prefix_index index;
     const auto hashes = hash_prompt('p', 1, 's');
     index.record_start(hashes, server_a, start_time);
@@ -58,7 +59,7 @@
     CHECK(index.find_holders(hashes, start_time)[1].tokens == 6 * prefix_block_tokens);
 }
 
-TEST_CASE("what a sidecar says of a prompt replaces what was believed", "[policy][prefix_index]") {
+TEST_CASE("a sidecar's report about a prompt replaces earlier entries", "[policy][prefix_index]") {
     prefix_index index;
     const auto hashes = hash_prompt('p', 1, 's');
     index.record_start(hashes, server_a, start_time);
@@ -70,9 +71,9 @@
     CHECK(index.find_holders(hashes, start_time).front().tokens == 6 * prefix_block_tokens);
 }
 
-TEST_CASE("after a gap in the events old beliefs fade sooner", "[policy][prefix_index]") {
-    // The engine evicted a prefix and the event was lost. Without doubt the prompt would be sent to the
-    // wrong home for minutes, to be prefilled again there.
+TEST_CASE("entries expire sooner after a gap in the cache events", "[policy][prefix_index]") {
+    // The engine evicted a prefix and the event was lost. If the entry kept its full lifetime, prompts would
+    // be sent to this server for minutes and be prefilled again there.
     prefix_index index;
     const auto hashes = hash_prompt('p', 1, 's');
     index.record_start(hashes, server_a, start_time);
@@ -83,7 +84,7 @@
     CHECK(index.find_holders(hashes, start_time + 90s).size() == 1);
 }
 
-TEST_CASE("a restarted engine is believed to hold nothing", "[policy][prefix_index]") {
+TEST_CASE("a restarted engine counts as having an empty cache", "[policy][prefix_index]") {
     prefix_index index;
     const auto hashes = hash_prompt('p', 1, 's');
     index.record_start(hashes, server_a, start_time);
@@ -105,9 +106,9 @@
     CHECK(index.blocks() <= 10);
 }
 
-TEST_CASE("homes are named by the first block after a shared preamble", "[policy][prefix_index]") {
-    // All requests of a workspace begin with the same instructions. Were homes named by these, one pair of
-    // backend servers would get all of its work.
+TEST_CASE("homes are identified by the first block after a shared preamble", "[policy][prefix_index]") {
+    // All requests of a workspace begin with the same instructions. If these identified the homes, one pair
+    // of backend servers would receive all requests of the workspace.
     prefix_index index({.home_block = 1});
     for (int chapter = 0; chapter < 30; ++chapter) {
         index.record_start(hash_prompt('p', chapter, 's'), server_a, start_time);
@@ -121,7 +122,7 @@
     CHECK_FALSE(index.home_key({}).has_value());
 }
 
-TEST_CASE("entries that have learned nothing agree on homes", "[policy][prefix_index]") {
+TEST_CASE("entry processes with a new index choose the same homes as others", "[policy][prefix_index]") {
     const prefix_index fresh;
     prefix_index used;
     for (int chapter = 0; chapter < 30; ++chapter) {
--- a/tests/unit/test_policy_registration_watch.cpp
+++ b/tests/unit/test_policy_registration_watch.cpp
@@ -1,4 +1,4 @@
-// Whose outage it was: of the store, or of this process alone.
+// Tests of registration_watch and confirmation: whether an outage affected the store or only this process.
 #include "policy/confirmation.hpp"
 #include "policy/registration_watch.hpp"
 
@@ -14,7 +14,7 @@
 
 const time_point start_time = time_point{} + 1h;
 
-/// A process that nobody answered for three seconds.
+/// A process that had no connection to the store or to any other process for three seconds.
 registration_watch make_cut_off() {
     registration_watch watch;
     for (const auto noted : {1s, 2s, 3s}) {
@@ -25,9 +25,11 @@
 
 } // namespace
 
-TEST_CASE("an outage of this process alone is known as its own when others are heard again",
-          "[policy][registration_watch]") {
-    // Guards against requests to servers that left while this process was cut off from everybody.
+TEST_CASE(
+    "an outage that affected only this process is recognised when messages of other processes arrive again",
+    "[policy][registration_watch]") {
+    // Guards against sending requests to servers that shut down while this process was disconnected from all
+    // others.
     auto watch = make_cut_off();
     CHECK_FALSE(watch.is_gone("left meanwhile", start_time + 3s));
     watch.note_other_in_touch(start_time + 3200ms, 10s);
@@ -35,8 +37,9 @@
     CHECK(watch.is_gone("left afterwards", start_time + 3300ms));
 }
 
-TEST_CASE("an outage that the others met as well stays the store's", "[policy][registration_watch]") {
-    // Guards against giving up all servers whose registrations expired while the store was away.
+TEST_CASE("an outage that other processes noticed too counts as an outage of the store",
+          "[policy][registration_watch]") {
+    // Guards against removing all servers whose registrations expired while the store was unavailable.
     auto watch = make_cut_off();
     CHECK_FALSE(watch.is_gone("expired", start_time + 3s));
     watch.note_other_in_touch(start_time + 3200ms, 200ms);
@@ -44,15 +47,15 @@
     CHECK_FALSE(watch.is_gone("expired too", start_time + 3300ms));
 }
 
-TEST_CASE("what another process said before the outage was over doesn't count for it",
+TEST_CASE("a message sent before the end of an outage doesn't end its retention",
           "[policy][registration_watch]") {
-    // Guards against messages that lay unread while the store went away.
+    // Guards against messages that were sent before the store became unavailable and are read only later.
     auto watch = make_cut_off();
     watch.note_other_in_touch(start_time + 3010ms, 10s);
     CHECK_FALSE(watch.is_gone("expired", start_time + 3100ms));
 }
 
-TEST_CASE("an outage of the store isn't disowned for a later one of this process",
+TEST_CASE("a later outage of this process alone doesn't end the retention for an outage of the store",
           "[policy][registration_watch]") {
     auto watch = make_cut_off();
     CHECK_FALSE(watch.is_gone("expired", start_time + 3s));
@@ -62,14 +65,14 @@
     CHECK_FALSE(watch.is_gone("expired too", start_time + 4300ms));
 }
 
-TEST_CASE("a store that failed or was silent counts as there from its next answer on",
+TEST_CASE("the time without interruption starts again with the next answer after a failure or a gap",
           "[policy][confirmation]") {
-    // Guards against telling others of an unbroken view that has a gap.
+    // Guards against announcing an uninterrupted connection to the store that did have an interruption.
     constexpr duration longest_gap = 2s;
     confirmation held(start_time, longest_gap);
     held.note_answer({1, 1000}, start_time + 1s);
     CHECK(held.unbroken(start_time + 2s) == 2s);
-    CHECK(held.unbroken(start_time + 4s) == 0s); // overdue
+    CHECK(held.unbroken(start_time + 4s) == 0s); // the next confirmation is overdue
     held.hear({1, 5000}, start_time + 5s);
     CHECK(held.unbroken(start_time + 6s) == 1s);
     held.note_failure(start_time + 6500ms);
