--- a/tests/unit/test_policy_follower_duty.cpp
+++ b/tests/unit/test_policy_follower_duty.cpp
@@ -19,7 +19,7 @@
 
 } // namespace
 
-TEST_CASE("of hundreds of gateways only some poll the store", "[policy][follower_duty]") {
+TEST_CASE("of hundreds of gateways some ask the store", "[policy][follower_duty]") {
     // If every gateway polled the store, each change of a server would cost one call per gateway, and an
     // outage several calls per second from each.
     constexpr member_key members = 300;
@@ -51,8 +51,7 @@
     CHECK(choice.choose(false, 13, start_time) == follower_duty::rely);
 }
 
-TEST_CASE("a gateway polls the store itself when no announcements of a polling gateway arrive",
-          "[policy][follower_duty]") {
+TEST_CASE("a gateway asks the store itself once nobody is heard whom it answers", "[policy][follower_duty]") {
     // The polling gateways may be disconnected, or the store may refuse only them. Gateways that rely on them
     // would then never learn that a server has shut down.
     constexpr std::size_t members = 300;
--- a/tests/unit/test_policy_registration_watch.cpp
+++ b/tests/unit/test_policy_registration_watch.cpp
@@ -25,9 +25,8 @@
 
 } // namespace
 
-TEST_CASE(
-    "an outage that affected only this process is recognised when messages of other processes arrive again",
-    "[policy][registration_watch]") {
+TEST_CASE("an outage of this process alone is known as its own when others are heard again",
+          "[policy][registration_watch]") {
     // Guards against sending requests to servers that shut down while this process was disconnected from all
     // others.
     auto watch = make_cut_off();
@@ -37,8 +36,7 @@
     CHECK(watch.is_gone("left afterwards", start_time + 3300ms));
 }
 
-TEST_CASE("an outage that other processes noticed too counts as an outage of the store",
-          "[policy][registration_watch]") {
+TEST_CASE("an outage that the others met as well stays the store's", "[policy][registration_watch]") {
     // Guards against removing all servers whose registrations expired while the store was unavailable.
     auto watch = make_cut_off();
     CHECK_FALSE(watch.is_gone("expired", start_time + 3s));
