--- a/src/policy/allowance_book.hpp
+++ b/src/policy/allowance_book.hpp
@@ -61,12 +61,12 @@
         allowance limit;
         token_bucket bucket;
         /// Units that the bucket has been given as its initial level, at the largest share so far.
-        double first_level = 0;
+        double initial_level = 0;
     };
 
-    [[nodiscard]] double first_level(const allowance& limit) const;
-    void add_to_first_level(entry& to, time_point now) const;
-    [[nodiscard]] double left_to_higher(const entry& of, double units, int rank) const;
+    [[nodiscard]] double initial_level(const allowance& limit) const;
+    void raise_to_initial_level(entry& to, time_point now) const;
+    [[nodiscard]] double reserved_for_higher_ranks(const entry& of, double units, int rank) const;
     [[nodiscard]] double shared_rate(const allowance& limit) const;
     [[nodiscard]] double shared_burst(const allowance& limit) const;
 
