--- a/src/policy/attempt_rule.hpp
+++ b/src/policy/attempt_rule.hpp
@@ -26,47 +26,47 @@
 
     /// Records an attempt that has failed.
     void record(server_key server, try_outcome outcome) noexcept {
-        ++m_tries;
+        ++m_attempts;
         m_arrivals += outcome == try_outcome::unreachable ? 0 : 1;
-        m_runs += outcome == try_outcome::may_have_run ? 1 : 0;
-        std::ranges::rotate(m_avoided, m_avoided.end() - 1);
-        m_avoided.front() = server;
+        m_possible_runs += outcome == try_outcome::may_have_run ? 1 : 0;
+        std::ranges::rotate(m_failed_servers, m_failed_servers.end() - 1);
+        m_failed_servers.front() = server;
     }
 
     /// Whether another attempt is allowed. A request that certainly hasn't run may be sent again. One that
     /// may have run is sent again only if it is repeatable and has run on fewer servers than allowed.
     [[nodiscard]] bool may_try_again() const noexcept {
-        if (m_tries >= most_tries) {
+        if (m_attempts >= max_attempts) {
             return false;
         }
-        return m_runs == 0 || (m_is_repeatable && m_runs < m_allowed_runs);
+        return m_possible_runs == 0 || (m_is_repeatable && m_possible_runs < m_allowed_runs);
     }
 
     /// Whether some server may have run the request.
-    [[nodiscard]] bool may_have_run() const noexcept { return m_runs > 0; }
+    [[nodiscard]] bool may_have_run() const noexcept { return m_possible_runs > 0; }
     /// Attempts in which the request reached a server. Each one after the first counts against the retry
     /// budget.
     [[nodiscard]] unsigned arrivals() const noexcept { return m_arrivals; }
     /// All attempts, including those that reached no server.
-    [[nodiscard]] unsigned tries() const noexcept { return m_tries; }
+    [[nodiscard]] unsigned tries() const noexcept { return m_attempts; }
     /// Attempts in which the request may have run.
-    [[nodiscard]] unsigned runs() const noexcept { return m_runs; }
+    [[nodiscard]] unsigned runs() const noexcept { return m_possible_runs; }
     /// Servers of the last failed attempts, most recent first; 0 in unused places.
     [[nodiscard]] const std::array<server_key, slot_request::most_avoided>& avoided() const noexcept {
-        return m_avoided;
+        return m_failed_servers;
     }
 
 private:
     /// Every attempt costs time. After this many, reporting the failure serves the caller better than another
     /// attempt.
-    static constexpr unsigned most_tries = 5;
+    static constexpr unsigned max_attempts = 5;
 
     bool m_is_repeatable;
     unsigned m_allowed_runs;
-    unsigned m_tries = 0;
+    unsigned m_attempts = 0;
     unsigned m_arrivals = 0;
-    unsigned m_runs = 0;
-    std::array<server_key, slot_request::most_avoided> m_avoided{};
+    unsigned m_possible_runs = 0;
+    std::array<server_key, slot_request::most_avoided> m_failed_servers{};
 };
 
 } // namespace borageford::policy
