--- a/src/policy/confirmation.hpp
+++ b/src/policy/confirmation.hpp
@@ -31,24 +31,24 @@
     /// `longest_gap`: after this long without a confirmation it is unknown whether the store was available in
     /// between, so the span that unbroken() returns starts anew.
     explicit confirmation(time_point now, duration longest_gap = duration::max()) noexcept
-        : m_longest_gap(longest_gap), m_noted(now), m_unbroken_since(now) {}
+        : m_longest_gap(longest_gap), m_confirmed_at(now), m_uninterrupted_since(now) {}
 
     /// The store has answered a poll of this gateway.
     void note_answer(store_moment answered, time_point now) noexcept {
         if (age(now) > m_longest_gap) {
-            m_unbroken_since = now;
+            m_uninterrupted_since = now;
         }
-        m_answered = std::max(m_answered, answered);
-        m_noted = now;
+        m_last_confirmation = std::max(m_last_confirmation, answered);
+        m_confirmed_at = now;
     }
 
     /// The store refused a poll, couldn't be reached or was restored from an older copy.
-    void note_failure(time_point now) noexcept { m_unbroken_since = now; }
+    void note_failure(time_point now) noexcept { m_uninterrupted_since = now; }
 
     /// Another gateway with the same version has announced a confirmation. It is ignored unless it is newer
     /// than the last one known here.
     void hear(store_moment answered, time_point now) noexcept {
-        if (answered.milliseconds > 0 && answered > m_answered) {
+        if (answered.milliseconds > 0 && answered > m_last_confirmation) {
             note_answer(answered, now);
         }
     }
@@ -56,26 +56,26 @@
     /// The confirmation to announce to other gateways: the last one while it is recent, and a zero
     /// `store_moment` afterwards. A heartbeat that carries a confirmation is larger by a quarter.
     [[nodiscard]] store_moment news(time_point now) const noexcept {
-        return age(now) <= news_life ? m_answered : store_moment{};
+        return age(now) <= announcement_lifetime ? m_last_confirmation : store_moment{};
     }
     /// Time since the last confirmation was recorded here, or since the start if there was none.
-    [[nodiscard]] duration age(time_point now) const noexcept { return now - m_noted; }
+    [[nodiscard]] duration age(time_point now) const noexcept { return now - m_confirmed_at; }
     /// When the last confirmation was recorded here, or the start if there was none.
-    [[nodiscard]] time_point noted_at() const noexcept { return m_noted; }
+    [[nodiscard]] time_point noted_at() const noexcept { return m_confirmed_at; }
     /// How long confirmations have arrived without a failure or a gap longer than `longest_gap`; zero while
     /// the next confirmation is overdue.
     [[nodiscard]] duration unbroken(time_point now) const noexcept {
-        return age(now) <= m_longest_gap ? now - m_unbroken_since : duration::zero();
+        return age(now) <= m_longest_gap ? now - m_uninterrupted_since : duration::zero();
     }
 
 private:
     /// Covers several heartbeats, so that the confirmation still arrives when one heartbeat is lost.
-    static constexpr std::chrono::milliseconds news_life{300};
+    static constexpr std::chrono::milliseconds announcement_lifetime{300};
 
     duration m_longest_gap;
-    store_moment m_answered;
-    time_point m_noted;
-    time_point m_unbroken_since;
+    store_moment m_last_confirmation;
+    time_point m_confirmed_at;
+    time_point m_uninterrupted_since;
 };
 
 } // namespace borageford::policy
