--- a/src/policy/coordinator_election.cpp
+++ b/src/policy/coordinator_election.cpp
@@ -14,7 +14,7 @@
 constexpr std::chrono::milliseconds longest_tick_gap{200};
 
 /// Processor share assumed for a member that hasn't reported its share yet; larger than any real one.
-constexpr double share_before_all = 1e6;
+constexpr double unreported_share = 1e6;
 
 long to_thousandths(double share) {
     return std::lround(share * 1000);
@@ -58,7 +58,7 @@
     }
     // The member comes first in the order until it reports its share, so that it soon receives a heartbeat.
     auto& entry = entry_of(member);
-    set_share(entry, share_before_all);
+    set_share(entry, unreported_share);
     entry.learned = now;
     return true;
 }
@@ -68,15 +68,15 @@
     m_order.clear();
 }
 
-void coordinator_election::hear(member_key member, const member_claim& claim, time_point now) {
+void coordinator_election::hear(member_key member, const member_status& status, time_point now) {
     if (member == m_self) {
         return;
     }
     auto& entry = entry_of(member);
-    set_share(entry, claim.processor_share);
-    entry.claim = claim;
-    entry.heard = now;
-    entry.was_heard = true;
+    set_share(entry, status.processor_share);
+    entry.status = status;
+    entry.last_heartbeat = now;
+    entry.has_sent_heartbeat = true;
 }
 
 void coordinator_election::tick(time_point now) {
@@ -86,8 +86,8 @@
     m_last_tick = now;
     const auto forgotten = std::erase_if(m_members, [&](const auto& entry) {
         const auto& [key, known] = entry;
-        const auto last_sign = known.was_heard ? known.heard : known.learned.value_or(now);
-        return known.learned.has_value() && now - last_sign > m_limits.rumour_life;
+        const auto last_sign = known.has_sent_heartbeat ? known.last_heartbeat : known.learned.value_or(now);
+        return known.learned.has_value() && now - last_sign > m_limits.learned_member_timeout;
     });
     if (forgotten > 0) {
         m_order.clear();
@@ -95,25 +95,25 @@
 }
 
 bool coordinator_election::is_eligible(time_point now) const {
-    return !m_is_leaving && now - m_probation_begin >= m_limits.probation;
+    return !m_is_shutting_down && now - m_probation_begin >= m_limits.probation;
 }
 
-bool coordinator_election::is_heard(member_key member, time_point now) const {
+bool coordinator_election::is_responsive(member_key member, time_point now) const {
     const auto found = m_members.find(member);
-    return found != m_members.end() && found->second.was_heard &&
-           now - found->second.heard <= m_limits.silence;
+    return found != m_members.end() && found->second.has_sent_heartbeat &&
+           now - found->second.last_heartbeat <= m_limits.response_timeout;
 }
 
 bool coordinator_election::is_acting_member(member_key member) const {
     const auto found = m_members.find(member);
-    return found != m_members.end() && found->second.claim.is_acting;
+    return found != m_members.end() && found->second.status.is_acting;
 }
 
 bool coordinator_election::is_absent(const member& entry, time_point now) const {
-    return !entry.was_heard || now - entry.heard > m_limits.absence;
+    return !entry.has_sent_heartbeat || now - entry.last_heartbeat > m_limits.absence_timeout;
 }
 
-const std::vector<coordinator_election::ranked>& coordinator_election::rank() const {
+const std::vector<coordinator_election::ranked>& coordinator_election::ordered_members() const {
     if (m_order.empty()) {
         m_order.push_back({-to_thousandths(m_processor_share), m_self});
         for (const auto& [key, entry] : m_members) {
@@ -125,26 +125,26 @@
 }
 
 coordinator_election::fitness coordinator_election::own_fitness(time_point now) const {
-    if (m_is_leaving) {
+    if (m_is_shutting_down) {
         return fitness::leaving;
     }
-    return is_eligible(now) ? fitness::ready : fitness::fresh;
+    return is_eligible(now) ? fitness::ready : fitness::on_probation;
 }
 
-bool coordinator_election::has_heard_anybody() const {
-    return std::ranges::any_of(m_members, [](const auto& entry) { return entry.second.was_heard; });
+bool coordinator_election::has_received_heartbeat() const {
+    return std::ranges::any_of(m_members, [](const auto& entry) { return entry.second.has_sent_heartbeat; });
 }
 
 coordinator_election::choice coordinator_election::choose(time_point now) const {
-    const bool is_listening =
-        !has_heard_anybody() && !m_members.empty() && now - m_started < m_limits.listening;
-    if (is_listening) {
+    const bool is_waiting_initially =
+        !has_received_heartbeat() && !m_members.empty() && now - m_started < m_limits.initial_wait;
+    if (is_waiting_initially) {
         return {};
     }
     preference best{fitness::leaving, 0, !m_is_acting, m_self};
     bool has_any = false;
     std::size_t seen = 0;
-    for (const auto& [share, key] : rank()) {
+    for (const auto& [share, key] : ordered_members()) {
         if (seen == m_limits.candidates) {
             break; // members after the candidates don't receive everybody's heartbeats
         }
@@ -155,13 +155,13 @@
         ++seen;
         preference found{own_fitness(now), share, !m_is_acting, key};
         if (!is_self) {
-            const auto& claim = m_members.at(key).claim;
-            found.is_idle = !claim.is_acting;
-            found.fit = claim.is_leaving    ? fitness::leaving
-                        : claim.is_eligible ? fitness::ready
-                                            : fitness::fresh;
+            const auto& status = m_members.at(key).status;
+            found.is_idle = !status.is_acting;
+            found.fit = status.is_leaving    ? fitness::leaving
+                        : status.is_eligible ? fitness::ready
+                                             : fitness::on_probation;
         }
-        const bool is_usable = is_self || is_heard(key, now);
+        const bool is_usable = is_self || is_responsive(key, now);
         if (is_usable && (!has_any || found < best)) {
             best = found;
             has_any = true;
@@ -181,7 +181,7 @@
 std::vector<member_key> coordinator_election::candidates(time_point now) const {
     std::vector<member_key> result;
     std::size_t seen = 0;
-    for (const auto& [share, key] : rank()) {
+    for (const auto& [share, key] : ordered_members()) {
         if (seen == m_limits.candidates) {
             break;
         }
@@ -207,7 +207,7 @@
 std::vector<member_key> coordinator_election::absent(time_point now) const {
     std::vector<member_key> result;
     std::size_t present = 0;
-    for (const auto& [share, key] : rank()) {
+    for (const auto& [share, key] : ordered_members()) {
         if (present == m_limits.candidates) {
             break;
         }
--- a/src/policy/coordinator_election.hpp
+++ b/src/policy/coordinator_election.hpp
@@ -17,7 +17,7 @@
 using member_key = std::uint64_t;
 
 /// Status that a member reports about itself in its heartbeats.
-struct member_claim {
+struct member_status {
     double processor_share = 1;
     /// The member coordinates.
     bool is_acting = false;
@@ -31,22 +31,22 @@
 struct election_limits {
     /// A member that has sent no heartbeat for this long can't be chosen. Heartbeats are sent every 50 ms,
     /// and a process that has used up its processor quota may be suspended for up to 100 ms.
-    duration silence = std::chrono::milliseconds(250);
+    duration response_timeout = std::chrono::milliseconds(250);
     /// A process that has just started or was suspended isn't eligible for this long. By then it knows the
     /// other members, and a process that keeps failing doesn't make them change the coordinator again and
     /// again.
     duration probation = std::chrono::milliseconds(2000);
     /// A member that has sent no heartbeat for this long counts as absent: it receives heartbeats rarely, and
     /// another member takes its place among the candidates.
-    duration absence = std::chrono::milliseconds(1000);
+    duration absence_timeout = std::chrono::milliseconds(1000);
     /// A process that has just started waits this long for a first heartbeat before it chooses itself.
     /// Without the wait, each restarted process briefly took over from a coordinator that all other members
     /// knew.
-    duration listening = std::chrono::milliseconds(250);
+    duration initial_wait = std::chrono::milliseconds(250);
     /// A member that was learned from other members and has sent no heartbeat for this long is removed.
     /// Members name only candidates that sent them a heartbeat recently, so a dead member is no longer named
     /// well within this time.
-    duration rumour_life = std::chrono::seconds(30);
+    duration learned_member_timeout = std::chrono::seconds(30);
     /// Number of candidates. All members send heartbeats to the candidates only, so that the number of
     /// heartbeats grows linearly with the number of members and not with its square.
     std::size_t candidates = 3;
@@ -75,7 +75,7 @@
     /// Removes a member.
     void forget(member_key member);
     /// Records a heartbeat of a member.
-    void hear(member_key member, const member_claim& claim, time_point now);
+    void hear(member_key member, const member_status& status, time_point now);
 
     /// Restarts the probation after a suspension, and removes learned members that have timed out. To be
     /// called every 50 ms: a longer gap between two calls means that this process was suspended.
@@ -84,8 +84,8 @@
     /// Sets whether this process acts as coordinator, which it reports to the other members.
     void act(bool is_acting) noexcept { m_is_acting = is_acting; }
     /// Marks this process as about to stop.
-    void leave() noexcept { m_is_leaving = true; }
-    [[nodiscard]] bool is_leaving() const noexcept { return m_is_leaving; }
+    void leave() noexcept { m_is_shutting_down = true; }
+    [[nodiscard]] bool is_leaving() const noexcept { return m_is_shutting_down; }
 
     /// Chooses among the first `election_limits::candidates` members that aren't absent. Returns
     /// `role::nobody` when none of them is responsive, or while this process waits for its first heartbeat.
@@ -109,19 +109,19 @@
 
     /// Number of all known members, including this process.
     [[nodiscard]] std::size_t member_count() const noexcept { return m_members.size() + 1; }
-    /// Whether the member has sent a heartbeat within `election_limits::silence`.
-    [[nodiscard]] bool is_heard(member_key member, time_point now) const;
+    /// Whether the member has sent a heartbeat within `election_limits::response_timeout`.
+    [[nodiscard]] bool is_responsive(member_key member, time_point now) const;
     /// Whether the member reported in its last heartbeat that it coordinates.
     [[nodiscard]] bool is_acting_member(member_key member) const;
 
 private:
     struct member {
         double processor_share = 1;
-        member_claim claim;
-        time_point heard;
-        bool was_heard = false;
+        member_status status;
+        time_point last_heartbeat;
+        bool has_sent_heartbeat = false;
         /// When the member was named by another member; nothing if it was added in another way. Such a member
-        /// is removed after `election_limits::rumour_life` without a heartbeat.
+        /// is removed after `election_limits::learned_member_timeout` without a heartbeat.
         std::optional<time_point> learned;
     };
 
@@ -135,7 +135,7 @@
     /// Suitability as coordinator, best first. A member that is shutting down is still better than none: when
     /// all members are restarted one after another, each may still be finishing a long stream when the last
     /// one is told to stop.
-    enum class fitness : std::uint8_t { ready, fresh, leaving };
+    enum class fitness : std::uint8_t { ready, on_probation, leaving };
     /// Sort key of a candidate in the choice; lower is better. Among equals the acting coordinator is kept,
     /// since each change of the coordinator delays the waiting requests.
     struct preference {
@@ -148,10 +148,10 @@
 
     [[nodiscard]] member& entry_of(member_key key);
     void set_share(member& entry, double processor_share);
-    [[nodiscard]] const std::vector<ranked>& rank() const;
+    [[nodiscard]] const std::vector<ranked>& ordered_members() const;
     [[nodiscard]] bool is_absent(const member& entry, time_point now) const;
     [[nodiscard]] fitness own_fitness(time_point now) const;
-    [[nodiscard]] bool has_heard_anybody() const;
+    [[nodiscard]] bool has_received_heartbeat() const;
 
     member_key m_self;
     double m_processor_share;
@@ -160,7 +160,7 @@
     time_point m_last_tick;
     time_point m_started;
     bool m_is_acting = false;
-    bool m_is_leaving = false;
+    bool m_is_shutting_down = false;
     std::map<member_key, member> m_members; ///< All known members except this process.
     /// All members in the order of candidates; empty when the order must be computed again. A coordinator
     /// uses it for every heartbeat of every member. Sorting it each time took the complete processor share
