--- a/src/policy/cost_estimator.hpp
+++ b/src/policy/cost_estimator.hpp
@@ -26,11 +26,11 @@
 
 /// Running estimates of output lengths and engine rates.
 ///
-/// Invariant: output is estimated for at most `most_keys` pairs of workspace and route. Further pairs are
+/// Invariant: output is estimated for at most `max_keys` pairs of workspace and route. Further pairs are
 /// recorded under one common key, and expected_output() returns `unmeasured` for them.
 class cost_estimator {
 public:
-    static constexpr std::size_t most_keys = 1024;
+    static constexpr std::size_t max_keys = 1024;
 
     /// `memory`: time constant of the output rate; older measurements weigh less than 1/e.
     explicit cost_estimator(duration memory = std::chrono::seconds(30));
@@ -74,7 +74,7 @@
     double m_prefill_tokens = 0;
     double m_prefill_seconds = 0;
     /// End of the time that is already included in `m_prefill_seconds`.
-    time_point m_prefill_counted_to{};
+    time_point m_prefill_counted_until{};
     std::uint64_t m_prefill_samples = 0;
     double m_steady_prefill_rate = 0;
     rate_meter m_output;
--- a/tests/unit/test_policy_cost_estimator.cpp
+++ b/tests/unit/test_policy_cost_estimator.cpp
@@ -31,7 +31,7 @@
 
 TEST_CASE("an unbounded number of workspace names doesn't fill memory", "[policy][cost_estimator]") {
     cost_estimator estimator;
-    for (std::size_t index = 0; index < 2 * cost_estimator::most_keys; ++index) {
+    for (std::size_t index = 0; index < 2 * cost_estimator::max_keys; ++index) {
         const auto name = "workspace-" + std::to_string(index);
         for (int sample = 0; sample < 5; ++sample) {
             estimator.record_output(name, "route", 10);
