--- a/src/policy/crash_suspects.cpp
+++ b/src/policy/crash_suspects.cpp
@@ -13,25 +13,29 @@
 
 /// How long a broken connection is remembered. A crash is detected by the next request to that server, which
 /// arrives within this time under any relevant load.
-constexpr milliseconds cut_lifetime{3000};
-constexpr std::size_t most_cuts = 4096;
-/// More servers than crash within `cut_lifetime`, unless a complete failure domain is lost.
-constexpr std::size_t most_ended = 512;
-constexpr std::size_t servers_before_hold = 2;
+constexpr milliseconds broken_connection_lifetime{3000};
+constexpr std::size_t max_broken_connections = 4096;
+/// More servers than crash within `broken_connection_lifetime`, unless a complete failure domain is lost.
+constexpr std::size_t max_restarts = 512;
+constexpr std::size_t crashes_before_quarantine = 2;
 /// Long enough for an operator to investigate, short enough that an innocent request isn't refused for good.
-constexpr seconds hold_time{60};
+constexpr seconds quarantine_time{60};
 constexpr seconds mark_lifetime{300};
 
 } // namespace
 
-crash_suspects::crash_suspects() : m_quarantine({servers_before_hold, hold_time, mark_lifetime, most_cuts}) {}
+crash_suspects::crash_suspects()
+    : m_quarantine({crashes_before_quarantine, quarantine_time, mark_lifetime, max_broken_connections}) {}
 
 void crash_suspects::forget_old(time_point now) {
-    while (!m_cuts.empty() && (now - m_cuts.front().at > cut_lifetime || m_cuts.size() > most_cuts)) {
-        m_cuts.pop_front();
+    while (!m_broken_connections.empty() &&
+           (now - m_broken_connections.front().at > broken_connection_lifetime ||
+            m_broken_connections.size() > max_broken_connections)) {
+        m_broken_connections.pop_front();
     }
-    while (!m_ended.empty() && (now - m_ended.front().at > cut_lifetime || m_ended.size() > most_ended)) {
-        m_ended.pop_front();
+    while (!m_restarts.empty() &&
+           (now - m_restarts.front().at > broken_connection_lifetime || m_restarts.size() > max_restarts)) {
+        m_restarts.pop_front();
     }
 }
 
@@ -41,8 +45,7 @@
 }
 
 bool crash_suspects::has_restarted(server_key server) const {
-    return std::ranges::any_of(m_ended,
-                               [server](const ended_start& ended) { return ended.server == server; });
+    return std::ranges::any_of(m_restarts, [server](const restart& ended) { return ended.server == server; });
 }
 
 void crash_suspects::note_cut(std::uint64_t fingerprint, server_key server, time_point now) {
@@ -54,22 +57,23 @@
         mark(fingerprint, server, now);
         return;
     }
-    m_cuts.push_back({fingerprint, server, now});
+    m_broken_connections.push_back({fingerprint, server, now});
 }
 
 void crash_suspects::note_gone(server_key server, time_point now) {
     forget_old(now);
-    for (const auto& entry : m_cuts) {
+    for (const auto& entry : m_broken_connections) {
         if (entry.server == server) {
             mark(entry.fingerprint, server, now);
         }
     }
-    std::erase_if(m_cuts, [server](const cut& entry) { return entry.server == server; });
+    std::erase_if(m_broken_connections,
+                  [server](const broken_connection& entry) { return entry.server == server; });
 }
 
 void crash_suspects::note_restart(server_key former, time_point now) {
     note_gone(former, now);
-    m_ended.push_back({former, now});
+    m_restarts.push_back({former, now});
 }
 
 std::optional<duration> crash_suspects::held_for(std::uint64_t fingerprint, time_point now) const {
--- a/src/policy/crash_suspects.hpp
+++ b/src/policy/crash_suspects.hpp
@@ -34,14 +34,14 @@
 
 private:
     /// A connection that broke while a server ran a request.
-    struct cut {
+    struct broken_connection {
         std::uint64_t fingerprint = 0;
         server_key server = 0;
         time_point at;
     };
 
     /// A server that has restarted, by the key of its previous start.
-    struct ended_start {
+    struct restart {
         server_key server = 0;
         time_point at;
     };
@@ -51,8 +51,8 @@
     [[nodiscard]] bool has_restarted(server_key server) const;
 
     quarantine m_quarantine;
-    std::deque<cut> m_cuts;          ///< oldest first
-    std::deque<ended_start> m_ended; ///< oldest first
+    std::deque<broken_connection> m_broken_connections; ///< oldest first
+    std::deque<restart> m_restarts;                     ///< oldest first
 };
 
 } // namespace borageford::policy
