--- a/src/policy/follower_duty.hpp
+++ b/src/policy/follower_duty.hpp
@@ -39,31 +39,32 @@
 public:
     /// `others`: mean number of gateways besides the candidates that poll. `draw`: random number of this
     /// gateway in [0, 1).
-    follower_choice(double others, double draw) noexcept : m_others(others), m_draw(draw) {}
+    follower_choice(double others, double draw) noexcept : m_mean_followers(others), m_draw(draw) {}
 
     /// An announcement arrived from a gateway that polls and that the store answers.
-    void hear_follower(time_point now) noexcept { m_heard = now; }
+    void hear_follower(time_point now) noexcept { m_last_announcement = now; }
 
     /// Returns the role at this time. `is_candidate`: all other gateways send heartbeats to this one.
     /// `members`: number of members that the coordinator counts; 0 when unknown, in which case this gateway
     /// polls.
     [[nodiscard]] follower_duty choose(bool is_candidate, std::size_t members,
                                        time_point now) const noexcept {
-        if (is_candidate || m_draw * static_cast<double>(members) < m_others) {
+        if (is_candidate || m_draw * static_cast<double>(members) < m_mean_followers) {
             return follower_duty::follow;
         }
-        const bool hears_one = m_heard != time_point::min() && now - m_heard <= patience;
-        return hears_one ? follower_duty::rely : follower_duty::stand_by;
+        const bool has_recent_announcement =
+            m_last_announcement != time_point::min() && now - m_last_announcement <= announcement_timeout;
+        return has_recent_announcement ? follower_duty::rely : follower_duty::stand_by;
     }
 
 private:
     /// Timeout of announcements. Each candidate announces several times within it, so losing one candidate
     /// isn't mistaken for losing all.
-    static constexpr std::chrono::milliseconds patience{1000};
+    static constexpr std::chrono::milliseconds announcement_timeout{1000};
 
-    double m_others;
+    double m_mean_followers;
     double m_draw;
-    time_point m_heard = time_point::min();
+    time_point m_last_announcement = time_point::min();
 };
 
 } // namespace borageford::policy
--- a/src/policy/follower_pace.hpp
+++ b/src/policy/follower_pace.hpp
@@ -21,7 +21,7 @@
     /// `change_limit`: time within which every gateway must know of a change. `draw`: random number of this
     /// gateway in [0, 1), which keeps the gateways from polling all at the same moment.
     follower_pace(duration change_limit, double draw) noexcept
-        : m_limit(std::max<duration>(change_limit, shortest_limit)), m_draw(draw) {}
+        : m_change_limit(std::max<duration>(change_limit, min_change_limit)), m_draw(draw) {}
 
     /// How long the store may hold the next poll open. `age`: time since the gateway's copy was last
     /// confirmed.
@@ -30,27 +30,27 @@
             return duration::zero();
         }
         if (duty != follower_duty::confirm) {
-            return longest_wait;
+            return max_wait;
         }
-        return std::clamp<duration>(share(between_confirmations) - age, duration::zero(), longest_wait);
+        return std::clamp<duration>(share(confirmation_interval) - age, duration::zero(), max_wait);
     }
 
     /// Whether the last confirmation is so old that the gateway must poll before it relies on its copy any
     /// longer.
     [[nodiscard]] bool is_stale(follower_duty duty, duration age) const noexcept {
-        const auto others_patience = share(others_least_patience) + drawn_share(others_patience_spread);
-        return age > (duty == follower_duty::confirm ? share(confirming_patience) : others_patience);
+        const auto timeout_of_others = share(min_timeout_of_others) + random_share(timeout_spread_of_others);
+        return age > (duty == follower_duty::confirm ? share(confirmer_timeout) : timeout_of_others);
     }
 
     /// Whether the last confirmation is recent enough for other gateways to rely on it.
     [[nodiscard]] bool is_current(duration age) const noexcept { return age <= longest_gap(); }
 
     /// Longest time between two confirmations for which the store counts as continuously available.
-    [[nodiscard]] duration longest_gap() const noexcept { return share(confirming_patience); }
+    [[nodiscard]] duration longest_gap() const noexcept { return share(confirmer_timeout); }
 
     /// How long to wait for the answer to a poll that the store should answer at once before polling again.
     [[nodiscard]] duration repeat_delay(follower_duty duty) const noexcept {
-        const auto delay = share(least_repeat_delay) + drawn_share(repeat_delay_spread);
+        const auto delay = share(min_repeat_delay) + random_share(repeat_delay_spread);
         return is_relied_on(duty) ? delay : delay * repeat_factor_of_others;
     }
 
@@ -58,19 +58,19 @@
     [[nodiscard]] duration answer_limit(duration wait) const noexcept { return wait + share(answer_slack); }
 
 private:
-    static constexpr std::chrono::milliseconds shortest_limit{500};
+    static constexpr std::chrono::milliseconds min_change_limit{500};
     /// Longest time for which a poll is held open. Longer polls cost fewer calls; the store accepts at most
     /// 30 s.
-    static constexpr std::chrono::seconds longest_wait{20};
+    static constexpr std::chrono::seconds max_wait{20};
 
     // Fractions of the limit, in hundredths.
-    static constexpr int between_confirmations = 50;
-    static constexpr int confirming_patience = 70;
-    /// Longer than `confirming_patience`: the answer to the confirming gateway's poll should arrive at the
+    static constexpr int confirmation_interval = 50;
+    static constexpr int confirmer_timeout = 70;
+    /// Longer than `confirmer_timeout`: the answer to the confirming gateway's poll should arrive at the
     /// other gateways before they poll.
-    static constexpr int others_least_patience = 85;
-    static constexpr int others_patience_spread = 25;
-    static constexpr int least_repeat_delay = 25;
+    static constexpr int min_timeout_of_others = 85;
+    static constexpr int timeout_spread_of_others = 25;
+    static constexpr int min_repeat_delay = 25;
     static constexpr int repeat_delay_spread = 25;
     static constexpr int answer_slack = 20;
 
@@ -78,12 +78,12 @@
     /// poll again more slowly.
     static constexpr int repeat_factor_of_others = 3;
 
-    [[nodiscard]] duration share(int hundredths) const noexcept { return m_limit * hundredths / 100; }
-    [[nodiscard]] duration drawn_share(int hundredths) const noexcept {
+    [[nodiscard]] duration share(int hundredths) const noexcept { return m_change_limit * hundredths / 100; }
+    [[nodiscard]] duration random_share(int hundredths) const noexcept {
         return from_seconds(to_seconds(share(hundredths)) * m_draw);
     }
 
-    duration m_limit;
+    duration m_change_limit;
     double m_draw;
 };
 
