--- a/src/policy/late_binding.cpp
+++ b/src/policy/late_binding.cpp
@@ -11,17 +11,17 @@
 namespace {
 
 /// Load reports older than this are ignored for the expected wait.
-constexpr auto oldest_report = std::chrono::seconds(5);
+constexpr auto max_report_age = std::chrono::seconds(5);
 /// Assumed wait of a server without a recent report; neither attractive nor prohibitive.
 constexpr double unknown_wait_seconds = 0.1;
 /// Assumed prefill rate in tokens per second when no candidate has a measured one.
 constexpr double unmeasured_prefill_rate = 4000;
 /// Added to the expected first-token time of a server in another failure domain of the region; it decides
 /// between otherwise equal servers.
-constexpr double other_domain_seconds = 0.005;
+constexpr double other_domain_penalty_seconds = 0.005;
 /// A server counts as holding the prefix when it has cached at least this fraction of the prompt. A smaller
 /// cached part may be a preamble that all prompts share.
-constexpr double held_share = 0.7;
+constexpr double cached_share = 0.7;
 
 /// A candidate with the values that its rank depends on.
 struct assessed_candidate {
@@ -31,7 +31,7 @@
     double wait_seconds = 0;
     double first_token_seconds = 0;
     double home_score = 0;
-    bool can_be_home = false; ///< in the request's region and not too busy
+    bool is_eligible_home = false; ///< in the request's region and not too busy
     bool holds_prefix = false;
 };
 
@@ -53,7 +53,7 @@
 }
 
 double wait_of(const placement_candidate& candidate) {
-    if (candidate.load && candidate.load->age < oldest_report) {
+    if (candidate.load && candidate.load->age < max_report_age) {
         return to_seconds(candidate.load->expected_wait);
     }
     return unknown_wait_seconds;
@@ -77,11 +77,11 @@
         result.fits_target = prefill_seconds <= prefill_share * to_seconds(request.first_token_target);
         result.wait_seconds = wait_of(candidate);
         result.first_token_seconds =
-            result.wait_seconds + prefill_seconds + (is_own_domain ? 0 : other_domain_seconds);
+            result.wait_seconds + prefill_seconds + (is_own_domain ? 0 : other_domain_penalty_seconds);
         if (request.home_key) {
             result.home_score = rendezvous_score(*request.home_key, candidate.name_hash, rate);
         }
-        result.holds_prefix = cached > 0 && cached >= held_share * request.prompt_tokens;
+        result.holds_prefix = cached > 0 && cached >= cached_share * request.prompt_tokens;
         assessed.push_back(result);
     }
     return assessed;
@@ -90,8 +90,8 @@
 /// Order of preference of homes: eligible ones first, then those fast enough for the target, then those that
 /// hold the prefix, then by rendezvous hashing.
 bool is_better_home(const assessed_candidate& left, const assessed_candidate& right) {
-    if (left.can_be_home != right.can_be_home) {
-        return left.can_be_home;
+    if (left.is_eligible_home != right.is_eligible_home) {
+        return left.is_eligible_home;
     }
     if (left.fits_target != right.fits_target) {
         return left.fits_target;
@@ -117,24 +117,24 @@
     const double busy_wait =
         std::max(to_seconds(settings.busy_wait), settings.busy_factor * least->wait_seconds);
     for (auto& candidate : assessed) {
-        candidate.can_be_home = candidate.is_own_region && candidate.wait_seconds <= busy_wait;
+        candidate.is_eligible_home = candidate.is_own_region && candidate.wait_seconds <= busy_wait;
     }
     std::ranges::sort(assessed, is_better_home);
-    const auto able = std::ranges::count(assessed, true, &assessed_candidate::can_be_home);
-    return std::min(settings.homes, static_cast<std::size_t>(able));
+    const auto eligible_count = std::ranges::count(assessed, true, &assessed_candidate::is_eligible_home);
+    return std::min(settings.homes, static_cast<std::size_t>(eligible_count));
 }
 
-/// Sorts `sampled` random candidates of the request's region to the front and the remaining candidates behind
-/// them, both by expected first-token time.
-void order_others(std::span<assessed_candidate> others, std::size_t sampled, std::uint64_t seed) {
+/// Sorts `sample_size` random candidates of the request's region to the front and the remaining candidates
+/// behind them, both by expected first-token time.
+void order_others(std::span<assessed_candidate> others, std::size_t sample_size, std::uint64_t seed) {
     std::ranges::sort(others, is_better_other);
     const auto own_region = std::ranges::find(others, false, &assessed_candidate::is_own_region);
     const auto own_count = static_cast<std::size_t>(own_region - others.begin());
     random_sequence random(seed);
-    for (std::size_t place = 0; place < std::min(sampled, own_count); ++place) {
+    for (std::size_t place = 0; place < std::min(sample_size, own_count); ++place) {
         std::swap(others[place], others[place + random.below(own_count - place)]);
     }
-    const auto sample_end = std::min(sampled, own_count);
+    const auto sample_end = std::min(sample_size, own_count);
     std::ranges::sort(others.first(sample_end), is_better_other);
     std::ranges::sort(others.subspan(sample_end), is_better_other);
 }
@@ -150,24 +150,24 @@
     auto assessed = assess(request, candidates, m_settings.prefill_share);
     const std::size_t homes = request.home_key ? choose_homes(assessed, m_settings) : 0;
     for (std::size_t place = 0; place < homes; ++place) {
-        plan.offers.push_back({assessed[place].index, place * m_settings.next_home_delay});
+        plan.offers.push_back({assessed[place].index, place * m_settings.further_home_delay});
     }
     const auto others = std::span(assessed).subspan(homes);
-    order_others(others, m_settings.sampled, request.seed);
+    order_others(others, m_settings.sample_size, request.seed);
     duration after = homes > 0 ? m_settings.others_delay : duration{};
     duration pause = 2 * m_settings.others_delay;
-    std::size_t group = m_settings.first_group;
-    std::size_t left_in_group = group;
+    std::size_t group = m_settings.first_group_size;
+    std::size_t remaining_in_group = group;
     std::size_t groups = 1;
     for (const auto& other : others) {
-        if (left_in_group == 0) {
+        if (remaining_in_group == 0) {
             after += pause;
             pause *= 2;
             group *= ++groups > 2 ? 2 : 1;
-            left_in_group = group;
+            remaining_in_group = group;
         }
         plan.offers.push_back({other.index, after});
-        --left_in_group;
+        --remaining_in_group;
     }
     return plan;
 }
--- a/src/policy/late_binding.hpp
+++ b/src/policy/late_binding.hpp
@@ -13,16 +13,16 @@
     std::size_t homes = 2;
     /// Delay of the offer to each further home after the previous one. Offered at the same time, both homes
     /// would grant about equally often, and every prefix would be prefilled on both.
-    duration next_home_delay = std::chrono::milliseconds(80);
+    duration further_home_delay = std::chrono::milliseconds(80);
     /// Delay of the first offers to servers that aren't homes, which are made in groups; the wait before each
     /// further group doubles, and from the third group on the size of the group doubles. With a shorter
     /// delay, any server would grant a waiting request, and its prefix would be prefilled on that server too.
     duration others_delay = std::chrono::milliseconds(250);
     /// Servers in the first group.
-    std::size_t first_group = 2;
+    std::size_t first_group_size = 2;
     /// The first group consists of the best of this many random candidates. If every entry process always
     /// chose the best of all candidates, all of them would choose the same server.
-    std::size_t sampled = 6;
+    std::size_t sample_size = 6;
     /// A home is skipped (bounded load) when its expected wait exceeds both this time and `busy_factor` times
     /// the shortest expected wait of all candidates.
     duration busy_wait = std::chrono::milliseconds(1000);
