--- a/src/policy/limit_controller.hpp
+++ b/src/policy/limit_controller.hpp
@@ -46,7 +46,7 @@
     void set_maximum(double maximum) noexcept;
 
 private:
-    void judge();
+    void evaluate_window();
     void shrink(double measured);
     void grow(double measured);
 
