--- a/src/policy/member_census.cpp
+++ b/src/policy/member_census.cpp
@@ -10,7 +10,7 @@
 
 /// How long the share of an unresponsive member stays reserved: longer than the windows over which the limits
 /// are evaluated (8 s and 10 s).
-constexpr std::chrono::milliseconds reservation{12000};
+constexpr std::chrono::milliseconds share_reservation{12000};
 /// Members that a process assumes when it has never received a count.
 constexpr std::size_t assumed_members = 4;
 
@@ -31,8 +31,8 @@
     // While most members are unresponsive, it may well be this process that is disconnected, so no member is
     // removed from the count.
     if (attached * 2 > count()) {
-        std::erase_if(m_served, [now](const auto& entry) { return now - entry.second > reservation; });
-        m_told = now - m_told_at > reservation ? 0 : m_told;
+        std::erase_if(m_served, [now](const auto& entry) { return now - entry.second > share_reservation; });
+        m_told = now - m_told_at > share_reservation ? 0 : m_told;
     }
     return std::min(1.0, static_cast<double>(attached) / static_cast<double>(count()));
 }
--- a/src/policy/offer_queue.cpp
+++ b/src/policy/offer_queue.cpp
@@ -12,7 +12,7 @@
     // An offer larger than the bound could never be queued, so it counts as exactly the bound.
     offer.tokens = std::clamp<std::uint64_t>(offer.tokens, 1, m_limits.tokens);
     queue_verdict verdict;
-    if (m_places.contains(offer.dispatch)) {
+    if (m_positions.contains(offer.dispatch)) {
         return verdict;
     }
     if (!has_room_for(offer.tokens, 0, 0)) {
@@ -24,45 +24,45 @@
             verdict.displaced.push_back(extract(dispatch));
         }
     }
-    m_drain.record(0, !m_places.empty(), now);
-    auto& lines = m_tiers[offer.tier];
-    auto& line = lines.lines[offer.workspace];
-    if (line.offers.empty()) {
-        line.due = std::max(line.due, lines.virtual_time);
+    m_drain.record(0, !m_positions.empty(), now);
+    auto& queues = m_tiers[offer.tier];
+    auto& queue = queues.queues[offer.workspace];
+    if (queue.offers.empty()) {
+        queue.due_time = std::max(queue.due_time, queues.virtual_time);
     }
-    line.tokens += offer.tokens;
-    lines.tokens += offer.tokens;
-    ++lines.requests;
+    queue.tokens += offer.tokens;
+    queues.tokens += offer.tokens;
+    ++queues.requests;
     m_tokens += offer.tokens;
     offer.queued_at = now;
-    const auto added = line.offers.insert(line.offers.end(), std::move(offer));
-    m_places.emplace(added->dispatch, place{added->tier, added->workspace, added});
+    const auto added = queue.offers.insert(queue.offers.end(), std::move(offer));
+    m_positions.emplace(added->dispatch, queue_position{added->tier, added->workspace, added});
     verdict.is_queued = true;
     return verdict;
 }
 
 const queued_offer* offer_queue::next(time_point now) const {
-    for (const auto& [rank, lines] : m_tiers) {
-        if (lines.requests > 0) {
-            return &choose(due_line(lines)->second, now);
+    for (const auto& [rank, queues] : m_tiers) {
+        if (queues.requests > 0) {
+            return &choose(next_workspace_queue(queues)->second, now);
         }
     }
     return nullptr;
 }
 
 std::optional<queued_offer> offer_queue::take_next(time_point now) {
-    const auto* due = next(now);
-    if (due == nullptr) {
+    const auto* due_time = next(now);
+    if (due_time == nullptr) {
         return std::nullopt;
     }
-    auto& lines = m_tiers.at(due->tier);
-    auto& line = lines.lines.find(due->workspace)->second;
-    lines.virtual_time = line.due;
-    line.due += static_cast<double>(due->tokens);
-    m_drain.record(static_cast<double>(due->tokens), true, now);
-    auto taken = extract(due->dispatch);
-    std::erase_if(lines.lines, [&lines](const auto& entry) {
-        return entry.second.offers.empty() && entry.second.due <= lines.virtual_time;
+    auto& queues = m_tiers.at(due_time->tier);
+    auto& queue = queues.queues.find(due_time->workspace)->second;
+    queues.virtual_time = queue.due_time;
+    queue.due_time += static_cast<double>(due_time->tokens);
+    m_drain.record(static_cast<double>(due_time->tokens), true, now);
+    auto taken = extract(due_time->dispatch);
+    std::erase_if(queues.queues, [&queues](const auto& entry) {
+        return entry.second.offers.empty() && entry.second.due_time <= queues.virtual_time;
     });
     return taken;
 }
@@ -72,17 +72,17 @@
     if (tier == m_tiers.end()) {
         return;
     }
-    const auto line = tier->second.lines.find(offer.workspace);
-    if (line == tier->second.lines.end()) {
+    const auto queue = tier->second.queues.find(offer.workspace);
+    if (queue == tier->second.queues.end()) {
         return;
     }
-    const double without = line->second.due - static_cast<double>(offer.tokens);
-    line->second.due = std::max(without, tier->second.virtual_time);
+    const double without = queue->second.due_time - static_cast<double>(offer.tokens);
+    queue->second.due_time = std::max(without, tier->second.virtual_time);
 }
 
 bool offer_queue::remove(const dispatch_id& dispatch, time_point now) {
-    const auto found = m_places.find(dispatch);
-    if (found == m_places.end()) {
+    const auto found = m_positions.find(dispatch);
+    if (found == m_positions.end()) {
         return false;
     }
     m_drain.record(static_cast<double>(found->second.offer->tokens), true, now);
@@ -92,7 +92,7 @@
 
 std::vector<queued_offer> offer_queue::take_unreachable(time_point now) {
     std::vector<dispatch_id> late;
-    for (const auto& [dispatch, where] : m_places) {
+    for (const auto& [dispatch, where] : m_positions) {
         if (where.offer->latest_start && *where.offer->latest_start < now) {
             late.push_back(dispatch);
         }
@@ -107,9 +107,9 @@
 
 std::vector<queued_offer> offer_queue::take_all() {
     std::vector<queued_offer> taken;
-    taken.reserve(m_places.size());
-    while (!m_places.empty()) {
-        const dispatch_id first = m_places.begin()->first;
+    taken.reserve(m_positions.size());
+    while (!m_positions.empty()) {
+        const dispatch_id first = m_positions.begin()->first;
         taken.push_back(extract(first));
     }
     return taken;
@@ -117,9 +117,9 @@
 
 std::optional<duration> offer_queue::expected_wait(unsigned tier) const {
     std::uint64_t before = 0;
-    for (const auto& [rank, lines] : m_tiers) {
+    for (const auto& [rank, queues] : m_tiers) {
         if (rank <= tier) {
-            before += lines.tokens;
+            before += queues.tokens;
         }
     }
     if (before == 0) {
@@ -132,33 +132,34 @@
     return from_seconds(static_cast<double>(before) / rate);
 }
 
-offer_queue::line_map::const_iterator offer_queue::due_line(const tier_lines& lines) {
-    auto chosen = lines.lines.end();
-    for (auto line = lines.lines.begin(); line != lines.lines.end(); ++line) {
-        if (line->second.offers.empty()) {
+offer_queue::workspace_queue_map::const_iterator
+offer_queue::next_workspace_queue(const tier_queues& queues) {
+    auto chosen = queues.queues.end();
+    for (auto queue = queues.queues.begin(); queue != queues.queues.end(); ++queue) {
+        if (queue->second.offers.empty()) {
             continue;
         }
-        if (chosen == lines.lines.end() || line->second.due < chosen->second.due) {
-            chosen = line;
+        if (chosen == queues.queues.end() || queue->second.due_time < chosen->second.due_time) {
+            chosen = queue;
         }
     }
     return chosen;
 }
 
-const queued_offer& offer_queue::choose(const workspace_line& line, time_point now) {
-    const auto in_time = std::ranges::find_if(line.offers, [now](const queued_offer& offer) {
+const queued_offer& offer_queue::choose(const workspace_queue& queue, time_point now) {
+    const auto in_time = std::ranges::find_if(queue.offers, [now](const queued_offer& offer) {
         return !offer.target_start || *offer.target_start >= now;
     });
-    return in_time == line.offers.end() ? line.offers.front() : *in_time;
+    return in_time == queue.offers.end() ? queue.offers.front() : *in_time;
 }
 
 std::uint64_t offer_queue::waiting_tokens(unsigned tier, std::string_view workspace) const {
-    const auto lines = m_tiers.find(tier);
-    if (lines == m_tiers.end()) {
+    const auto queues = m_tiers.find(tier);
+    if (queues == m_tiers.end()) {
         return 0;
     }
-    const auto line = lines->second.lines.find(workspace);
-    return line == lines->second.lines.end() ? 0 : line->second.tokens;
+    const auto queue = queues->second.queues.find(workspace);
+    return queue == queues->second.queues.end() ? 0 : queue->second.tokens;
 }
 
 /// Chooses the newest offers of the workspaces with the most waiting tokens, lowest tier first, until there
@@ -174,8 +175,8 @@
             std::list<queued_offer>::const_reverse_iterator end;
         };
         std::vector<candidate> candidates;
-        for (const auto& [workspace, line] : tier->second.lines) {
-            candidates.push_back({line.tokens, line.offers.rbegin(), line.offers.rend()});
+        for (const auto& [workspace, queue] : tier->second.queues) {
+            candidates.push_back({queue.tokens, queue.offers.rbegin(), queue.offers.rend()});
         }
         while (!has_room_for(offer.tokens, chosen.size(), freed)) {
             auto heaviest = std::ranges::max_element(candidates, {}, &candidate::left);
@@ -201,21 +202,21 @@
 
 bool offer_queue::has_room_for(std::uint64_t tokens, std::size_t freed_requests,
                                std::uint64_t freed_tokens) const {
-    return m_places.size() - freed_requests < m_limits.requests &&
+    return m_positions.size() - freed_requests < m_limits.requests &&
            m_tokens - freed_tokens + tokens <= m_limits.tokens;
 }
 
 queued_offer offer_queue::extract(const dispatch_id& dispatch) {
-    const auto found = m_places.find(dispatch);
-    auto& lines = m_tiers.at(found->second.tier);
-    auto& line = lines.lines.find(found->second.workspace)->second;
+    const auto found = m_positions.find(dispatch);
+    auto& queues = m_tiers.at(found->second.tier);
+    auto& queue = queues.queues.find(found->second.workspace)->second;
     queued_offer taken = std::move(*found->second.offer);
-    line.offers.erase(found->second.offer);
-    line.tokens -= taken.tokens;
-    lines.tokens -= taken.tokens;
-    --lines.requests;
+    queue.offers.erase(found->second.offer);
+    queue.tokens -= taken.tokens;
+    queues.tokens -= taken.tokens;
+    --queues.requests;
     m_tokens -= taken.tokens;
-    m_places.erase(found);
+    m_positions.erase(found);
     return taken;
 }
 
--- a/src/policy/offer_queue.hpp
+++ b/src/policy/offer_queue.hpp
@@ -18,7 +18,7 @@
 
 namespace borageford::policy {
 
-/// An offer with the values that its place in the queue depends on.
+/// An offer with the values that its queue_position in the queue depends on.
 struct queued_offer {
     dispatch_id dispatch;
     std::string workspace;
@@ -90,45 +90,45 @@
     /// nothing until a rate has been measured.
     [[nodiscard]] std::optional<duration> expected_wait(unsigned tier) const;
 
-    [[nodiscard]] std::size_t requests() const noexcept { return m_places.size(); }
+    [[nodiscard]] std::size_t requests() const noexcept { return m_positions.size(); }
     [[nodiscard]] std::uint64_t tokens() const noexcept { return m_tokens; }
     /// Tokens per second that leave the queue while it isn't empty; 0 until measured.
     [[nodiscard]] double drain_rate() const noexcept { return m_drain.rate(); }
 
 private:
     /// Offers of one workspace and tier, in order of arrival.
-    struct workspace_line {
+    struct workspace_queue {
         std::list<queued_offer> offers;
         std::uint64_t tokens = 0;
-        /// Virtual time at which the next offer of this workspace is due: the tokens served to the workspace,
-        /// but never less than the tier's virtual time.
-        double due = 0;
+        /// Virtual time at which the next offer of this workspace is due_time: the tokens served to the
+        /// workspace, but never less than the tier's virtual time.
+        double due_time = 0;
     };
 
-    /// Start-time fair queueing: the workspace with the earliest due time is served first. A workspace
-    /// without offers is kept only while its due time is later than the tier's virtual time, so that it gains
-    /// nothing by emptying its queue and coming back.
-    struct tier_lines {
-        std::map<std::string, workspace_line, std::less<>> lines;
+    /// Start-time fair queueing: the workspace with the earliest due_time time is served first. A workspace
+    /// without offers is kept only while its due_time time is later than the tier's virtual time, so that it
+    /// gains nothing by emptying its queue and coming back.
+    struct tier_queues {
+        std::map<std::string, workspace_queue, std::less<>> queues;
         double virtual_time = 0;
         std::uint64_t tokens = 0;
         std::size_t requests = 0;
     };
 
     /// Where a queued offer is stored.
-    struct place {
+    struct queue_position {
         unsigned tier = 0;
         std::string workspace;
         std::list<queued_offer>::iterator offer;
     };
 
-    using tier_map = std::map<unsigned, tier_lines>;
-    using line_map = std::map<std::string, workspace_line, std::less<>>;
+    using tier_map = std::map<unsigned, tier_queues>;
+    using workspace_queue_map = std::map<std::string, workspace_queue, std::less<>>;
 
     /// The workspace to serve next; end() when no offer waits.
-    [[nodiscard]] static line_map::const_iterator due_line(const tier_lines& lines);
+    [[nodiscard]] static workspace_queue_map::const_iterator next_workspace_queue(const tier_queues& queues);
     /// The first offer that can still meet its first-token target, or else the first offer.
-    [[nodiscard]] static const queued_offer& choose(const workspace_line& line, time_point now);
+    [[nodiscard]] static const queued_offer& choose(const workspace_queue& queue, time_point now);
     [[nodiscard]] std::uint64_t waiting_tokens(unsigned tier, std::string_view workspace) const;
     [[nodiscard]] std::vector<dispatch_id> choose_displaced(const queued_offer& offer) const;
     [[nodiscard]] bool has_room_for(std::uint64_t tokens, std::size_t freed_requests,
@@ -139,7 +139,7 @@
     queue_limits m_limits;
     tier_map m_tiers;
     /// Where each queued offer is stored, by dispatch id.
-    std::unordered_map<dispatch_id, place> m_places;
+    std::unordered_map<dispatch_id, queue_position> m_positions;
     std::uint64_t m_tokens = 0; ///< Sum of the tokens of all queued offers.
     rate_meter m_drain;
 };
