--- a/src/policy/prefix_index.cpp
+++ b/src/policy/prefix_index.cpp
@@ -70,11 +70,11 @@
 }
 
 void prefix_index::record_gap(std::uint64_t server, time_point now) {
-    m_doubts[server].gap = now;
+    m_invalidations[server].gap = now;
 }
 
 void prefix_index::forget_server(std::uint64_t server, time_point now) {
-    m_doubts[server].forgotten = now;
+    m_invalidations[server].forgotten = now;
 }
 
 std::vector<prefix_holder> prefix_index::find_holders(std::span<const std::uint64_t> hashes,
@@ -101,17 +101,17 @@
     if (hashes.empty()) {
         return std::nullopt;
     }
-    std::size_t own_part = std::min(m_settings.home_block, hashes.size() - 1);
-    for (std::size_t depth = own_part; depth + 1 < hashes.size(); ++depth) {
+    std::size_t home_block_index = std::min(m_settings.home_block, hashes.size() - 1);
+    for (std::size_t depth = home_block_index; depth + 1 < hashes.size(); ++depth) {
         const auto found = m_blocks.find(hashes[depth]);
         if (found == m_blocks.end()) {
             break;
         }
-        if (found->second.followers >= m_settings.shared_by) {
-            own_part = depth + 1;
+        if (found->second.followers >= m_settings.min_followers_of_preamble) {
+            home_block_index = depth + 1;
         }
     }
-    return hashes[own_part];
+    return hashes[home_block_index];
 }
 
 prefix_index::block& prefix_index::find_or_add(std::uint64_t hash, std::uint64_t parent) {
@@ -137,19 +137,19 @@
 
 void prefix_index::add_holder(block& where, std::uint64_t server, time_point now) {
     std::erase_if(where.holders, [server](const holder& known) { return known.server == server; });
-    if (where.holders.size() >= m_settings.most_holders) {
+    if (where.holders.size() >= m_settings.max_holders) {
         where.holders.erase(where.holders.begin());
     }
     where.holders.push_back({server, now});
 }
 
-bool prefix_index::is_believed(const holder& known, time_point now) const {
+bool prefix_index::is_valid(const holder& known, time_point now) const {
     duration lifetime = m_settings.holder_lifetime;
-    if (const auto doubts = m_doubts.find(known.server); doubts != m_doubts.end()) {
-        if (known.confirmed_at <= doubts->second.forgotten) {
+    if (const auto invalidation = m_invalidations.find(known.server); invalidation != m_invalidations.end()) {
+        if (known.confirmed_at <= invalidation->second.forgotten) {
             return false;
         }
-        if (known.confirmed_at <= doubts->second.gap) {
+        if (known.confirmed_at <= invalidation->second.gap) {
             lifetime = m_settings.lifetime_after_gap;
         }
     }
@@ -162,7 +162,7 @@
         return false;
     }
     return std::ranges::any_of(found->second.holders, [&](const holder& known) {
-        return known.server == server && is_believed(known, now);
+        return known.server == server && is_valid(known, now);
     });
 }
 
--- a/src/policy/prefix_index.hpp
+++ b/src/policy/prefix_index.hpp
@@ -30,7 +30,7 @@
     /// Maximum number of blocks in the index.
     std::size_t most_blocks = 1U << 16U;
     /// Maximum number of servers recorded for each block.
-    std::size_t most_holders = 4;
+    std::size_t max_holders = 4;
     /// A block that hasn't been confirmed for this long counts as evicted, since engines cache prefixes in
     /// limited memory.
     duration holder_lifetime = std::chrono::minutes(10);
@@ -43,7 +43,7 @@
     /// A block that is followed by at least this many different blocks ends a preamble that many prompts
     /// share. The number is larger than the number of tasks that follow one chapter and smaller than the
     /// number of chapters of one workspace.
-    std::uint32_t shared_by = 24;
+    std::uint32_t min_followers_of_preamble = 24;
 };
 
 /// A server that probably has the first blocks of a prompt cached.
@@ -103,14 +103,14 @@
     };
 
     struct block {
-        std::vector<holder> holders; ///< at most `most_holders`, most recently confirmed last
+        std::vector<holder> holders; ///< at most `max_holders`, most recently confirmed last
         std::uint64_t parent = 0;    ///< hash of the previous block of the prompt; 0 for the first block
         std::uint32_t followers = 0; ///< number of blocks in `m_blocks` whose parent is this block
         std::list<std::uint64_t>::iterator recency;
     };
 
     /// When entries of a server became uncertain (an event gap) or invalid (an engine restart).
-    struct server_doubts {
+    struct server_invalidation {
         time_point gap{};
         time_point forgotten{};
     };
@@ -120,13 +120,13 @@
     void add_holder(block& where, std::uint64_t server, time_point now);
     /// Whether the entry is still valid: confirmed after the server's last engine restart and within its
     /// lifetime.
-    [[nodiscard]] bool is_believed(const holder& known, time_point now) const;
+    [[nodiscard]] bool is_valid(const holder& known, time_point now) const;
     [[nodiscard]] bool holds(std::uint64_t hash, std::uint64_t server, time_point now) const;
 
     prefix_index_settings m_settings;
     std::unordered_map<std::uint64_t, block> m_blocks;
     std::list<std::uint64_t> m_recency; ///< hashes of all blocks in `m_blocks`, most recently used first
-    std::unordered_map<std::uint64_t, server_doubts> m_doubts;
+    std::unordered_map<std::uint64_t, server_invalidation> m_invalidations;
 };
 
 } // namespace borageford::policy
