--- a/src/policy/quarantine.cpp
+++ b/src/policy/quarantine.cpp
@@ -7,7 +7,7 @@
 namespace {
 
 /// Maximum number of marks kept for one fingerprint; further marks wouldn't change the result.
-constexpr std::size_t most_deaths = 16;
+constexpr std::size_t max_crashes = 16;
 
 } // namespace
 
@@ -15,32 +15,32 @@
 
 bool quarantine::record_mark(std::uint64_t fingerprint, std::string_view backend_server,
                              const identifier& mark, time_point now) {
-    if (m_deaths.size() >= m_settings.most_fingerprints && !m_deaths.contains(fingerprint)) {
+    if (m_crashes.size() >= m_settings.most_fingerprints && !m_crashes.contains(fingerprint)) {
         remove_oldest();
     }
-    auto& deaths = m_deaths[fingerprint];
-    if (std::ranges::find(deaths, mark, &death::mark) != deaths.end()) {
+    auto& crashes = m_crashes[fingerprint];
+    if (std::ranges::find(crashes, mark, &crash::mark) != crashes.end()) {
         return false;
     }
-    if (deaths.size() >= most_deaths) {
-        deaths.erase(deaths.begin());
+    if (crashes.size() >= max_crashes) {
+        crashes.erase(crashes.begin());
     }
-    deaths.push_back({mark, std::string(backend_server), now});
+    crashes.push_back({mark, std::string(backend_server), now});
     return true;
 }
 
 std::size_t quarantine::marks(std::uint64_t fingerprint, time_point now) const {
-    const auto found = m_deaths.find(fingerprint);
-    if (found == m_deaths.end()) {
+    const auto found = m_crashes.find(fingerprint);
+    if (found == m_crashes.end()) {
         return 0;
     }
     return static_cast<std::size_t>(
-        std::ranges::count_if(found->second, [&](const death& known) { return counts(known, now); }));
+        std::ranges::count_if(found->second, [&](const crash& known) { return counts(known, now); }));
 }
 
 std::optional<duration> quarantine::time_left(std::uint64_t fingerprint, time_point now) const {
-    const auto found = m_deaths.find(fingerprint);
-    if (found == m_deaths.end()) {
+    const auto found = m_crashes.find(fingerprint);
+    if (found == m_crashes.end()) {
         return std::nullopt;
     }
     const auto until = quarantined_until(found->second, now);
@@ -49,13 +49,13 @@
 
 std::vector<quarantined_request> quarantine::list(time_point now) const {
     std::vector<quarantined_request> listed;
-    for (const auto& [fingerprint, deaths] : m_deaths) {
-        const auto until = quarantined_until(deaths, now);
+    for (const auto& [fingerprint, crashes] : m_crashes) {
+        const auto until = quarantined_until(crashes, now);
         if (!until) {
             continue;
         }
         quarantined_request request{fingerprint, {}, *until};
-        for (const auto& known : deaths) {
+        for (const auto& known : crashes) {
             request.backend_servers.push_back(known.backend_server);
         }
         listed.push_back(std::move(request));
@@ -64,8 +64,8 @@
 }
 
 bool quarantine::release(std::uint64_t fingerprint) {
-    const auto found = m_deaths.find(fingerprint);
-    if (found == m_deaths.end()) {
+    const auto found = m_crashes.find(fingerprint);
+    if (found == m_crashes.end()) {
         return false;
     }
     for (auto& known : found->second) {
@@ -74,22 +74,22 @@
     return true;
 }
 
-bool quarantine::counts(const death& known, time_point now) const {
+bool quarantine::counts(const crash& known, time_point now) const {
     return !known.is_released && now - known.at <= m_settings.mark_lifetime;
 }
 
-std::optional<time_point> quarantine::quarantined_until(const std::vector<death>& deaths,
+std::optional<time_point> quarantine::quarantined_until(const std::vector<crash>& crashes,
                                                         time_point now) const {
     std::size_t counted = 0;
     time_point last{};
-    for (const auto& known : deaths) {
+    for (const auto& known : crashes) {
         if (counts(known, now)) {
             ++counted;
             last = std::max(last, known.at);
         }
     }
     const auto until = last + m_settings.quarantine_time;
-    if (counted < m_settings.servers_lost || until <= now) {
+    if (counted < m_settings.crashes_before_quarantine || until <= now) {
         return std::nullopt;
     }
     return until;
@@ -97,8 +97,8 @@
 
 void quarantine::remove_oldest() {
     const auto oldest =
-        std::ranges::min_element(m_deaths, {}, [](const auto& entry) { return entry.second.back().at; });
-    m_deaths.erase(oldest);
+        std::ranges::min_element(m_crashes, {}, [](const auto& entry) { return entry.second.back().at; });
+    m_crashes.erase(oldest);
 }
 
 } // namespace borageford::policy
--- a/src/policy/quarantine.hpp
+++ b/src/policy/quarantine.hpp
@@ -18,7 +18,7 @@
 /// When a request is quarantined, and for how long.
 struct quarantine_settings {
     /// Number of crashes after which a request is quarantined.
-    std::size_t servers_lost = 2;
+    std::size_t crashes_before_quarantine = 2;
     duration quarantine_time = std::chrono::hours(1);
     /// Lifetime of a mark. A server that crashed for another reason also marks requests that didn't cause the
     /// crash.
@@ -64,21 +64,21 @@
     bool release(std::uint64_t fingerprint);
 
 private:
-    struct death {
+    struct crash {
         identifier mark;
         std::string backend_server;
         time_point at{};
         bool is_released = false;
     };
 
-    [[nodiscard]] bool counts(const death& known, time_point now) const;
-    [[nodiscard]] std::optional<time_point> quarantined_until(const std::vector<death>& deaths,
+    [[nodiscard]] bool counts(const crash& known, time_point now) const;
+    [[nodiscard]] std::optional<time_point> quarantined_until(const std::vector<crash>& crashes,
                                                               time_point now) const;
     void remove_oldest();
 
     quarantine_settings m_settings;
     /// Marks by fingerprint, oldest first.
-    std::unordered_map<std::uint64_t, std::vector<death>> m_deaths;
+    std::unordered_map<std::uint64_t, std::vector<crash>> m_crashes;
 };
 
 } // namespace borageford::policy
--- a/src/policy/rate_meter.cpp
+++ b/src/policy/rate_meter.cpp
@@ -8,7 +8,7 @@
 namespace {
 
 /// Less busy time than this counts as this long, since the quotient would be noise.
-constexpr double shortest_base_seconds = 0.02;
+constexpr double min_busy_seconds = 0.02;
 
 } // namespace
 
@@ -30,7 +30,7 @@
     if (m_units <= 0 || m_seconds <= 0) {
         return 0;
     }
-    return m_units / std::max(m_seconds, shortest_base_seconds);
+    return m_units / std::max(m_seconds, min_busy_seconds);
 }
 
 } // namespace borageford::policy
