--- a/src/policy/registration_watch.cpp
+++ b/src/policy/registration_watch.cpp
@@ -11,7 +11,8 @@
 }
 
 void registration_watch::note_outage(time_point now, time_point answered) noexcept {
-    const bool answers_others = m_other_in_touch != time_point::min() && now - m_other_in_touch < word_life;
+    const bool answers_others =
+        m_other_connected_at != time_point::min() && now - m_other_connected_at < message_lifetime;
     if (answers_others) {
         return;
     }
@@ -27,19 +28,19 @@
 }
 
 void registration_watch::note_other_in_touch(time_point now, duration unbroken) {
-    m_other_in_touch = now;
-    const bool is_over = is_around_outage(now) && now - m_last_outage >= word_delay;
+    m_other_connected_at = now;
+    const bool is_over = is_around_outage(now) && now - m_last_outage >= message_delay;
     if (is_over && now - unbroken <= m_outage_begin) {
-        disown_outage(now);
+        discard_outage(now);
     }
 }
 
 /// Ends the retention that was started for an outage which affected only this process.
-void registration_watch::disown_outage(time_point now) {
+void registration_watch::discard_outage(time_point now) {
     m_last_outage = time_point::min();
-    for (auto& [server, until] : m_missed) {
-        const bool was_missed_for_it = until - grace >= m_outage_begin;
-        until = was_missed_for_it ? now : until;
+    for (auto& [server, until] : m_retained) {
+        const bool was_retained_for_outage = until - grace >= m_outage_begin;
+        until = was_retained_for_outage ? now : until;
     }
 }
 
@@ -52,27 +53,27 @@
 }
 
 void registration_watch::note_missed(std::string_view server, time_point now) {
-    m_missed.try_emplace(std::string(server), now + grace);
+    m_retained.try_emplace(std::string(server), now + grace);
 }
 
 std::vector<std::string> registration_watch::missed() const {
-    const auto ids = std::views::keys(m_missed);
+    const auto ids = std::views::keys(m_retained);
     return {ids.begin(), ids.end()};
 }
 
 void registration_watch::note_present(std::string_view server) {
-    const auto found = m_missed.find(server);
-    if (found != m_missed.end()) {
-        m_missed.erase(found);
+    const auto found = m_retained.find(server);
+    if (found != m_retained.end()) {
+        m_retained.erase(found);
     }
 }
 
 std::vector<std::string> registration_watch::take_expired(time_point now) {
     std::vector<std::string> expired;
-    for (auto entry = m_missed.begin(); entry != m_missed.end();) {
+    for (auto entry = m_retained.begin(); entry != m_retained.end();) {
         if (entry->second <= now) {
             expired.push_back(entry->first);
-            entry = m_missed.erase(entry);
+            entry = m_retained.erase(entry);
         } else {
             ++entry;
         }
--- a/src/policy/registration_watch.hpp
+++ b/src/policy/registration_watch.hpp
@@ -23,10 +23,10 @@
 
     /// How long another process's message that the store answers it stays valid. Processes send this message
     /// several times per second.
-    static constexpr duration word_life = std::chrono::milliseconds(600);
+    static constexpr duration message_lifetime = std::chrono::milliseconds(600);
 
     /// Messages sent before an outage may arrive this long after its end.
-    static constexpr duration word_delay = std::chrono::milliseconds(100);
+    static constexpr duration message_delay = std::chrono::milliseconds(100);
 
     /// Records that this process couldn't reach the store, which had last answered at `answered`. The outage
     /// is ignored when another process has recently reported that the store answers it: then only this
@@ -57,16 +57,16 @@
 
 private:
     [[nodiscard]] bool is_around_outage(time_point now) const noexcept;
-    void disown_outage(time_point now);
+    void discard_outage(time_point now);
 
     /// min: there was none, or it affected only this process
     time_point m_last_outage = time_point::min();
     /// start of a series of outages with gaps shorter than `grace`
     time_point m_outage_begin = time_point::min();
     /// When another process last reported that the store answers it; min: never.
-    time_point m_other_in_touch = time_point::min();
+    time_point m_other_connected_at = time_point::min();
     /// Retained servers, and until when each is retained.
-    std::map<std::string, time_point, std::less<>> m_missed;
+    std::map<std::string, time_point, std::less<>> m_retained;
 };
 
 } // namespace borageford::policy
