--- a/src/ledger/dispatch_ledger.cpp
+++ b/src/ledger/dispatch_ledger.cpp
@@ -24,13 +24,13 @@
     return offer_result::tombstoned;
 }
 
-bool dispatch_ledger::grant(dispatch_id dispatch, time_point lapse) {
+bool dispatch_ledger::grant(dispatch_id dispatch, time_point expiry) {
     const auto found = m_entries.find(dispatch);
     if (found == m_entries.end() || found->second.state != dispatch_state::offered) {
         return false;
     }
-    found->second = {dispatch_state::granted, lapse};
-    m_grants.push_back({dispatch, lapse});
+    found->second = {dispatch_state::granted, expiry};
+    m_grants.push_back({dispatch, expiry});
     return true;
 }
 
@@ -44,7 +44,7 @@
     if (held.state == dispatch_state::started || held.state == dispatch_state::finished) {
         return start_result::already_started;
     }
-    if (held.state != dispatch_state::granted || held.lapse <= now) {
+    if (held.state != dispatch_state::granted || held.expiry <= now) {
         end(dispatch, dispatch_state::withdrawn, now);
         return start_result::not_begun;
     }
@@ -73,7 +73,7 @@
 attach_result dispatch_ledger::attach(dispatch_id dispatch, duration age, time_point now) {
     const auto found = m_entries.find(dispatch);
     if (found == m_entries.end()) {
-        if (m_has_forgotten && now - age <= m_forgotten_until) {
+        if (m_has_removed_finished && now - age <= m_removed_until) {
             return attach_result::unknown;
         }
         end(dispatch, dispatch_state::withdrawn, now);
@@ -102,22 +102,22 @@
 }
 
 std::vector<dispatch_id> dispatch_ledger::lapse_grants(time_point now) {
-    std::vector<dispatch_id> lapsed;
+    std::vector<dispatch_id> expired;
     while (!m_grants.empty() && m_grants.front().time <= now) {
         const auto dispatch = m_grants.front().dispatch;
         m_grants.pop_front();
         const auto found = m_entries.find(dispatch);
         if (found != m_entries.end() && found->second.state == dispatch_state::granted) {
             end(dispatch, dispatch_state::withdrawn, now);
-            lapsed.push_back(dispatch);
+            expired.push_back(dispatch);
         }
     }
-    return lapsed;
+    return expired;
 }
 
 void dispatch_ledger::forget_old(time_point now) {
     while (!m_ended.empty() && now - m_ended.front().time >= m_limits.retention) {
-        forget_oldest();
+        remove_oldest();
     }
 }
 
@@ -134,11 +134,11 @@
     held.state = state;
     m_ended.push_back({dispatch, now});
     if (m_ended.size() > m_limits.entries) {
-        forget_oldest();
+        remove_oldest();
     }
 }
 
-void dispatch_ledger::forget_oldest() {
+void dispatch_ledger::remove_oldest() {
     const auto [dispatch, time] = m_ended.front();
     m_ended.pop_front();
     const auto found = m_entries.find(dispatch);
@@ -146,8 +146,8 @@
         return;
     }
     if (found->second.state == dispatch_state::finished) {
-        m_forgotten_until = std::max(m_forgotten_until, time);
-        m_has_forgotten = true;
+        m_removed_until = std::max(m_removed_until, time);
+        m_has_removed_finished = true;
     }
     m_entries.erase(found);
 }
--- a/src/ledger/dispatch_ledger.hpp
+++ b/src/ledger/dispatch_ledger.hpp
@@ -65,7 +65,7 @@
 ///
 /// Invariants: only a granted dispatch becomes started, and only once; a tombstone never changes its state; a
 /// started id isn't removed before it has finished; of the finished ids and tombstones the oldest is removed
-/// first; `m_forgotten_until` is never earlier than the end of a finished id that has been removed.
+/// first; `m_removed_until` is never earlier than the end of a finished id that has been removed.
 class dispatch_ledger {
 public:
     explicit dispatch_ledger(ledger_limits limits);
@@ -73,8 +73,8 @@
     /// Records an offer that was received.
     offer_result take_offer(dispatch_id dispatch);
 
-    /// Grants an offer until `lapse`. False when the offer isn't waiting any more.
-    bool grant(dispatch_id dispatch, time_point lapse);
+    /// Grants an offer until `expiry`. False when the offer isn't waiting any more.
+    bool grant(dispatch_id dispatch, time_point expiry);
 
     /// Records a start that was received. A grant that has expired doesn't allow a start, even if
     /// lapse_grants() hasn't removed it yet.
@@ -117,7 +117,7 @@
 private:
     struct entry {
         dispatch_state state = dispatch_state::offered;
-        time_point lapse; ///< when a grant expires
+        time_point expiry; ///< when a grant expires
     };
     /// An id with the time of its end, or with the expiry of its grant.
     struct ended {
@@ -126,15 +126,15 @@
     };
 
     void end(dispatch_id dispatch, dispatch_state state, time_point now);
-    void forget_oldest();
+    void remove_oldest();
 
     ledger_limits m_limits;
     std::unordered_map<dispatch_id, entry> m_entries;
     std::deque<ended> m_ended; ///< Tombstones and finished ids, oldest first.
     /// Grants in the order in which they were given, which is taken as the order of expiry.
     std::deque<ended> m_grants;
-    time_point m_forgotten_until; ///< No finished id that ended later than this has been removed.
-    bool m_has_forgotten = false;
+    time_point m_removed_until; ///< No finished id that ended later than this has been removed.
+    bool m_has_removed_finished = false;
 };
 
 } // namespace borageford::ledger
--- a/src/policy/repeat_budget.cpp
+++ b/src/policy/repeat_budget.cpp
@@ -9,7 +9,7 @@
 /// Fraction of the limit that is used. The limit applies to requests and retries where they arrive, while
 /// this class counts them when they are sent, and a new coordinator doesn't know the retries of its
 /// predecessor.
-constexpr double used_part = 0.6;
+constexpr double used_fraction = 0.6;
 
 } // namespace
 
@@ -43,7 +43,7 @@
         requests += part.requests;
         repeats += part.repeats;
     }
-    return {repeats, (m_limits.ratio * requests + m_limits.reserve * m_share) * used_part};
+    return {repeats, (m_limits.ratio * requests + m_limits.reserve * m_share) * used_fraction};
 }
 
 bool repeat_budget::try_repeat(service_key service, time_point now) {
--- a/src/policy/workspace_limits.cpp
+++ b/src/policy/workspace_limits.cpp
@@ -7,7 +7,7 @@
 namespace {
 
 /// Weight of a new sample in the mean duration.
-constexpr double newest_share = 0.1;
+constexpr double new_sample_weight = 0.1;
 /// Burst of the token limit, in seconds of its rate: a single report costs more tokens than one second
 /// provides.
 constexpr double token_burst_seconds = 10;
@@ -85,7 +85,7 @@
     }
     auto& used = found->second;
     --used.in_progress;
-    used.mean_seconds += newest_share * (to_seconds(took) - used.mean_seconds);
+    used.mean_seconds += new_sample_weight * (to_seconds(took) - used.mean_seconds);
     if (used.limit.tokens_per_second > 0) {
         used.tokens.charge(used_tokens - estimated_tokens, now);
     }
--- a/tests/unit/test_dispatch_ledger.cpp
+++ b/tests/unit/test_dispatch_ledger.cpp
@@ -13,9 +13,9 @@
 constexpr dispatch_id some_dispatch{1, 1};
 const time_point begin = time_point{} + 1h;
 
-void grant_one(dispatch_ledger& ledger, dispatch_id dispatch, time_point lapse) {
+void grant_one(dispatch_ledger& ledger, dispatch_id dispatch, time_point expiry) {
     REQUIRE(ledger.take_offer(dispatch) == offer_result::taken);
-    REQUIRE(ledger.grant(dispatch, lapse));
+    REQUIRE(ledger.grant(dispatch, expiry));
 }
 
 } // namespace
