--- a/src/policy/crash_suspects.cpp
+++ b/src/policy/crash_suspects.cpp
@@ -45,7 +45,8 @@
 }
 
 bool crash_suspects::has_restarted(server_key server) const {
-    return std::ranges::any_of(m_restarts, [server](const restart& ended) { return ended.server == server; });
+    return std::ranges::any_of(m_restarts,
+                               [server](const restart& restarted) { return restarted.server == server; });
 }
 
 void crash_suspects::note_cut(std::uint64_t fingerprint, server_key server, time_point now) {
@@ -71,9 +72,9 @@
                   [server](const broken_connection& entry) { return entry.server == server; });
 }
 
-void crash_suspects::note_restart(server_key former, time_point now) {
-    note_gone(former, now);
-    m_restarts.push_back({former, now});
+void crash_suspects::note_restart(server_key previous_start, time_point now) {
+    note_gone(previous_start, now);
+    m_restarts.push_back({previous_start, now});
 }
 
 std::optional<duration> crash_suspects::held_for(std::uint64_t fingerprint, time_point now) const {
--- a/src/policy/crash_suspects.hpp
+++ b/src/policy/crash_suspects.hpp
@@ -25,9 +25,10 @@
     /// The server refuses connections, or another server answers at its address. This marks all requests
     /// whose connections to it broke recently.
     void note_gone(server_key server, time_point now);
-    /// The server `former` has restarted. Connections to it that break after this call mark their requests as
-    /// well, because unresponsive connections are closed only when the restart is detected.
-    void note_restart(server_key former, time_point now);
+    /// The server with the key `previous_start` has restarted. Connections to it that break after this call
+    /// mark their requests as well, because unresponsive connections are closed only when the restart is
+    /// detected.
+    void note_restart(server_key previous_start, time_point now);
 
     /// Remaining time of the request's quarantine; nothing when it isn't quarantined.
     [[nodiscard]] std::optional<duration> held_for(std::uint64_t fingerprint, time_point now) const;
--- a/src/policy/offer_queue.cpp
+++ b/src/policy/offer_queue.cpp
@@ -26,7 +26,7 @@
     }
     m_drain.record(0, !m_positions.empty(), now);
     auto& queues = m_tiers[offer.tier];
-    auto& queue = queues.queues[offer.workspace];
+    auto& queue = queues.by_workspace[offer.workspace];
     if (queue.offers.empty()) {
         queue.due_time = std::max(queue.due_time, queues.virtual_time);
     }
@@ -51,17 +51,17 @@
 }
 
 std::optional<queued_offer> offer_queue::take_next(time_point now) {
-    const auto* due_time = next(now);
-    if (due_time == nullptr) {
+    const auto* selected = next(now);
+    if (selected == nullptr) {
         return std::nullopt;
     }
-    auto& queues = m_tiers.at(due_time->tier);
-    auto& queue = queues.queues.find(due_time->workspace)->second;
+    auto& queues = m_tiers.at(selected->tier);
+    auto& queue = queues.by_workspace.find(selected->workspace)->second;
     queues.virtual_time = queue.due_time;
-    queue.due_time += static_cast<double>(due_time->tokens);
-    m_drain.record(static_cast<double>(due_time->tokens), true, now);
-    auto taken = extract(due_time->dispatch);
-    std::erase_if(queues.queues, [&queues](const auto& entry) {
+    queue.due_time += static_cast<double>(selected->tokens);
+    m_drain.record(static_cast<double>(selected->tokens), true, now);
+    auto taken = extract(selected->dispatch);
+    std::erase_if(queues.by_workspace, [&queues](const auto& entry) {
         return entry.second.offers.empty() && entry.second.due_time <= queues.virtual_time;
     });
     return taken;
@@ -72,8 +72,8 @@
     if (tier == m_tiers.end()) {
         return;
     }
-    const auto queue = tier->second.queues.find(offer.workspace);
-    if (queue == tier->second.queues.end()) {
+    const auto queue = tier->second.by_workspace.find(offer.workspace);
+    if (queue == tier->second.by_workspace.end()) {
         return;
     }
     const double without = queue->second.due_time - static_cast<double>(offer.tokens);
@@ -134,12 +134,12 @@
 
 offer_queue::workspace_queue_map::const_iterator
 offer_queue::next_workspace_queue(const tier_queues& queues) {
-    auto chosen = queues.queues.end();
-    for (auto queue = queues.queues.begin(); queue != queues.queues.end(); ++queue) {
+    auto chosen = queues.by_workspace.end();
+    for (auto queue = queues.by_workspace.begin(); queue != queues.by_workspace.end(); ++queue) {
         if (queue->second.offers.empty()) {
             continue;
         }
-        if (chosen == queues.queues.end() || queue->second.due_time < chosen->second.due_time) {
+        if (chosen == queues.by_workspace.end() || queue->second.due_time < chosen->second.due_time) {
             chosen = queue;
         }
     }
@@ -158,8 +158,8 @@
     if (queues == m_tiers.end()) {
         return 0;
     }
-    const auto queue = queues->second.queues.find(workspace);
-    return queue == queues->second.queues.end() ? 0 : queue->second.tokens;
+    const auto queue = queues->second.by_workspace.find(workspace);
+    return queue == queues->second.by_workspace.end() ? 0 : queue->second.tokens;
 }
 
 /// Chooses the newest offers of the workspaces with the most waiting tokens, lowest tier first, until there
@@ -175,7 +175,7 @@
             std::list<queued_offer>::const_reverse_iterator end;
         };
         std::vector<candidate> candidates;
-        for (const auto& [workspace, queue] : tier->second.queues) {
+        for (const auto& [workspace, queue] : tier->second.by_workspace) {
             candidates.push_back({queue.tokens, queue.offers.rbegin(), queue.offers.rend()});
         }
         while (!has_room_for(offer.tokens, chosen.size(), freed)) {
@@ -209,7 +209,7 @@
 queued_offer offer_queue::extract(const dispatch_id& dispatch) {
     const auto found = m_positions.find(dispatch);
     auto& queues = m_tiers.at(found->second.tier);
-    auto& queue = queues.queues.find(found->second.workspace)->second;
+    auto& queue = queues.by_workspace.find(found->second.workspace)->second;
     queued_offer taken = std::move(*found->second.offer);
     queue.offers.erase(found->second.offer);
     queue.tokens -= taken.tokens;
--- a/src/policy/offer_queue.hpp
+++ b/src/policy/offer_queue.hpp
@@ -18,7 +18,7 @@
 
 namespace borageford::policy {
 
-/// An offer with the values that its queue_position in the queue depends on.
+/// An offer with the values that its place in the queue depends on.
 struct queued_offer {
     dispatch_id dispatch;
     std::string workspace;
@@ -100,16 +100,16 @@
     struct workspace_queue {
         std::list<queued_offer> offers;
         std::uint64_t tokens = 0;
-        /// Virtual time at which the next offer of this workspace is due_time: the tokens served to the
+        /// Virtual time at which the next offer of this workspace is due: the tokens served to the
         /// workspace, but never less than the tier's virtual time.
         double due_time = 0;
     };
 
-    /// Start-time fair queueing: the workspace with the earliest due_time time is served first. A workspace
-    /// without offers is kept only while its due_time time is later than the tier's virtual time, so that it
+    /// Start-time fair queueing: the workspace with the earliest `due_time` is served first. A workspace
+    /// without offers is kept only while its `due_time` is later than the tier's virtual time, so that it
     /// gains nothing by emptying its queue and coming back.
     struct tier_queues {
-        std::map<std::string, workspace_queue, std::less<>> queues;
+        std::map<std::string, workspace_queue, std::less<>> by_workspace;
         double virtual_time = 0;
         std::uint64_t tokens = 0;
         std::size_t requests = 0;
