--- a/src/policy/follower_duty.hpp
+++ b/src/policy/follower_duty.hpp
@@ -13,7 +13,7 @@
     /// All other gateways receive announcements from this gateway. It polls often, so that the store confirms
     /// the known version.
     confirm,
-    /// Other gateways rely on this gateway. It polls, and polls again soon when an answer is missing.
+    /// Other gateways depend on this gateway. It polls, and polls again soon when an answer is missing.
     follow,
     rely, ///< Announcements arrive from a gateway that the store answers, and report all changes.
     /// No such announcements arrive. The gateway polls for itself, but not so often that hundreds of gateways
@@ -21,7 +21,7 @@
     stand_by,
 };
 
-/// Whether other gateways rely on the announcements of a gateway with this role.
+/// Whether other gateways depend on the announcements of a gateway with this role.
 [[nodiscard]] constexpr bool is_relied_on(follower_duty duty) noexcept {
     return duty == follower_duty::confirm || duty == follower_duty::follow;
 }
--- a/tests/unit/test_policy_follower_duty.cpp
+++ b/tests/unit/test_policy_follower_duty.cpp
@@ -1,5 +1,5 @@
-// Tests of follower_choice: which gateways poll the store, and which rely on other gateways. Also tests
-// retained registrations that another gateway announced.
+// Tests of follower_choice: which gateways poll the store, and which learn of changes from other gateways.
+// Also tests retained registrations that another gateway announced.
 #include "policy/coordinator_election.hpp"
 #include "policy/follower_duty.hpp"
 #include "policy/registration_watch.hpp"
@@ -52,7 +52,7 @@
 }
 
 TEST_CASE("a gateway asks the store itself once nobody is heard whom it answers", "[policy][follower_duty]") {
-    // The polling gateways may be disconnected, or the store may refuse only them. Gateways that rely on them
+    // The polling gateways may be disconnected, or the store may refuse only them. The remaining gateways
     // would then never learn that a server has shut down.
     constexpr std::size_t members = 300;
     follower_choice choice(12, 0.5);
