--- a/src/policy/prefix_index.cpp
+++ b/src/policy/prefix_index.cpp
@@ -1,4 +1,5 @@
-// A bounded tree of prompt blocks, kept as a map from hash to block: a chained hash names its whole path.
+// Implements a bounded tree of prompt blocks as a map from hash to block, since a chained hash identifies the
+// complete path to a block.
 #include "policy/prefix_index.hpp"
 
 #include "base/hash.hpp"
@@ -29,7 +30,7 @@
         add_holder(find_or_add(hash, parent), server, now);
         parent = hash;
     }
-    // The first block becomes the latest used, so that a prompt is forgotten from its end.
+    // The first block is moved to the front last, so that the index forgets a prompt from its end.
     for (const auto hash : std::ranges::reverse_view(kept)) {
         m_recency.splice(m_recency.begin(), m_recency, m_blocks.at(hash).recency);
     }
@@ -40,7 +41,7 @@
 
 void prefix_index::record_stored(std::span<const std::uint64_t> hashes, std::uint64_t server,
                                  time_point now) {
-    // Only blocks that a prompt here has had are worth knowing, and only for them the parent is known.
+    // Only blocks of prompts that were seen here are useful, and only their parents are known.
     for (const auto hash : hashes) {
         const auto found = m_blocks.find(hash);
         if (found != m_blocks.end()) {
@@ -63,16 +64,17 @@
                                  std::uint64_t server, time_point now) {
     const auto held = hashes.first(std::min(blocks, hashes.size()));
     record_stored(held, server, now);
-    // The first block that isn't held ends the prefix, whatever is believed of those after it.
+    // Removing only the first block that isn't cached is sufficient: it ends the prefix, whatever entries
+    // exist for later blocks.
     record_evicted(hashes.subspan(held.size()).first(held.size() < hashes.size() ? 1 : 0), server);
 }
 
 void prefix_index::record_gap(std::uint64_t server, time_point now) {
-    m_doubts[server].gap = now;
+    m_invalidations[server].gap = now;
 }
 
 void prefix_index::forget_server(std::uint64_t server, time_point now) {
-    m_doubts[server].forgotten = now;
+    m_invalidations[server].forgotten = now;
 }
 
 std::vector<prefix_holder> prefix_index::find_holders(std::span<const std::uint64_t> hashes,
@@ -99,17 +101,17 @@
     if (hashes.empty()) {
         return std::nullopt;
     }
-    std::size_t own_part = std::min(m_settings.home_block, hashes.size() - 1);
-    for (std::size_t depth = own_part; depth + 1 < hashes.size(); ++depth) {
+    std::size_t home_block_index = std::min(m_settings.home_block, hashes.size() - 1);
+    for (std::size_t depth = home_block_index; depth + 1 < hashes.size(); ++depth) {
         const auto found = m_blocks.find(hashes[depth]);
         if (found == m_blocks.end()) {
             break;
         }
-        if (found->second.followers >= m_settings.shared_by) {
-            own_part = depth + 1;
+        if (found->second.followers >= m_settings.min_followers_of_preamble) {
+            home_block_index = depth + 1;
         }
     }
-    return hashes[own_part];
+    return hashes[home_block_index];
 }
 
 prefix_index::block& prefix_index::find_or_add(std::uint64_t hash, std::uint64_t parent) {
@@ -135,19 +137,19 @@
 
 void prefix_index::add_holder(block& where, std::uint64_t server, time_point now) {
     std::erase_if(where.holders, [server](const holder& known) { return known.server == server; });
-    if (where.holders.size() >= m_settings.most_holders) {
+    if (where.holders.size() >= m_settings.max_holders) {
         where.holders.erase(where.holders.begin());
     }
     where.holders.push_back({server, now});
 }
 
-bool prefix_index::is_believed(const holder& known, time_point now) const {
+bool prefix_index::is_valid(const holder& known, time_point now) const {
     duration lifetime = m_settings.holder_lifetime;
-    if (const auto doubts = m_doubts.find(known.server); doubts != m_doubts.end()) {
-        if (known.confirmed_at <= doubts->second.forgotten) {
+    if (const auto invalidation = m_invalidations.find(known.server); invalidation != m_invalidations.end()) {
+        if (known.confirmed_at <= invalidation->second.forgotten) {
             return false;
         }
-        if (known.confirmed_at <= doubts->second.gap) {
+        if (known.confirmed_at <= invalidation->second.gap) {
             lifetime = m_settings.lifetime_after_gap;
         }
     }
@@ -160,7 +162,7 @@
         return false;
     }
     return std::ranges::any_of(found->second.holders, [&](const holder& known) {
-        return known.server == server && is_believed(known, now);
+        return known.server == server && is_valid(known, now);
     });
 }
 
--- a/src/policy/repeat_budget.cpp
+++ b/src/policy/repeat_budget.cpp
@@ -1,4 +1,4 @@
-// Slices of time instead of single events keep the cost of a decision bounded.
+// Counts in slices of the window instead of single events, which bounds the cost of each decision.
 #include "policy/repeat_budget.hpp"
 
 namespace borageford::policy {
@@ -6,9 +6,10 @@
 namespace {
 
 constexpr int slices_per_window = 20;
-/// Requests and repeats are judged where they arrive, and counted here when they leave; and a coordinator
-/// that took over doesn't know its predecessor's repeats.
-constexpr double used_part = 0.6;
+/// Fraction of the limit that is used. The limit applies to requests and retries where they arrive, while
+/// this class counts them when they are sent, and a new coordinator doesn't know the retries of its
+/// predecessor.
+constexpr double used_fraction = 0.6;
 
 } // namespace
 
@@ -42,7 +43,7 @@
         requests += part.requests;
         repeats += part.repeats;
     }
-    return {repeats, (m_limits.ratio * requests + m_limits.reserve * m_share) * used_part};
+    return {repeats, (m_limits.ratio * requests + m_limits.reserve * m_share) * used_fraction};
 }
 
 bool repeat_budget::try_repeat(service_key service, time_point now) {
