--- a/src/sidecar/answer_buffer.cpp
+++ b/src/sidecar/answer_buffer.cpp
@@ -1,4 +1,4 @@
-// Keeping one answer.
+// Implementation of answer_buffer, which stores the bytes of one answer.
 #include "sidecar/answer_buffer.hpp"
 
 #include <utility>
--- a/src/sidecar/answer_buffer.hpp
+++ b/src/sidecar/answer_buffer.hpp
@@ -1,4 +1,5 @@
-// The bytes of one answer as far as they have come, kept until the entry has acknowledged them.
+// The bytes of one answer that a backend server has sent so far. They are kept so that an entry process whose
+// connection broke can read them again.
 #pragma once
 
 #include "backend/backend_types.hpp"
@@ -12,14 +13,14 @@
 
 namespace borageford::sidecar {
 
-/// How an answer ended.
+/// How an answer ended. `retry_after` is the delay suggested to the caller of a failed request.
 struct answer_ending {
-    std::optional<error_kind> failure; ///< nothing: it is whole
+    std::optional<error_kind> failure; ///< std::nullopt when the answer is complete
     std::chrono::milliseconds retry_after{0};
     backend::usage usage;
 };
 
-/// Invariant: after its end nothing is added.
+/// The status line, body and ending of one answer. Invariant: no bytes are appended after end() was called.
 class answer_buffer {
 public:
     void set_head(backend::answer_head head) { m_head = std::move(head); }
@@ -29,6 +30,7 @@
     [[nodiscard]] const std::optional<backend::answer_head>& head() const noexcept { return m_head; }
     [[nodiscard]] const std::optional<answer_ending>& ending() const noexcept { return m_ending; }
     [[nodiscard]] std::uint64_t length() const noexcept { return m_body.size(); }
+    /// The bytes from `offset` on; empty when `offset` is at or past the end. Valid until the next append().
     [[nodiscard]] std::string_view from(std::uint64_t offset) const noexcept;
     [[nodiscard]] std::string_view body() const noexcept { return m_body; }
 
--- a/src/sidecar/answer_delivery.cpp
+++ b/src/sidecar/answer_delivery.cpp
@@ -1,4 +1,4 @@
-// Sending answers piece by piece.
+// Implementation of answer_delivery, which sends the bytes of answers to entry processes in chunks.
 #include "sidecar/answer_delivery.hpp"
 
 #include <algorithm>
@@ -7,7 +7,8 @@
 namespace borageford::sidecar {
 namespace {
 
-/// Keeps a kept answer's frames far below the frame limit, and heartbeats flowing between them.
+/// The most bytes of an answer in one frame. A long answer is split so that its frames stay far below the
+/// frame size limit and heartbeats can be sent between them.
 constexpr std::size_t chunk_limit = 256U * 1024;
 
 } // namespace
--- a/src/sidecar/answer_delivery.hpp
+++ b/src/sidecar/answer_delivery.hpp
@@ -1,4 +1,5 @@
-// Sends answers to the connections that read them, each from its own offset.
+// Sends the answers of dispatches to the entry connections that read them. Each connection has its own
+// offset.
 #pragma once
 
 #include "sidecar/dispatch_record.hpp"
@@ -6,17 +7,20 @@
 
 namespace borageford::sidecar {
 
-/// Invariant: a reader is sent each byte once and in order, and the end only after the last byte.
+/// Sends answers to their readers. Invariant: each reader is sent every byte once and in order, and the
+/// message about the end of the answer only after the last byte.
 class answer_delivery {
 public:
     explicit answer_delivery(peer_registry& peers) : m_peers(peers) {}
 
-    /// Sends what each reader doesn't have yet.
+    /// Sends each reader the bytes that it hasn't been sent yet. Removes all readers when the answer has
+    /// ended.
     void deliver(dispatch_record& dispatch);
 
-    /// Adds a reader from this offset on, in place of the same connection's former one.
+    /// Starts to send the answer to `connection` from byte `offset` on. Replaces an earlier reader of the
+    /// same connection.
     void add_reader(dispatch_record& dispatch, connection_id connection, std::uint64_t offset);
-    /// Returns whether it was one.
+    /// Stops sending the answer to `connection`. Returns whether the connection was a reader.
     static bool remove_reader(dispatch_record& dispatch, connection_id connection);
 
 private:
--- a/src/sidecar/backend_monitor.cpp
+++ b/src/sidecar/backend_monitor.cpp
@@ -1,4 +1,4 @@
-// Health checks at a steady period.
+// Implementation of backend_monitor: periodic health checks of the backend server.
 #include "sidecar/backend_monitor.hpp"
 
 #include "base/log.hpp"
@@ -14,7 +14,8 @@
 
 namespace asio = boost::asio;
 
-/// A server that is busy may miss a check; one that misses several takes no new work.
+/// Failed health checks in a row after which the server counts as down. A single check may fail just because
+/// the server is busy.
 constexpr unsigned failed_checks_limit = 3;
 constexpr std::chrono::milliseconds shortest_retry{1000};
 constexpr std::chrono::milliseconds longest_retry{30'000};
@@ -49,7 +50,8 @@
     const auto is_healthy = co_await m_server.is_healthy();
     m_is_checking = false;
     if (epoch != m_epoch || m_is_stopped) {
-        co_return; // a loss noticed meanwhile is newer than this answer
+        co_return; // The server was found to be down while this check ran, so the result of the check is
+                   // outdated.
     }
     if (is_healthy) {
         set_up();
--- a/src/sidecar/backend_monitor.hpp
+++ b/src/sidecar/backend_monitor.hpp
@@ -1,4 +1,4 @@
-// Watches whether the backend server is alive.
+// Checks periodically whether the backend server is alive and reports when it goes down or comes up.
 #pragma once
 
 #include "backend/backend_server.hpp"
@@ -16,30 +16,36 @@
 
 namespace borageford::sidecar {
 
-/// Used on its strand, but for is_up(). It's down until a first check says otherwise.
+/// Monitors the backend server. is_up() may be called from any thread, all other functions only on the
+/// strand. The server counts as down until the first health check has succeeded.
 class backend_monitor {
 public:
     struct callbacks {
+        /// The server answered a health check and had been down before.
         std::function<void()> came_up;
-        /// Called at once when the loss is noticed, before anyone else learns of it.
+        /// The server was found to be down. Called before the function that found it returns, so before any
+        /// request is reported as failed because of it.
         std::function<void()> went_down;
     };
 
     backend_monitor(boost::asio::strand<boost::asio::any_io_executor> strand, timer_service& timers,
                     backend::backend_server& server, std::chrono::milliseconds period);
 
+    /// Checks now and then once every period.
     void start(callbacks calls);
     void stop();
 
     [[nodiscard]] bool is_up() const noexcept { return m_is_up.load(); }
-    /// Counts the lives of the backend server as far as they have been told apart.
+    /// The number of times that the server was found to be down. Calls made in different epochs may have
+    /// reached different processes of the server.
     [[nodiscard]] std::uint64_t epoch() const noexcept { return m_epoch; }
 
-    /// A dispatch that was started in this epoch found the server gone, or without memory of it.
+    /// A dispatch that was started in `epoch` found that the server is down or has restarted and lost the
+    /// dispatch. Ignored when the server has already been found to be down since.
     void report_lost(std::uint64_t epoch);
 
-    /// When a caller should come back: as long as the server has been away, since how long it stays away is
-    /// learned only by waiting; between a second and half a minute.
+    /// How long a refused caller should wait before it retries: the time for which the server has been down
+    /// so far, because nothing else is known about how long it will stay down. Between 1 and 30 seconds.
     [[nodiscard]] std::chrono::milliseconds retry_after(policy::time_point now) const;
 
 private:
@@ -57,7 +63,7 @@
     std::atomic<bool> m_is_up = false;
     bool m_is_checking = false;
     bool m_is_stopped = false;
-    unsigned m_failed_checks = 0; ///< in a row
+    unsigned m_failed_checks = 0; ///< failed health checks in a row
     std::uint64_t m_epoch = 0;
     policy::time_point m_down_since = std::chrono::steady_clock::now();
 };
--- a/src/sidecar/cache_follower.cpp
+++ b/src/sidecar/cache_follower.cpp
@@ -1,4 +1,4 @@
-// Polling cache events.
+// Implementation of cache_follower: polls the engine's cache events.
 #include "sidecar/cache_follower.hpp"
 
 #include <boost/asio/co_spawn.hpp>
@@ -41,7 +41,7 @@
             take(batch);
         }
     } catch (const std::exception&) {
-        // Without events, what was learned from own starts stays.
+        // The poll failed. The prefixes recorded so far are kept, and the next poll tries again.
     }
     m_is_polling = false;
 }
--- a/src/sidecar/cache_follower.hpp
+++ b/src/sidecar/cache_follower.hpp
@@ -1,4 +1,5 @@
-// Follows the engine's cache events and corrects what is thought to be cached there.
+// Polls the engine's cache events and updates the sidecar's record of the prompt blocks that the engine has
+// cached.
 #pragma once
 
 #include "backend/backend_server.hpp"
@@ -10,14 +11,17 @@
 
 namespace borageford::sidecar {
 
-/// Used on the strand. Events are hints: they come late and with gaps.
+/// Applies the engine's cache events to sidecar_context::prefixes. Used on the strand only. The events are
+/// hints: they arrive late and some are missing.
 class cache_follower {
 public:
     cache_follower(sidecar_context& context, backend::backend_server& server);
 
+    /// Polls once every `cache_period` from now on. Does nothing when already started.
     void start();
     void stop() { m_timer.cancel(); }
-    /// The engine was started again and counts from the beginning.
+    /// To be called when the engine went down: it restarts with an empty cache and counts its events from 0
+    /// again.
     void reset();
 
 private:
@@ -29,8 +33,8 @@
     backend::backend_server& m_server;
     timer_subscription m_timer;
     bool m_is_polling = false;
-    std::uint64_t m_next = 0;
-    std::uint64_t m_life = 0; ///< of the engine, as far as it was told
+    std::uint64_t m_next = 0; ///< number of the next event to read
+    std::uint64_t m_life = 0; ///< number of resets; a poll that was started before a reset is discarded
 };
 
 } // namespace borageford::sidecar
--- a/src/sidecar/crash_marks.cpp
+++ b/src/sidecar/crash_marks.cpp
@@ -1,4 +1,4 @@
-// Crash marks in memory and at the table.
+// Implementation of crash_marks: crash marks in memory and in the platform's table.
 #include "sidecar/crash_marks.hpp"
 
 #include "base/log.hpp"
@@ -20,16 +20,19 @@
 
 namespace asio = boost::asio;
 
+/// The most rows that are read from the table at once.
 constexpr std::size_t scan_limit = 1000;
 constexpr std::chrono::milliseconds write_pause{200};
-constexpr unsigned write_attempts = 300; ///< with the pause between them: at least a minute of outage
+constexpr unsigned write_attempts =
+    300; ///< with `write_pause` between them, so that an outage of a minute is survived
 
 std::int64_t milliseconds_since_1970() {
     const auto now = std::chrono::system_clock::now().time_since_epoch();
     return std::chrono::duration_cast<std::chrono::milliseconds>(now).count();
 }
 
-/// The marks of a row; none when another version wrote it in a way that this one can't read.
+/// The marks in a row. Logs an error and returns none if the row can't be decoded, for example because
+/// another version of the program wrote it.
 std::vector<crash_mark> read_marks(const store::row& row) {
     try {
         return marks::decode_row(row.value);
@@ -136,8 +139,9 @@
     log::error("crash_mark_not_written", {{"row", marks::key_for(fingerprint)}});
 }
 
-/// Reads the row first: another backend server may have died of the same request, and a lost answer of an
-/// earlier attempt shows as our mark standing there.
+/// Adds the mark to its row. Returns false if the write has to be retried. The row is read first because it
+/// may contain marks of other sidecars, and because it shows whether an earlier attempt, whose answer was
+/// lost, has written this mark already.
 asio::awaitable<bool> crash_marks::try_write(std::uint64_t fingerprint, const crash_mark& mark) {
     const auto key = marks::key_for(fingerprint);
     try {
@@ -164,12 +168,13 @@
     try {
         forget_released(co_await read_rows());
     } catch (const store::store_error&) {
-        // What is known stays while the platform is out.
+        // The platform is unavailable. The marks in memory are kept.
     }
     m_is_reading = false;
 }
 
-/// Returns the fingerprints that have a row.
+/// Adds the marks of all rows in the table and removes expired rows. Returns the fingerprints that have a
+/// row.
 asio::awaitable<std::set<std::uint64_t>> crash_marks::read_rows() {
     std::set<std::uint64_t> standing;
     std::string after;
@@ -185,7 +190,8 @@
             for (const auto& mark : marks) {
                 take(fingerprint, mark);
             }
-            // One sidecar removes it, not all of them at once.
+            // Only the sidecar of the backend server in the last mark removes the row, so that not all
+            // sidecars try to.
             const auto is_over =
                 std::ranges::all_of(marks, [this](const crash_mark& mark) { return is_expired(mark); });
             if (is_over && !marks.empty() && marks.back().backend_server == m_backend_server) {
@@ -206,7 +212,8 @@
     co_await m_table.transact(changes);
 }
 
-/// A row that is gone was released by an operator or has expired; one not yet written stays.
+/// Removes the fingerprints that have no row in the table any more: an operator released them, or they
+/// expired. Fingerprints with a mark that isn't written to the table yet are kept.
 void crash_marks::forget_released(const std::set<std::uint64_t>& standing) {
     std::erase_if(m_order, [&](std::uint64_t fingerprint) {
         const auto found = m_entries.find(fingerprint);
--- a/src/sidecar/crash_marks.hpp
+++ b/src/sidecar/crash_marks.hpp
@@ -1,5 +1,5 @@
-// Marks of requests that were running when a backend server died: those made here and those heard of, and
-// their rows at the platform's table.
+// Crash marks: records of the requests that were running when a backend server died. This sidecar's own marks
+// and the marks received from other processes are kept in memory and as rows of the platform's table.
 #pragma once
 
 #include "base/identifier.hpp"
@@ -27,41 +27,48 @@
 
 using marks::crash_mark;
 
-/// Used on its strand. Invariants: a mark counts once, however often it is heard of; at most
-/// `fingerprint_limit` fingerprints are held, the oldest going first.
+/// The crash marks that this sidecar has made or received. Used on its strand only. Invariants: a mark counts
+/// once, however often it is received; at most `fingerprint_limit` fingerprints are kept, and the oldest is
+/// removed first.
 class crash_marks {
 public:
     static constexpr std::size_t fingerprint_limit = 10'000;
-    /// Marks of one fingerprint beyond this change nothing.
+    /// The most marks that are kept for one fingerprint. Further marks are ignored.
     static constexpr std::size_t marks_limit = 16;
 
-    /// `lifetime`: how long a mark counts.
+    /// `backend_server` is the name of this sidecar's own backend server. A mark counts for `lifetime` after
+    /// it was made.
     crash_marks(boost::asio::strand<boost::asio::any_io_executor> strand, timer_service& timers,
                 store::table& table, std::string backend_server, std::chrono::milliseconds lifetime);
 
-    /// Starts to read the marks at the table at this period: those of others, and those that were released.
+    /// Reads the marks in the table now and then once every `period`, to learn of other sidecars' marks and
+    /// of marks that an operator has released.
     void start(std::chrono::milliseconds period);
     void stop();
 
-    /// Backend servers known to have died while this request ran.
+    /// How many unexpired marks this request has: the number of known times that a backend server died while
+    /// the request was running.
     [[nodiscard]] std::size_t count(std::uint64_t fingerprint) const;
 
-    /// A peer told of a mark.
+    /// Adds a mark that was received from a peer. A mark with the time 0 gets the current time.
     void take(std::uint64_t fingerprint, const crash_mark& mark);
 
-    /// Makes a mark for a request that ran when the backend server died.
+    /// Creates a mark for a request that was running when this sidecar's backend server died. The returned
+    /// reference is valid until marks are next added or removed.
     const crash_mark& add(std::uint64_t fingerprint);
 
-    /// Writes a mark's row; gives up after `limit`, and goes on trying in the background.
+    /// Writes the mark to the table. Returns when the mark is written or after `limit`, whichever comes
+    /// first; after `limit` the write is still retried in the background.
     boost::asio::awaitable<void> write(std::uint64_t fingerprint, crash_mark mark,
                                        std::chrono::milliseconds limit);
 
 private:
     struct entry {
         std::vector<crash_mark> marks;
-        bool is_written = true; ///< its row has all of them
+        bool is_written = true; ///< whether the table's row contains all of `marks`
     };
 
+    /// The entry for `fingerprint`, created if there is none.
     entry& hold(std::uint64_t fingerprint);
     boost::asio::awaitable<bool> try_write(std::uint64_t fingerprint, const crash_mark& mark);
     boost::asio::awaitable<void> write_until_done(std::uint64_t fingerprint, crash_mark mark,
--- a/src/sidecar/dispatch_manager.cpp
+++ b/src/sidecar/dispatch_manager.cpp
@@ -1,4 +1,4 @@
-// The life of a started dispatch.
+// Implementation of dispatch_manager: the life of a started dispatch.
 #include "sidecar/dispatch_manager.hpp"
 
 #include "base/log.hpp"
@@ -61,8 +61,9 @@
     m_runner.start(dispatch);
 }
 
-/// An answer that isn't streamed shows no first token, and a plain service prefills nothing. Counted as
-/// prefilling to its end, it would keep others out all that time.
+/// Ends the prefill of a dispatch that has no first token to show when its prefill is over: an answer that
+/// isn't streamed, or a call to a plain service, which has no prefill. If such a dispatch counted as
+/// prefilling until its end, it would block other requests for all that time.
 void dispatch_manager::watch_prefill(const record_pointer& dispatch) {
     if (dispatch->call.streamed && !dispatch->request.is_service) {
         return;
@@ -100,8 +101,9 @@
         if (m_is_backend_known) {
             adopt(connection, request);
         } else if (m_early_attaches.size() < most_early_attaches) {
-            // A plain service that is asked for a stream as if it were an engine answers something, and its
-            // answer would be taken for that of the call.
+            // The dispatch can't be adopted yet, because only an engine can resume a stream. A plain service
+            // would also respond to the request to resume, and that response would be taken for the answer of
+            // the dispatch.
             m_early_attaches.push_back({connection, request});
         }
         return;
@@ -112,7 +114,7 @@
         send_fate(connection, request.dispatch, wire::dispatch_fate::not_begun);
         return;
     case ledger::attach_result::finished: {
-        // Its answer was acknowledged, or has given way to others.
+        // The answer was acknowledged, or removed to keep within the limits of the dispatch_store.
         send_fate(connection, request.dispatch, wire::dispatch_fate::finished);
         wire::answer_end_message end;
         end.dispatch = request.dispatch;
@@ -135,7 +137,8 @@
     }
 }
 
-/// A former incarnation of this sidecar got the start: only the backend server can know what became of it.
+/// Resumes a dispatch that was started by a previous process of this sidecar. Only the backend server can
+/// know what became of it.
 void dispatch_manager::adopt(connection_id connection, const wire::attach_message& request) {
     const auto dispatch = std::make_shared<dispatch_record>();
     dispatch->request.dispatch = wire::from_wire(request.dispatch);
@@ -150,7 +153,8 @@
     m_runner.start(dispatch);
 }
 
-/// Only now is it known that the backend server still has it.
+/// Tells the readers of an adopted dispatch that it is running. Called once the backend server has confirmed
+/// that it still has the dispatch.
 void dispatch_manager::announce_adopted(dispatch_record& dispatch) {
     if (!dispatch.is_adopted || dispatch.is_announced) {
         return;
@@ -169,8 +173,9 @@
     m_context.peers.send(connection, std::move(fate));
 }
 
-/// An answer that isn't idempotent stays for a resend with the same key, as long as there's room: it can't be
-/// had by running the call again.
+/// The answer of a request that isn't idempotent is kept within the limits of the dispatch_store also after
+/// the acknowledgement, for a caller that sends the request again with the same key: the request must not be
+/// run a second time to get its answer.
 void dispatch_manager::acknowledge(const wire::acknowledge_message& request) {
     m_context.store.acknowledge(wire::from_wire(request.dispatch));
 }
@@ -190,8 +195,9 @@
     }
 }
 
-/// Nobody reads it: a resend may come for it soon, yet an answer for nobody must not hold room for long.
-/// One that isn't idempotent goes on, since cancelling it would leave its effect half done.
+/// Cancels a dispatch that has no readers after `resend_grace`, unless a caller sends the request again
+/// before that and attaches to it: an answer that nobody reads must not occupy the backend server for long. A
+/// request that isn't idempotent goes on, because cancelling it could leave its effect half done.
 void dispatch_manager::start_grace(const record_pointer& dispatch) {
     if (!dispatch->readers.empty() || dispatch->ended || !dispatch->request.is_idempotent) {
         return;
@@ -223,7 +229,8 @@
         m_calls.room_freed();
         return;
     }
-    // Tokens that came in one piece: each is taken to have taken its share of the time.
+    // Several tokens may arrive in one piece. Each of them counts with an equal share of the time since the
+    // previous piece.
     const auto each = (now - dispatch.last_token) / static_cast<std::int64_t>(tokens);
     dispatch.last_token = now;
     m_context.limit.record_between_tokens(each, now);
@@ -262,12 +269,14 @@
     if (dispatch.tokens > 0 || usage.output_tokens == 0) {
         return;
     }
-    // Not streamed: its tokens are known only now, and the time of each only as their mean.
+    // The answer wasn't streamed. The number of its tokens is known only now, and only their mean time can be
+    // measured.
     m_context.costs.record_output_tokens(usage.output_tokens, true, now);
     m_context.limit.record_between_tokens((now - dispatch.started) / std::int64_t{usage.output_tokens}, now);
 }
 
-/// The backend server can't have got it: the entry may place it elsewhere.
+/// Reports to the readers that the dispatch has not begun, because the backend server can't have received the
+/// call. The entry may place the request elsewhere.
 void dispatch_manager::take_back(const record_pointer& dispatch) {
     const auto now = steady_clock::now();
     const auto& request = dispatch->request;
@@ -301,8 +310,8 @@
 }
 
 void dispatch_manager::choose_suspects() {
-    // A request that ran at a dead server before is the likelier cause. Marking those beside it again would
-    // put the innocent in quarantine with it.
+    // If a running request already has a crash mark, that request is the more likely cause. Marking the other
+    // running requests as well would quarantine requests that did no harm.
     auto running = m_context.store.running();
     const auto is_marked = [this](const record_pointer& dispatch) {
         return m_context.marks.count(dispatch->request.fingerprint) > 0;
@@ -323,8 +332,9 @@
     });
 }
 
-/// The mark is written before the failure is told: a caller that sends the request again at once, to another
-/// entry, must find it.
+/// Marks the request of a dispatch whose backend server died. The mark is written before the failure is
+/// reported to the readers: a caller may send the request again at once to another entry, which must find the
+/// mark.
 asio::awaitable<void> dispatch_manager::report_lost(record_pointer dispatch) {
     if (!dispatch->is_suspect || dispatch->request.fingerprint == 0) {
         co_return;
--- a/src/sidecar/dispatch_manager.hpp
+++ b/src/sidecar/dispatch_manager.hpp
@@ -1,5 +1,6 @@
-// Follows every started dispatch: runs it, sends its answer to those who read it, keeps the answer, and ends
-// it when nobody waits for it.
+// Manages started dispatches: runs each of them at the backend server, sends its answer to the entry
+// connections that read it, keeps the answer for a while, and cancels a dispatch that no connection reads any
+// more.
 #pragma once
 
 #include "sidecar/answer_delivery.hpp"
@@ -16,36 +17,46 @@
 
 namespace borageford::sidecar {
 
-/// Used on the strand. Invariant: each started dispatch ends once, and gives its room back once.
+/// Manages the dispatches that the offer_scheduler has started and those that are adopted from a previous
+/// process of this sidecar. Used on the strand only. Invariant: each dispatch ends once, and its capacity at
+/// the backend server is released once.
 class dispatch_manager {
 public:
     using record_pointer = dispatch_store::record_pointer;
 
     struct callbacks {
-        /// A dispatch has given room back, or has ended its prefill.
+        /// A dispatch has released capacity at the backend server or finished its prefill, so that a waiting
+        /// request may be granted.
         std::function<void()> room_freed;
-        /// When a caller of this tier should come back.
+        /// How long a caller of a request of this tier should wait before it retries.
         std::function<std::chrono::milliseconds(unsigned tier)> retry_after;
     };
 
     dispatch_manager(sidecar_context& context, backend::backend_server& server,
                      const identifier& own_incarnation, callbacks calls);
 
-    /// Runs a dispatch that the ledger has just begun, for its first reader.
+    /// Runs a dispatch that the ledger has just recorded as started. Its answer is sent to `reader`.
     void begin(const record_pointer& dispatch, connection_id reader);
 
+    /// Tells the connection the state of the dispatch it asks about, and sends it the answer from the
+    /// requested offset on if there is one.
     void attach(connection_id connection, const wire::attach_message& request);
 
-    /// The configuration says what stands behind this sidecar: questions that waited for it are answered.
+    /// To be called when the configuration first says which kind of backend server this sidecar has. Handles
+    /// the attach messages that waited for it.
     void note_backend_known();
+    /// An entry has received a complete answer.
     void acknowledge(const wire::acknowledge_message& request);
+    /// An entry doesn't read the answer any more, because its caller has disconnected.
     void abandon(connection_id connection, const wire::abandon_message& request);
+    /// Removes a closed connection from the readers of all running dispatches.
     void drop_connection(connection_id connection);
 
-    /// The backend server was found gone: settles which requests may be what it died of.
+    /// To be called when the backend server was found to be down, before the dispatches that it ran end. Sets
+    /// `is_suspect` of each dispatch whose request may have caused the crash.
     void choose_suspects();
 
-    /// Whether a request that ran beside a dead server already is running now.
+    /// Whether a request that has a crash mark is running now.
     [[nodiscard]] bool is_running_marked() const;
 
 private:
@@ -63,7 +74,8 @@
     void start_grace(const record_pointer& dispatch);
     boost::asio::awaitable<void> report_lost(record_pointer dispatch);
 
-    /// A question for the fate of a former incarnation's dispatch that came too early to be answered.
+    /// An attach message about a dispatch of a previous process of this sidecar, received before the
+    /// configuration said which kind of backend server this is.
     struct early_attach {
         connection_id connection{};
         wire::attach_message request;
@@ -72,7 +84,8 @@
     sidecar_context& m_context;
     identifier m_own_incarnation;
     bool m_is_backend_known = false;
-    std::vector<early_attach> m_early_attaches; ///< empty once the backend is known; bounded
+    /// Empty once `m_is_backend_known` is true; at most 10,000 messages.
+    std::vector<early_attach> m_early_attaches;
     callbacks m_calls;
     answer_delivery m_delivery;
     dispatch_runner m_runner;
--- a/src/sidecar/dispatch_runner.cpp
+++ b/src/sidecar/dispatch_runner.cpp
@@ -1,4 +1,5 @@
-// Running one dispatch: call, read, check, resume after a cut.
+// Implementation of dispatch_runner: calls the backend server, reads and checks the answer, and resumes
+// reading after a broken connection.
 #include "sidecar/dispatch_runner.hpp"
 
 #include "base/log.hpp"
@@ -18,19 +19,20 @@
 namespace asio = boost::asio;
 
 constexpr unsigned status_ok = 200;
-/// Statuses by which an engine says that the request itself is at fault: they are the caller's answer.
+/// HTTP statuses by which an engine reports an error in the request itself. The engine's response is passed
+/// on to the caller.
 constexpr std::array<unsigned, 4> request_fault_statuses{400, 404, 413, 422};
-/// Cuts in a row, without a byte in between, after which resuming is given up.
+/// How often an answer is resumed without receiving a byte before the dispatch fails.
 constexpr unsigned resume_limit = 3;
 
 } // namespace
 
-/// Where one dispatch stands while it is followed.
+/// The state of one dispatch while its answer is read.
 struct dispatch_runner::attempt {
     backend::event_stream_checker checker;
     bool must_resume = false;
-    unsigned resumes = 0; ///< since the last byte
-    bool is_over = false; ///< its end was reported
+    unsigned resumes = 0; ///< number of resumes since the last byte was received
+    bool is_over = false; ///< a callback has reported the end of the dispatch
     backend::failure failed = backend::failure::cut;
     std::string error;
     bool has_failed = false;
@@ -114,7 +116,8 @@
         std::ranges::find(request_fault_statuses, status) == request_fault_statuses.end()) {
         throw backend::backend_error(backend::failure::refused, "status " + std::to_string(status));
     }
-    // Of an adopted dispatch only the answer itself tells how it was asked for.
+    // For an adopted dispatch, whether the caller asked for a stream is known only from the answer's content
+    // type.
     const auto is_stream = (dispatch.call.streamed && !dispatch.is_adopted) ||
                            dispatch.answer.head()->content_type.starts_with("text/event-stream");
     for (auto piece = co_await dispatch.stream->read_some(); !piece.empty();
@@ -138,7 +141,8 @@
     }
 }
 
-/// Decides what a failure means. Leaves `state.is_over` false when the dispatch is to be resumed.
+/// Handles the failure in `state`: reports the end of the dispatch and sets `state.is_over`, or leaves it
+/// false when reading is to be resumed.
 asio::awaitable<void> dispatch_runner::recover(const record_pointer& dispatch, attempt& state) {
     using enum backend::failure;
     if (dispatch->is_cancelled) {
@@ -168,8 +172,8 @@
     const auto is_gone =
         state.failed == unreachable || (state.failed == cut && !co_await m_server.is_healthy());
     if (is_gone) {
-        // Told before this dispatch ends, so that what ran beside it is known while it still counts as
-        // running.
+        // Reported before this dispatch ends, because dispatch_manager::choose_suspects looks at all
+        // dispatches that were running when the server went down, including this one.
         m_monitor.report_lost(dispatch->backend_epoch);
         co_await m_calls.lost(dispatch);
     }
--- a/src/sidecar/dispatch_runner.hpp
+++ b/src/sidecar/dispatch_runner.hpp
@@ -1,4 +1,4 @@
-// Runs started dispatches at the backend server and follows each answer to its end.
+// Runs started dispatches at the backend server and reads each answer to its end.
 #pragma once
 
 #include "backend/answer_checker.hpp"
@@ -17,33 +17,36 @@
 
 namespace borageford::sidecar {
 
-/// Used on its strand, where all callbacks run.
+/// Runs dispatches. Used on its strand only; all callbacks are called on the strand.
 class dispatch_runner {
 public:
     using record_pointer = std::shared_ptr<dispatch_record>;
 
     struct callbacks {
-        /// The head or more bytes are in the answer; `bytes` of them are new.
+        /// The head or body of the record's answer has grown. `bytes` is the number of new bytes of the body.
         std::function<void(dispatch_record&, std::size_t bytes)> progressed;
-        /// Events of a streamed answer have come.
+        /// The given number of output tokens of a streamed answer has been received.
         std::function<void(dispatch_record&, std::size_t tokens)> tokens_came;
-        /// The answer has ended; the record's ending isn't set yet.
+        /// The answer has ended as described by the answer_ending. The callback must store the ending in the
+        /// record.
         std::function<void(const record_pointer&, answer_ending)> ended;
-        /// The backend server can't have got the call.
+        /// The backend server can't have received the call, because nothing was sent to it.
         std::function<void(const record_pointer&)> never_began;
-        /// The backend server died or forgot the dispatch; waits until that is written down.
+        /// The backend server died, or lost the dispatch. The runner waits for the returned operation before
+        /// it reports the end of the dispatch.
         std::function<boost::asio::awaitable<void>(const record_pointer&)> lost;
-        /// A former incarnation's dispatch that the backend server doesn't know either.
+        /// The backend server doesn't know a dispatch that was adopted from a previous process of this
+        /// sidecar.
         std::function<void(const record_pointer&)> unknown;
     };
 
     dispatch_runner(boost::asio::strand<boost::asio::any_io_executor> strand, backend::backend_server& server,
                     backend_monitor& monitor, const sidecar_settings& settings, callbacks calls);
 
-    /// Runs the record's call, or resumes an adopted dispatch.
+    /// Starts to run the record's call or, if the dispatch is adopted, to resume its answer.
     void start(const record_pointer& dispatch);
 
-    /// Ends a running dispatch and tells the backend server.
+    /// Cancels a running dispatch, here and at the backend server.
     void cancel(const record_pointer& dispatch);
 
 private:
--- a/src/sidecar/dispatch_store.cpp
+++ b/src/sidecar/dispatch_store.cpp
@@ -1,4 +1,4 @@
-// Keeping started dispatches within bounds.
+// Implementation of dispatch_store.
 #include "sidecar/dispatch_store.hpp"
 
 #include <algorithm>
--- a/src/sidecar/engine_plan.cpp
+++ b/src/sidecar/engine_plan.cpp
@@ -1,4 +1,4 @@
-// Planning orders.
+// Implementation of plan_orders().
 #include "sidecar/engine_plan.hpp"
 
 #include <algorithm>
--- a/src/sidecar/engine_plan.hpp
+++ b/src/sidecar/engine_plan.hpp
@@ -1,4 +1,4 @@
-// Compares what the configuration wants of an engine with what the engine reports. Pure.
+// Compares the configured state of an engine with the state that the engine reports. Has no side effects.
 #pragma once
 
 #include "backend/backend_types.hpp"
@@ -8,9 +8,10 @@
 
 namespace borageford::sidecar {
 
-/// What is still to be ordered, in order: the role first, loads before unloads, so that nothing that is
-/// served is missing longer than needed. Fencing numbers aren't set. Empty when the engine is as it should
-/// be.
+/// The orders that bring the engine from the state `now` to the configured state of `server`, in the order in
+/// which they are to be given: the role first, and loads before unloads, so that a model that is served is
+/// unavailable no longer than needed. The orders' fencing numbers are 0. Empty when the engine is in the
+/// configured state.
 [[nodiscard]] std::vector<backend::order> plan_orders(const configuration::configuration& wanted,
                                                       const configuration::backend_server& server,
                                                       const backend::engine_state& now);
