--- a/src/sidecar/fencing_lease.cpp
+++ b/src/sidecar/fencing_lease.cpp
@@ -1,4 +1,4 @@
-// Taking, renewing and releasing the right to order.
+// Implementation of fencing_lease.
 #include "sidecar/fencing_lease.hpp"
 
 #include <boost/json.hpp>
@@ -36,7 +36,7 @@
         row.writes = parsed.at("writes").to_number<std::uint64_t>();
         return row;
     } catch (const std::exception& error) {
-        throw std::invalid_argument(std::string("not a row of a fencing number: ") + error.what());
+        throw std::invalid_argument(std::string("not a valid fencing row: ") + error.what());
     }
 }
 
@@ -58,8 +58,9 @@
     const auto held = row ? decode_fencing(row->value) : fencing_row{};
     const bool is_own = row && held.holder == m_incarnation;
     const bool is_free = !row || held.is_released || is_own;
-    // From before the write: the row may take effect any time between now and the answer, and whoever waits
-    // this lease out counts from when it sees the write.
+    // The lease counts from before the write, because the write may take effect at any time between now and
+    // the answer. A new holder that waits for this lease to expire counts from when it has read the write, so
+    // later.
     const auto asked = steady_clock::now();
     if (!is_free && m_number != 0 && must_respect(held, version, asked)) {
         co_return std::nullopt;
@@ -79,8 +80,9 @@
     co_return wait;
 }
 
-/// Who was displaced leaves the row to the newer holder while that one goes on writing it: taking it back
-/// would set the two of them ordering against each other for ever.
+/// Whether a sidecar that has lost the row to another holder must leave the row to that holder: as long as
+/// the holder keeps renewing it. If the sidecar took the row back, the two of them would give contradicting
+/// orders for ever.
 bool fencing_lease::must_respect(const fencing_row& held, std::uint64_t version, policy::time_point now) {
     if (m_seen_version != version) {
         m_seen_version = version;
@@ -104,7 +106,7 @@
         }
         is_lost = true;
     }
-    // The answer was lost: the row says whether the write took effect.
+    // The answer was lost. The row shows whether the write took effect.
     const auto row = co_await m_table.read(m_key);
     co_return is_lost&& row && row->value == value;
 }
@@ -113,7 +115,8 @@
     if (m_number == 0) {
         co_return;
     }
-    m_valid_until = {}; // before anyone can learn of it
+    // No more orders are allowed before another sidecar can see the release.
+    m_valid_until = {};
     try {
         const auto row = co_await m_table.read(m_key);
         if (!row) {
@@ -127,7 +130,7 @@
         ++held.writes;
         co_await write(held, row->version);
     } catch (const std::exception&) {
-        // Whoever comes next waits the lease out.
+        // The next holder has to wait until the lease expires.
     }
 }
 
--- a/src/sidecar/loaded_models.hpp
+++ b/src/sidecar/loaded_models.hpp
@@ -1,4 +1,4 @@
-// Which models the engine has loaded, as far as it could be asked.
+// The models that the engine has loaded, as it reported them last.
 #pragma once
 
 #include <algorithm>
@@ -10,21 +10,23 @@
 
 namespace borageford::sidecar {
 
-/// Until the engine has been asked, no request is let in: it would be answered with an error for a model that
-/// is about to be loaded.
+/// The engine's loaded models. Before the engine has reported them, no model counts as loaded, so that no
+/// request is accepted: the engine would answer it with an error if the model is still to be loaded.
 class loaded_models {
 public:
-    /// The engine has been started again, or was never asked.
+    /// To be called when the engine went down: its models are unknown until it reports them again.
     void forget() noexcept { m_state = state::not_asked; }
-    /// It can't say: everything that is configured counts as loaded.
+    /// The engine can't report its models. From now on every model counts as loaded.
     void set_unreadable() noexcept { m_state = state::unreadable; }
+    /// Sets the names of the models that the engine has reported.
     void set(std::vector<std::string> names) {
         m_names = std::move(names);
         m_state = state::known;
     }
 
-    /// Safe from any thread.
+    /// Whether the engine has been asked for its models since it came up. May be called from any thread.
     [[nodiscard]] bool is_asked() const noexcept { return m_state != state::not_asked; }
+    /// Whether the model counts as loaded.
     [[nodiscard]] bool has(const std::string& name) const {
         if (m_state == state::known) {
             return std::ranges::find(m_names, name) != m_names.end();
--- a/src/sidecar/offer_scheduler.cpp
+++ b/src/sidecar/offer_scheduler.cpp
@@ -1,4 +1,4 @@
-// Offers, grants and starts, by the points of docs/design/dispatch.md.
+// Implementation of offer_scheduler: offers, grants and starts, following docs/design/dispatch.md.
 #include "sidecar/offer_scheduler.hpp"
 
 #include <algorithm>
@@ -12,7 +12,7 @@
 
 namespace {
 
-/// A request under which so many backend servers have died isn't run any more.
+/// The number of crash marks, and so of dead backend servers, at which a request is refused as quarantined.
 constexpr std::size_t quarantine_marks = 2;
 
 std::uint32_t to_wire_milliseconds(milliseconds time) {
@@ -144,7 +144,7 @@
     return queued;
 }
 
-/// From the start to the end of the answer, by measured rates; zero as far as nothing was measured.
+/// The expected time of the request's prefill by the measured rate; zero if no rate was measured yet.
 duration offer_scheduler::expected_service(const offered_request& request) const {
     double seconds = 0;
     if (m_context.costs.prefill_rate() > 0) {
@@ -208,7 +208,8 @@
     }
 }
 
-/// A plain service has no tokens by which a limit could be found: there the configured slots are the limit.
+/// Whether the backend server has capacity for the request. A plain service produces no tokens from which a
+/// limit could be measured, so its limit is the configured number of slots.
 bool offer_scheduler::has_room_for(const offered_request& request) const {
     if (!request.is_service) {
         return m_context.limit.has_room(request.prefill_tokens);
@@ -218,9 +219,9 @@
     return server != nullptr && m_context.limit.running() < server->slots;
 }
 
-/// At most one request that a backend server has died of before runs at a time: were two of them running
-/// when this one dies too, there would be no telling which it was, and an innocent one would be refused from
-/// then on.
+/// Whether the request has a crash mark and another request with a crash mark is granted or running. At most
+/// one such request runs at a time: if the backend server died while two of them were running, it would be
+/// unknown which of them caused it, and a harmless request could be quarantined.
 bool offer_scheduler::must_wait_alone(const offered_request& request) const {
     if (m_context.marks.count(request.fingerprint) == 0) {
         return false;
--- a/src/sidecar/offer_scheduler.hpp
+++ b/src/sidecar/offer_scheduler.hpp
@@ -1,4 +1,5 @@
-// Decides about offers: queue or refuse, whom to grant room next, and whether a start may run.
+// Decides about offered requests: whether to queue or refuse an offer, which offer to grant next, and whether
+// a start message may run its request.
 #pragma once
 
 #include "policy/offer_queue.hpp"
@@ -15,45 +16,51 @@
 
 namespace borageford::sidecar {
 
-/// Used on the strand. Invariants: every offer in `m_offers` is in the queue or granted, never both; room is
-/// reserved for each granted one until it starts, is withdrawn or lapses; what leaves `m_offers` unstarted
-/// has a tombstone in the ledger before its entry is told.
+/// Schedules the offers of all entries. Used on the strand only. Invariants: every offer in `m_offers` is
+/// either in the queue or granted; capacity is reserved for each granted offer until it starts, is withdrawn
+/// or its grant expires; an offer that is removed from `m_offers` without a start gets a tombstone in the
+/// ledger before its entry is informed, so that a late start message can't run it.
 class offer_scheduler {
 public:
     offer_scheduler(sidecar_context& context, dispatch_manager& dispatches);
 
+    /// Queues or refuses an offer and replies to it.
     void take(connection_id connection, const wire::offer_message& offer);
+    /// Starts a granted offer, or replies that it has not begun.
     void start(connection_id connection, wire::start_message request);
+    /// Removes an offer that has not started. Also ends a lookup_only offer.
     void withdraw(const wire::withdraw_message& request);
 
-    /// An entry asks after this dispatch as a started one: as an offer it is over. Its fate is told by
-    /// whoever answers that question.
+    /// Withdraws the offer without a message to its entry. Called when an entry attaches to the dispatch:
+    /// that entry counts the dispatch as started, and dispatch_manager::attach reports what became of it.
     void give_up(dispatch_id dispatch);
 
-    /// Offers of a connection that is gone count as withdrawn; no grant can be answered any more.
+    /// Withdraws all offers of a closed connection, because their grants could not be answered any more.
     void drop_connection(connection_id connection);
 
-    /// Gives grants as long as there is room.
+    /// Grants queued offers as long as the backend server has capacity.
     void grant_room();
 
-    /// Lapses grants, and refuses what can't meet its deadline any more.
+    /// Ends grants that have expired, and refuses queued offers that can't meet their deadline any more.
     void tick();
 
-    /// Ends everything that hasn't started, and takes no more.
+    /// Ends all offers that have not started, and refuses new ones from now on.
     void drain();
 
-    /// While held, offers are queued but nothing is granted or started: the process was frozen and must first
-    /// learn whether its revision is still in force.
+    /// While `is_held` is true, offers are queued but none is granted or started. Used after the process was
+    /// frozen, until it is known whether the configuration revision is still in force.
     void hold(bool is_held);
 
-    /// The backend server or the configuration has changed: what can't be served any more is refused.
+    /// Refuses the offers that can't be served any more. To be called when the backend server or the
+    /// configuration has changed.
     void review();
 
-    /// When a refused caller should come back: from the measured drain rate, or from how long the backend
-    /// server has been away.
+    /// How long a refused caller of this tier should wait before it retries, derived from the measured rate
+    /// at which the queue drains or, while the backend server is down, from how long it has been down.
     [[nodiscard]] std::chrono::milliseconds retry_after(unsigned tier) const;
 
     [[nodiscard]] std::unique_ptr<wire::load_report_message> make_load_report() const;
+    /// The number of offers that are queued or granted.
     [[nodiscard]] std::size_t waiting() const noexcept { return m_offers.size(); }
 
 private:
@@ -61,12 +68,12 @@
         offered_request request;
         connection_id connection = 0;
         policy::queued_offer queued;
-        std::optional<policy::admission> admission; ///< once granted
-        std::uint64_t granted_revision = 0;
+        std::optional<policy::admission> admission; ///< set when granted
+        std::uint64_t granted_revision = 0;         ///< configuration revision at the time of the grant
     };
     using offer_map = std::unordered_map<dispatch_id, pending_offer>;
 
-    /// Why this can't be served here now; nothing when it can.
+    /// Why the request can't be served here now; std::nullopt when it can.
     [[nodiscard]] std::optional<error_kind> find_obstacle(const offered_request& request) const;
     [[nodiscard]] offered_request read_offer(const wire::offer_message& offer) const;
     [[nodiscard]] policy::queued_offer to_queued(const offered_request& request) const;
@@ -80,9 +87,10 @@
     void grant_next(time_point now);
     void not_begun(connection_id connection, const wire::id& dispatch, error_kind kind,
                    std::chrono::milliseconds retry_after);
-    /// Ends an offer that hasn't started: tombstone first, then the message.
+    /// Ends an offer that hasn't started: writes its tombstone to the ledger first, then sends the message to
+    /// its entry.
     void end_offer(dispatch_id dispatch, error_kind kind);
-    /// Gives back the room of a granted offer.
+    /// Releases the capacity of a granted offer. Does nothing if the offer isn't granted.
     void release(pending_offer& offer);
 
     sidecar_context& m_context;
--- a/src/sidecar/order_controller.cpp
+++ b/src/sidecar/order_controller.cpp
@@ -1,4 +1,4 @@
-// Comparing and ordering.
+// Implementation of order_controller.
 #include "sidecar/order_controller.hpp"
 
 #include "base/log.hpp"
@@ -90,8 +90,8 @@
     }
     const auto current = m_context.configuration.current();
     const auto* server = current->find_backend_server(m_context.settings.backend_server);
-    // Only the configuration says whether this is an engine: asked before it is known, a plain service would
-    // take the question for a call and run it.
+    // Only the configuration says whether the backend server is an engine. A plain service would run a
+    // request for its state as a call.
     if (server == nullptr || server->kind != configuration::backend_kind::engine) {
         co_return;
     }
@@ -109,11 +109,13 @@
     }
 }
 
-/// Gives the first of the orders: the next comparison reads the state back and finds what is left.
+/// Gives only the first of the orders. The next comparison reads the engine's state again and plans the
+/// remaining orders.
 asio::awaitable<void> order_controller::give(std::vector<backend::order> orders, bool is_checked) {
     auto command = orders.front();
     if (is_load(command)) {
-        // The weight store is rate-limited, and a new revision reaches all sidecars at once.
+        // A random delay spreads the loads, because a new revision reaches all sidecars at the same time and
+        // the store that the weights are loaded from is rate-limited.
         co_await pause(random_delay(m_context.settings.load_spread));
     }
     if (!co_await hold_lease(is_checked)) {
@@ -121,7 +123,7 @@
     }
     auto* engine = m_server.as_engine();
     const auto limit = m_context.settings.order_timeout;
-    // A process that was paused up to here finds its lease over on the monotonic clock.
+    // If the process was paused before this point, the monotonic clock shows that its lease has expired.
     if (engine == nullptr || m_is_stopped || m_lease.time_left(steady_clock::now()) <= limit) {
         co_return;
     }
@@ -136,7 +138,7 @@
     }
 }
 
-/// Returns whether orders may be given now.
+/// Acquires or renews the lease if needed. Returns whether orders may be given now.
 asio::awaitable<bool> order_controller::hold_lease(bool is_checked) {
     if (m_lease.time_left(steady_clock::now()) > m_context.settings.order_timeout) {
         co_return true;
--- a/src/sidecar/order_controller.hpp
+++ b/src/sidecar/order_controller.hpp
@@ -1,5 +1,5 @@
-// Brings the engine to what the configuration wants: compares, orders, reads back, and repeats until they
-// agree.
+// Brings the engine to its configured state: compares the reported state with the configuration, gives an
+// order, and repeats this until the two agree.
 #pragma once
 
 #include "backend/backend_server.hpp"
@@ -13,19 +13,21 @@
 
 namespace borageford::sidecar {
 
-/// Used on the strand. Invariant: one comparison runs at a time; no order is sent unless the lease outlasts
-/// the order's own time limit.
+/// Gives orders to the engine. Used on the strand only. Invariants: at most one comparison runs at a time; an
+/// order is sent only if the lease lasts longer than the order's own time limit.
 class order_controller {
 public:
-    /// `models_changed` is called when the engine has said what it has loaded.
+    /// `models_changed` is called whenever the engine has reported its loaded models.
     order_controller(sidecar_context& context, backend::backend_server& server, identifier incarnation,
                      std::function<void()> models_changed);
 
+    /// Compares now and then once every `order_period`.
     void start();
-    /// Gives no more orders, and releases the lease.
+    /// Stops giving orders and releases the lease.
     boost::asio::awaitable<void> stop();
 
-    /// Compares now, unless a comparison runs: the engine or the configuration has changed.
+    /// Starts a comparison unless one is running. To be called when the engine or the configuration has
+    /// changed. Does nothing while the engine is down or an earlier failure delays the next comparison.
     void compare_soon();
 
 private:
@@ -43,9 +45,9 @@
     timer_subscription m_timer;
     bool m_is_comparing = false;
     bool m_is_stopped = false;
-    bool m_is_settled = false;         ///< the engine was as wanted at the last comparison
-    policy::time_point m_not_before{}; ///< after a failed order
-    policy::duration m_backoff{};
+    bool m_is_settled = false;         ///< the engine was in the configured state at the last comparison
+    policy::time_point m_not_before{}; ///< no comparison before this time, after a failure
+    policy::duration m_backoff{};      ///< delay after the last failure; doubled by each failure in a row
 };
 
 } // namespace borageford::sidecar
