--- a/src/sidecar/dispatch_runner.cpp
+++ b/src/sidecar/dispatch_runner.cpp
@@ -98,7 +98,8 @@
     if (state.must_resume) {
         auto head = co_await m_server.resume(*dispatch.stream, id, dispatch.answer.length());
         if (!head) {
-            throw backend::backend_error(backend::failure::unreachable, "the engine does not know it");
+            throw backend::backend_error(backend::failure::unreachable,
+                                         "the engine does not know the dispatch");
         }
         if (!dispatch.answer.head()) {
             dispatch.answer.set_head(std::move(*head));
@@ -114,7 +115,8 @@
     const auto is_checked = m_server.is_engine() && status == status_ok;
     if (m_server.is_engine() && status != status_ok &&
         std::ranges::find(request_fault_statuses, status) == request_fault_statuses.end()) {
-        throw backend::backend_error(backend::failure::refused, "status " + std::to_string(status));
+        throw backend::backend_error(backend::failure::refused,
+                                     "the engine answered with status " + std::to_string(status));
     }
     // For an adopted dispatch, whether the caller asked for a stream is known only from the answer's content
     // type.
--- a/src/sidecar/peer_registry.cpp
+++ b/src/sidecar/peer_registry.cpp
@@ -1,4 +1,4 @@
-// Accepting and holding entries' connections.
+// Implementation of peer_registry.
 #include "sidecar/peer_registry.hpp"
 
 #include "base/log.hpp"
@@ -13,7 +13,8 @@
 
 namespace asio = boost::asio;
 
-/// After a failed accept (out of file descriptors, say): trying again at once would spin.
+/// Delay after a failed accept, for example when no file descriptor is free. Retrying at once would be a busy
+/// loop.
 constexpr std::chrono::milliseconds accept_pause{100};
 
 } // namespace
@@ -66,8 +67,8 @@
     calls.received = [this, id](wire::envelope received) {
         m_calls.received(id, std::move(received));
     };
-    // A send can find its connection broken. Its owner must not see the connection vanish in the middle of
-    // what it does, so the end is reported later.
+    // A send may find that its connection is broken. The end of the connection is reported later by a posted
+    // call, so that the connection isn't removed in the middle of the function that sends.
     calls.closed = [this, id](const std::string& reason) {
         asio::post(m_strand, [this, id, reason] { remove(id, reason); });
     };
--- a/src/sidecar/peer_registry.hpp
+++ b/src/sidecar/peer_registry.hpp
@@ -1,4 +1,4 @@
-// The connections of the entries that use this sidecar.
+// The connections from entry processes to this sidecar.
 #pragma once
 
 #include "wire/peer_connection.hpp"
@@ -14,32 +14,38 @@
 
 namespace borageford::sidecar {
 
-/// Names one connection as long as the process lives; never used twice, so that what was meant for a closed
-/// connection can't reach a newer one.
+/// Identifies a connection. Unique within the process and never reused, so that a message for a closed
+/// connection can't be sent on a newer one.
 using connection_id = std::uint64_t;
 
-/// Accepts and holds connections. Used on its strand only, where all callbacks run too.
-/// Invariant: at most `limit` connections are held.
+/// Accepts connections and sends messages on them. Used on its strand only; all callbacks are called on the
+/// strand. Invariant: at most `limit` connections are held.
 class peer_registry {
 public:
     struct callbacks {
+        /// A message was received on the connection.
         std::function<void(connection_id, wire::envelope)> received;
-        /// Called once a connection, never from inside one of the calls below.
+        /// The connection has ended. Called once for each connection, and never from inside of a function of
+        /// peer_registry.
         std::function<void(connection_id)> closed;
+        /// Returns the load report that is sent with heartbeats.
         std::function<std::unique_ptr<wire::load_report_message>()> current_load;
-        /// What to say to a new peer.
+        /// Returns the hello message that is sent on a new connection.
         std::function<wire::hello_message()> make_hello;
+        /// Returns the configuration revision in force, which is sent with every message.
         std::function<std::uint64_t()> revision;
     };
 
     peer_registry(boost::asio::strand<boost::asio::any_io_executor> strand, timer_service& timers,
                   wire::heartbeat_settings heartbeat, std::size_t limit, callbacks calls);
 
-    /// Starts to accept and returns the address in use. Throws boost::system::system_error.
+    /// Starts to accept connections and returns the address that is listened on. Throws
+    /// boost::system::system_error if the address can't be listened on.
     boost::asio::ip::tcp::endpoint listen(const boost::asio::ip::tcp::endpoint& address);
 
-    /// Does nothing when the connection is gone.
+    /// Sends a message. Does nothing when the connection is closed.
     void send(connection_id connection, wire::message content);
+    /// Sends a message on all connections on which the peer's hello was received.
     void send_to_all(const wire::message& content);
     void close_all(const std::string& reason);
 
@@ -49,7 +55,7 @@
 private:
     struct peer {
         std::shared_ptr<wire::peer_connection> connection;
-        bool is_opened = false; ///< its hello has come
+        bool is_opened = false; ///< the peer's hello was received
     };
 
     void accept_next();
--- a/src/sidecar/prefix_memory.cpp
+++ b/src/sidecar/prefix_memory.cpp
@@ -1,4 +1,4 @@
-// Remembering cached blocks.
+// Implementation of prefix_memory.
 #include "sidecar/prefix_memory.hpp"
 
 namespace borageford::sidecar {
--- a/src/sidecar/resend_finder.cpp
+++ b/src/sidecar/resend_finder.cpp
@@ -1,4 +1,4 @@
-// Looking for first copies.
+// Implementation of resend_finder.
 #include "sidecar/resend_finder.hpp"
 
 namespace borageford::sidecar {
--- a/src/sidecar/sidecar_context.hpp
+++ b/src/sidecar/sidecar_context.hpp
@@ -1,4 +1,4 @@
-// The parts of a sidecar that several others use. All of it is touched on one strand only.
+// The objects that several parts of a sidecar share. They are used on one strand only.
 #pragma once
 
 #include "audit/recorder.hpp"
@@ -26,6 +26,7 @@
 
 namespace borageford::sidecar {
 
+/// References to the shared objects of a sidecar, which outlive all parts that use them.
 struct sidecar_context {
     boost::asio::strand<boost::asio::any_io_executor> strand;
     timer_service& timers;
@@ -44,7 +45,7 @@
     crash_marks& marks;
     backend_monitor& monitor;
 
-    /// Records a decision about a request for auditors.
+    /// Writes a decision about a request to the audit log. `detail` is free text.
     void record(audit::event what, const offered_request& request,
                 std::optional<error_kind> reason = std::nullopt, std::string detail = {}) const {
         audit::record entry;
--- a/src/sidecar/sidecar_core.cpp
+++ b/src/sidecar/sidecar_core.cpp
@@ -1,4 +1,4 @@
-// Messages, ticks and leaving.
+// Implementation of sidecar_core: messages, the periodic tick and the graceful stop.
 #include "sidecar/sidecar_core.hpp"
 
 #include "base/log.hpp"
@@ -20,11 +20,13 @@
 
 namespace {
 
-/// Grants lapse and deadlines are noticed this late at most.
+/// Expired grants and missed deadlines are noticed at most this late.
 constexpr std::chrono::milliseconds tick_period{20};
-/// A tick that is this late means that the process stood still, not that it was busy.
+/// If nothing has run on the strand for this time, the process was frozen and not just busy.
 constexpr std::chrono::milliseconds freeze_threshold{1000};
+/// Delay between attempts to read the configuration's head row after a freeze.
 constexpr std::chrono::milliseconds verification_pause{100};
+/// Time after which the configuration is requested from a peer again if no newer revision was received.
 constexpr std::chrono::milliseconds ask_again_after{500};
 
 } // namespace
@@ -80,17 +82,18 @@
                                      {wire::from_wire(message.mark), message.backend_server, 0});
                 m_offers.review();
             }
-            // All else is a heartbeat, or something that only a sidecar says.
+            // All other messages are heartbeats, or messages that only a sidecar sends.
         },
         content);
 }
 
-/// Whoever is behind asks the one that is ahead, so a revision spreads while the platform is out.
+/// Requests the configuration from a peer that has a newer revision. This way a revision reaches all
+/// processes also while the platform is unavailable.
 void sidecar_core::follow_revision(connection_id connection, std::uint64_t peer_revision) {
     const auto own = m_context.configuration.revision();
     const auto now = steady_clock::now();
-    // Each frame of a peer says its revision, and each answer is a whole configuration: asked once, not for
-    // every frame that comes meanwhile.
+    // Every frame of a peer contains its revision, and every reply contains the complete configuration. So a
+    // revision is requested only once in `ask_again_after`, not for each frame.
     if (peer_revision <= own || (peer_revision <= m_asked_revision && now - m_asked_at < ask_again_after)) {
         return;
     }
@@ -137,9 +140,10 @@
     m_offers.review();
 }
 
-/// A process that was stopped wakes with what it knew before: meanwhile a newer revision may have taken its
-/// backend server out of use. Noticed by a tick that comes late, before anything is decided: otherwise a
-/// start that had waited in the socket would run under a revision that is no longer in force.
+/// Detects that the process was frozen, and then stops grants and starts until its configuration revision is
+/// verified. During the freeze a newer revision may have taken the backend server out of use. A start message
+/// that had waited in the socket would then run under a revision that is no longer in force. Called before
+/// each message is handled and on each tick.
 void sidecar_core::notice_freeze() {
     const auto now = steady_clock::now();
     const auto silence = now - m_last_seen;
@@ -157,8 +161,9 @@
     boost::asio::co_spawn(m_context.strand, verify_revision(m_verification), boost::asio::detached);
 }
 
-/// Reads the head until an answer comes. A peer's answer ends the wait as well, so an outage of the platform
-/// doesn't keep a thawed sidecar out of work.
+/// Reads the configuration's head row until this succeeds and no newer revision exists. A peer's reply ends
+/// the verification as well, so that a sidecar can work again after a freeze while the platform is
+/// unavailable.
 boost::asio::awaitable<void> sidecar_core::verify_revision(std::uint64_t verification) {
     boost::asio::steady_timer pause(m_context.strand);
     while (m_verification == verification && m_verified != verification) {
@@ -171,7 +176,7 @@
             }
             m_context.configuration.poll_soon();
         } catch (const std::exception&) {
-            // The platform is out: tried again.
+            // The platform is unavailable. The read is retried after the pause.
         }
         pause.expires_after(verification_pause);
         boost::system::error_code ignored;
--- a/src/sidecar/sidecar_core.hpp
+++ b/src/sidecar/sidecar_core.hpp
@@ -1,5 +1,5 @@
-// Routes what entries say to the parts that decide about it, and keeps the sidecar's configuration, limits
-// and ticks going.
+// Passes messages from entry processes to the parts of the sidecar that handle them, reacts to new
+// configurations and to the backend server going up or down, and runs the periodic work.
 #pragma once
 
 #include "backend/backend_server.hpp"
@@ -14,26 +14,31 @@
 
 namespace borageford::sidecar {
 
-/// Used on the strand.
+/// The logic of a sidecar, without its sockets and settings. Used on the strand only.
 class sidecar_core {
 public:
     sidecar_core(sidecar_context& context, backend::backend_server& server,
                  const identifier& own_incarnation);
 
+    /// Starts the periodic work and the comparison of the engine with the configuration.
     void start();
 
+    /// Handles a message of an entry.
     void receive(connection_id connection, wire::envelope received);
+    /// Handles the end of an entry's connection.
     void drop_connection(connection_id connection);
-    /// A newer configuration is in force.
+    /// To be called when a newer configuration is in force.
     void follow_configuration();
+    /// To be called by the backend_monitor.
     void backend_came_up();
     void backend_went_down();
 
-    /// Takes no new work from now on. `done` is called when everything that runs has ended and its answers
-    /// have been acknowledged or given up.
+    /// Starts the graceful stop: refuses new work from now on and informs the entries. `done` is called when
+    /// all running dispatches have ended and each complete answer was acknowledged or is older than
+    /// `resend_grace`.
     void leave(std::function<void()> done);
 
-    /// Gives no more orders; the lease is free for whoever comes next.
+    /// Stops giving orders to the engine and releases the fencing lease.
     boost::asio::awaitable<void> stop_orders() { return m_orders.stop(); }
 
     [[nodiscard]] bool is_leaving() const noexcept { return m_is_leaving; }
@@ -55,13 +60,13 @@
     order_controller m_orders;
     cache_follower m_cache;
     timer_subscription m_tick;
-    time_point m_last_seen = std::chrono::steady_clock::now();
-    std::uint64_t m_verification = 0;   ///< counts the freezes
-    std::uint64_t m_verified = 0;       ///< the last of them after which the revision was verified
-    std::uint64_t m_asked_revision = 0; ///< the newest that a peer was asked for
-    time_point m_asked_at{};
+    time_point m_last_seen = std::chrono::steady_clock::now(); ///< when notice_freeze() ran last
+    std::uint64_t m_verification = 0;                          ///< number of freezes that were detected
+    std::uint64_t m_verified = 0;       ///< number of the last freeze after which the revision was verified
+    std::uint64_t m_asked_revision = 0; ///< the newest revision that was requested from a peer
+    time_point m_asked_at{};            ///< when the configuration was last requested
     bool m_is_leaving = false;
-    std::function<void()> m_left;
+    std::function<void()> m_left; ///< called when the graceful stop is complete; empty otherwise
 };
 
 } // namespace borageford::sidecar
--- a/src/sidecar/sidecar_metrics.cpp
+++ b/src/sidecar/sidecar_metrics.cpp
@@ -1,4 +1,4 @@
-// Names of a sidecar's metrics.
+// Implementation of sidecar_metrics: the names and help texts of the metrics.
 #include "sidecar/sidecar_metrics.hpp"
 
 #include <string>
--- a/src/sidecar/sidecar_metrics.hpp
+++ b/src/sidecar/sidecar_metrics.hpp
@@ -1,4 +1,4 @@
-// What a sidecar counts and times.
+// The metrics of a sidecar.
 #pragma once
 
 #include "base/error_kind.hpp"
@@ -9,6 +9,7 @@
 
 namespace borageford::sidecar {
 
+/// Counters and histograms of a sidecar. Each function records one event; durations are recorded in seconds.
 class sidecar_metrics {
 public:
     explicit sidecar_metrics(metrics::registry& registry);
@@ -21,9 +22,9 @@
     void cancelled() { m_cancellations.add(); }
     void backend_died() { m_backend_deaths.add(); }
     void ordered() { m_orders.add(); }
-    /// An offer was refused, or one that was queued or granted didn't begin.
+    /// An offer was refused, or a queued or granted offer ended without being started.
     void refused(error_kind kind, unsigned tier);
-    /// A dispatch ended without its whole answer.
+    /// A dispatch ended without a complete answer.
     void failed(error_kind kind);
 
     void started(const offered_request& request, duration waited);
--- a/src/sidecar/sidecar_process.cpp
+++ b/src/sidecar/sidecar_process.cpp
@@ -1,4 +1,4 @@
-// Putting a sidecar together, and its graceful stop.
+// Implementation of run_sidecar(): constructs the parts of a sidecar, runs them and stops them gracefully.
 #include "sidecar/sidecar_process.hpp"
 
 #include "base/log.hpp"
@@ -30,8 +30,11 @@
 constexpr int wrong_settings_exit_code = 2;
 constexpr std::chrono::milliseconds handshake_limit{2000};
 constexpr std::chrono::milliseconds last_flush_limit{2000};
-/// Marks are rare and told between peers at once; the table is only read for those that were missed.
+/// The crash marks in the table are read once in this many configuration poll periods. That is seldom,
+/// because a new mark is sent to the peers at once and the table is read only for marks whose message was
+/// lost.
 constexpr int mark_read_periods = 5;
+/// The most cached prompt blocks that are remembered.
 constexpr std::size_t prefix_blocks = 200'000;
 
 store_limits make_store_limits(const sidecar_settings& settings) {
@@ -43,7 +46,7 @@
     return limits;
 }
 
-/// All parts of a sidecar, in the order in which they depend on each other.
+/// All parts of a sidecar. Each member is constructed from members above it.
 class sidecar_process {
 public:
     explicit sidecar_process(sidecar_settings settings);
@@ -193,8 +196,8 @@
     m_runtime.run([this] { asio::post(m_strand, [this] { stop_gracefully(); }); });
 }
 
-/// The configuration says which kind of backend server stands here. Until it's known, nothing but its health
-/// is asked.
+/// Sets up the connection to the backend server for its configured kind, engine or plain service. Until the
+/// configuration is known, only the backend server's health is checked.
 void sidecar_process::choose_backend_kind() {
     const auto current = m_configuration.current();
     const auto* server = current->find_backend_server(m_settings.backend_server);
@@ -236,8 +239,8 @@
            (m_models.is_asked() || m_is_service.load());
 }
 
-/// Nothing that runs is cut: peers learn at once that no new work is taken, and the process ends when the
-/// last answer has been delivered.
+/// Starts the graceful stop. No running dispatch is aborted: the peers are informed at once that the sidecar
+/// takes no new work, and the process ends when the last answer has been delivered.
 void sidecar_process::stop_gracefully() {
     m_is_leaving = true;
     log::info("leaving", {{"running", std::to_string(m_store.running_count())}});
@@ -247,7 +250,7 @@
 void sidecar_process::finish() {
     m_monitor.stop();
     m_marks.stop();
-    // Connections stay open meanwhile, so that the last messages are written.
+    // The connections stay open until the audit log is written, so that the last messages are sent.
     asio::co_spawn(m_strand, m_core.stop_orders(), [this](const std::exception_ptr&) {
         m_audit.flush(last_flush_limit, [this] { m_runtime.finish(); });
     });
--- a/src/sidecar/sidecar_settings.cpp
+++ b/src/sidecar/sidecar_settings.cpp
@@ -1,4 +1,4 @@
-// Reading a sidecar's settings.
+// Implementation of read_sidecar_settings().
 #include "sidecar/sidecar_settings.hpp"
 
 #include "settings/section_reader.hpp"
