--- a/src/sidecar/sidecar_settings.hpp
+++ b/src/sidecar/sidecar_settings.hpp
@@ -42,8 +42,7 @@
     std::chrono::milliseconds cache_period{500};           ///< between polls of the engine's cache events
     std::chrono::milliseconds control_timeout{1000};       ///< health, load, cancel and state calls
 
-    std::chrono::milliseconds order_period{
-        1000}; ///< between comparisons of the engine with its configuration
+    std::chrono::milliseconds order_period{1000};  ///< between comparisons of engine and configuration
     std::chrono::milliseconds order_timeout{3000}; ///< for one order
     std::chrono::milliseconds order_lease{10'000}; ///< length of the fencing lease
     std::chrono::milliseconds load_spread{2000};   ///< the longest random delay before a load order
--- a/tests/failure/test_10_engine_faults.cpp
+++ b/tests/failure/test_10_engine_faults.cpp
@@ -1,4 +1,5 @@
-// Point 10: an engine that is slow, stuck or answers rubbish gives its caller a clear error at once.
+// Requirement 10: when an engine is slow, stuck or sends an invalid answer, the caller gets a clear error at
+// once.
 #include "support/checks.hpp"
 #include "support/cluster.hpp"
 #include "support/completion.hpp"
@@ -11,7 +12,7 @@
 
 namespace {
 
-/// The deadline is hours away: an error that came only near it would never be seen by these tests.
+/// Sets a deadline of one hour. A test would time out if the error were reported only near the deadline.
 http::request with_far_deadline(http::request call) {
     return with_header(std::move(call), "X-Deadline", "1h");
 }
@@ -24,8 +25,8 @@
 
 } // namespace
 
-// The engine stops in the middle of a stream and keeps its connection open. The caller's stream ends with an
-// event that says why, and is not taken for whole.
+// The engine stops sending in the middle of a stream and keeps its connection open. The caller's stream must
+// end with an error event, so that the caller doesn't take it for complete.
 TEST_CASE("10 engine faults: stuck in the middle of a stream") {
     cluster system(one_engine());
     system.control_server(0, R"({"stall_after":5})");
@@ -41,7 +42,7 @@
     check_whole_answer(system.send(0, next), next, 5);
 }
 
-// The engine takes the request and says nothing.
+// The engine accepts the request and sends nothing.
 TEST_CASE("10 engine faults: no first token") {
     cluster system(one_engine());
     system.control_server(0, R"({"stall_after":0})");
@@ -53,7 +54,7 @@
     CHECK(answer.header("X-Ran") == "yes");
 }
 
-// The engine has become a hundred times slower; an answer that isn't streamed would take minutes.
+// The engine has become a thousand times slower, so that an answer that isn't streamed would take minutes.
 TEST_CASE("10 engine faults: far too slow") {
     cluster system(one_engine());
     system.control_server(0, R"({"slowdown":1000})");
@@ -64,8 +65,8 @@
     CHECK(answer.header("X-Ran") != "no");
 }
 
-// The engine's answer isn't one.
-TEST_CASE("10 engine faults: rubbish") {
+// The engine's response is not a valid answer. The caller must get an error, and none of the invalid text.
+TEST_CASE("10 engine faults: invalid answer") {
     cluster system(one_engine());
     system.control_server(0, R"({"garble":true})");
     const auto streamed = with_far_deadline(make_completion("basura", {.tokens = 50}));
@@ -82,8 +83,8 @@
     CHECK(refused.header("X-Error-Kind") == "backend_garbled");
 }
 
-// The engine refuses everything.
-TEST_CASE("10 engine faults: refuses") {
+// The engine refuses all requests.
+TEST_CASE("10 engine faults: all requests refused") {
     cluster system(one_engine());
     system.control_server(0, R"({"refuse":true})");
     const auto call = with_far_deadline(make_completion("negado", {.tokens = 50}));
@@ -94,9 +95,9 @@
     CHECK(system.runs_of(call) == 0);
 }
 
-// The engine is dead: callers are told at once, truthfully, and when to come back; when it is back, they are
-// served.
-TEST_CASE("10 engine faults: gone and back") {
+// The engine's process was killed. Callers must be told at once that the request didn't run and when to
+// retry, and must be served after the engine has restarted.
+TEST_CASE("10 engine faults: killed and restarted") {
     cluster system(one_engine());
     system.backend(0).server_link->set_listening(false);
     system.backend(0).server->kill();
@@ -108,5 +109,5 @@
     CHECK_FALSE(answer.header("Retry-After").empty());
     system.start_server(0);
     system.backend(0).server_link->set_listening(true);
-    wait_until("an answer by the engine that is back", [&] { return system.send(0, call).status == 200; });
+    wait_until("an answer after the engine's restart", [&] { return system.send(0, call).status == 200; });
 }
--- a/tests/failure/test_5_leaving_gets_no_new_work.cpp
+++ b/tests/failure/test_5_leaving_gets_no_new_work.cpp
@@ -1,5 +1,5 @@
-// Point 5: a backend server that is leaving gets no new work after a few seconds, however the entries learn
-// of it.
+// Requirement 5: a backend server that is shutting down or drained gets no new work after a few seconds,
+// whichever way the entries learn of it.
 #include "support/checks.hpp"
 #include "support/cluster.hpp"
 #include "support/completion.hpp"
@@ -16,10 +16,12 @@
 
 constexpr std::size_t leaving = 0;
 constexpr int batch_size = 8;
-/// One batch may pass the server by for no reason; of so many in a row, less than once in a million times.
+/// By chance, one batch may be placed entirely at other servers. The probability of four such batches in a
+/// row is less than one in a million.
 constexpr int batches_in_a_row = 4;
 
-/// Sends some requests with prompts of their own over both entries; all must be answered.
+/// Sends `batch_size` requests with different prompts through both entries in turn. Checks that all are
+/// answered.
 void send_batch(cluster& system, const std::string& name) {
     for (int index = 0; index < batch_size; ++index) {
         const auto call = make_completion(name + std::to_string(index), {.tokens = 3});
@@ -27,10 +29,11 @@
     }
 }
 
-/// Returns once several batches in a row went elsewhere, and then holds the system to it.
+/// Waits until several batches in a row were placed at other servers, then checks that further batches are
+/// too.
 void check_gets_no_new_work(cluster& system) {
     int round = 0;
-    wait_until("batches that go elsewhere", [&] {
+    wait_until("batches placed at other servers", [&] {
         const auto before = system.server_count(leaving, "total");
         for (int batch = 0; batch < batches_in_a_row; ++batch) {
             send_batch(system, "ronda " + std::to_string(round++) + " ");
@@ -44,7 +47,7 @@
     CHECK(system.server_count(leaving, "total") == before);
 }
 
-/// Shows first that the server does get work, so that its absence means something.
+/// Waits until the server gets work. Without this, a later check that it gets no work would prove nothing.
 void check_gets_work(cluster& system) {
     const auto before = system.server_count(leaving, "total");
     int round = 0;
@@ -56,7 +59,8 @@
 
 } // namespace
 
-// The sidecar is told to stop. It tells its entries at once; a request that is offered to it is given back.
+// The sidecar is asked to stop. It must inform its entries at once, and refuse requests that are still
+// offered to it.
 TEST_CASE("5 leaving: by SIGTERM") {
     cluster system;
     check_gets_work(system);
@@ -68,7 +72,7 @@
     CHECK(system.backend(leaving).sidecar->wait_for_exit() == 0);
 }
 
-// The platform's list shows the VM as leaving, some time after it was decided.
+// The platform's list of VMs shows that the VM is shutting down, one second late.
 TEST_CASE("5 leaving: by the platform's lagging list") {
     cluster system;
     check_gets_work(system);
@@ -85,8 +89,8 @@
     check_gets_no_new_work(system);
 }
 
-// The VM is gone without a word: its connections stay open and silent, new ones aren't answered. Requests
-// must not wait for it.
+// The VM disappears without a message: its connections stay open but nothing arrives on them, and new
+// connections fail. Requests must not wait for the VM.
 TEST_CASE("5 leaving: by silence") {
     cluster system;
     check_gets_work(system);
@@ -97,8 +101,9 @@
     check_gets_no_new_work(system);
 }
 
-// Two failures together: the sidecar's word that it leaves is lost with its connection, and the platform,
-// whose list would say so, is out. The new connection's handshake must say it.
+// Two failures at the same time: the sidecar's message that it shuts down is lost with its connection, and
+// the platform, whose list of VMs would show it, is unavailable. The entries must learn it from the handshake
+// of the new connection.
 TEST_CASE("5 leaving: word of it lost and platform out together") {
     cluster system;
     check_gets_work(system);
--- a/tests/failure/test_6_graceful_stop.cpp
+++ b/tests/failure/test_6_graceful_stop.cpp
@@ -1,4 +1,5 @@
-// Point 6: a graceful stop cuts nothing, and a rolling restart of everything loses and doubles nothing.
+// Requirement 6: a graceful stop aborts no request, and during a rolling restart of all processes no request
+// is lost or run twice.
 #include "support/checks.hpp"
 #include "support/cluster.hpp"
 #include "support/completion.hpp"
@@ -16,15 +17,15 @@
 
 namespace {
 
-/// What one caller of the load came to.
+/// A request of steady_load and its last answer.
 struct load_outcome {
     http::request call;
     caller_result answer;
     std::uint32_t tokens = 0;
 };
 
-/// Callers that send again, with the same key, whatever wasn't answered whole; each behind the balancer of
-/// one entry or the other.
+/// Callers that send one request after another, alternating between two addresses. A request without a
+/// complete answer is sent again with the same idempotency key.
 class steady_load {
 public:
     steady_load(const http::endpoint& first, const http::endpoint& second, int callers) {
@@ -38,7 +39,7 @@
     steady_load(steady_load&&) = delete;
     steady_load& operator=(steady_load&&) = delete;
 
-    /// Lets the callers finish what they are at.
+    /// Waits until each caller has finished its current request, and returns all requests with their answers.
     std::vector<load_outcome> finish() {
         m_stopping = true;
         for (auto& thread : m_threads) {
@@ -67,10 +68,11 @@
         }
     }
 
-    /// What never comes whole is found by the test in the outcome.
+    /// Sends the request until its answer is complete. On a timeout, sets the error in the outcome, which the
+    /// test checks.
     void send_until_whole(load_outcome& outcome, const http::endpoint& first, const http::endpoint& second) {
         try {
-            wait_until("a whole answer", [&] {
+            wait_until("a complete answer", [&] {
                 outcome.answer = call(++m_sent % 2 == 0 ? first : second, outcome.call);
                 return outcome.answer.status == 200 && outcome.answer.is_whole;
             });
@@ -88,7 +90,7 @@
 
 } // namespace
 
-// A long stream runs when its entry and its sidecar are told to stop. Both must wait for its end.
+// The entry and the sidecar of a long stream are asked to stop. Both must keep running until the stream ends.
 TEST_CASE("6 graceful stop: entry and sidecar finish a running stream") {
     cluster system({.entries = 1, .backend_servers = {{.name = "pluma-1"}}});
     const auto call = make_completion("reporte de erosion", {.tokens = 200});
@@ -102,7 +104,8 @@
     CHECK(system.backend(0).sidecar->wait_for_exit() == 0);
 }
 
-// The same for an answer that isn't streamed, of which the caller has nothing yet.
+// The entry and the sidecar of a request are asked to stop before the caller has received anything, because
+// the answer isn't streamed. Both must deliver the answer first.
 TEST_CASE("6 graceful stop: entry and sidecar finish a whole answer") {
     cluster system({.entries = 1, .backend_servers = {{.name = "pluma-1"}}});
     const auto call = make_completion("resumen", {.tokens = 100, .streamed = false});
@@ -116,8 +119,8 @@
     CHECK(system.runs_of(call) == 1);
 }
 
-// A request waits in the sidecar's queue when the sidecar is told to stop. It has not begun, so it is given
-// back and served elsewhere; its caller sees nothing of it.
+// Requests wait in the queue of a sidecar that is asked to stop. They have not begun, so the sidecar refuses
+// them and the entry places them at another backend server. Their callers must not notice.
 TEST_CASE("6 graceful stop: what waits at a leaving sidecar is served elsewhere") {
     cluster system(
         {.entries = 1,
@@ -137,8 +140,8 @@
     CHECK(system.backend(0).sidecar->wait_for_exit() == 0);
 }
 
-// The stop meets a second failure: the connection on which the last answer is delivered is reset while both
-// processes stop.
+// A second failure happens during a graceful stop: the connection on which the last answer is sent is reset
+// while the entry and the sidecar are stopping.
 TEST_CASE("6 graceful stop: connection reset while stopping") {
     cluster system({.entries = 1, .backend_servers = {{.name = "pluma-1"}}});
     const auto call = make_completion("parada y corte", {.tokens = 150});
@@ -151,8 +154,8 @@
     CHECK(system.runs_of(call) == 1);
 }
 
-// Everything is restarted in turn while callers go on. Each request must be answered whole, to its own
-// caller, and have run once.
+// All sidecars and entries are restarted one after the other while callers send requests. Each request must
+// run once and be answered completely to its own caller.
 TEST_CASE("6 graceful stop: rolling restart of all entries and sidecars under load") {
     cluster system({.backend_servers = {{.name = "pluma-1"}, {.name = "pluma-2"}, {.name = "pluma-3"}}});
     fault_proxy first(system.entry(0).callers, proxy_units::raw);
--- a/tests/failure/test_9_crashing_request.cpp
+++ b/tests/failure/test_9_crashing_request.cpp
@@ -1,4 +1,4 @@
-// Point 9: a request that crashes each backend server that runs it costs at most two of them.
+// Requirement 9: a request that crashes every backend server that runs it crashes at most two of them.
 #include "support/checks.hpp"
 #include "support/cluster.hpp"
 #include "support/completion.hpp"
@@ -45,8 +45,8 @@
 
 } // namespace
 
-// A chapter's text trips a fault in the engine, and its caller sends it again each time. At the second engine
-// lost it must be refused, at either entry, and say that it didn't run this time.
+// The text of a request triggers a crash of the engine, and its caller sends the request again each time.
+// After two engines have crashed, every entry must refuse the request and report that it didn't run.
 TEST_CASE("9 crashing request: at most two servers lost, then quarantined at every entry") {
     cluster system(four_engines());
     arm_engines(system);
@@ -68,7 +68,7 @@
     check_whole_answer(system.send(0, innocent), innocent, 10);
 }
 
-// Other requests run beside it on the engines that die. They are lost with them, through no fault of theirs,
+// Other requests run on the engines that crash. Their answers are lost too, but they didn't cause the crash
 // and must not be quarantined when their callers send them again.
 TEST_CASE("9 crashing request: the innocent that ran beside it aren't quarantined") {
     cluster system(four_engines());
@@ -96,8 +96,8 @@
     }
 }
 
-// Two failures together: the table, which shares the marks, is out while engines die. The entries must hear
-// of the marks from the sidecars.
+// Two failures at the same time: the table that stores the crash marks is unavailable while engines crash.
+// The entries must receive the marks from the sidecars.
 TEST_CASE("9 crashing request: quarantined although the table is out") {
     cluster system(four_engines());
     arm_engines(system);
--- a/tests/failure/test_sidecar_dispatch.cpp
+++ b/tests/failure/test_sidecar_dispatch.cpp
@@ -1,4 +1,5 @@
-// A real sidecar beside a real stand-in of an engine; the test speaks for the entry, message by message.
+// Tests dispatches of a sidecar process in front of an emulated engine. The test takes the part of the entry
+// and sends its messages one by one.
 #include "support/cluster.hpp"
 #include "support/completion.hpp"
 #include "support/sidecar_driver.hpp"
@@ -8,7 +9,7 @@
 using namespace borageford;
 using namespace borageford::test;
 
-TEST_CASE("sidecar: a granted request is started and its whole answer delivered", "[sidecar]") {
+TEST_CASE("sidecar: a granted request is started and its complete answer delivered", "[sidecar]") {
     cluster system({.entries = 0, .backend_servers = {{.name = "pluma-1"}}});
     sidecar_driver driver(system);
     auto entry = driver.connect();
@@ -24,8 +25,8 @@
     CHECK(system.runs_of(work) == 1);
 }
 
-// An entry was frozen between the grant and its start. Its caller has long been told "not run" by then; a
-// start that ran now would be a second copy.
+// An entry was frozen after the grant, and sends its start message too late. Its caller has been told that
+// the request didn't run and may have sent it again, so running it now would run it twice.
 TEST_CASE("sidecar: a start after its lease is not begun and never runs", "[sidecar]") {
     cluster system(
         {.entries = 0, .backend_servers = {{.name = "pluma-1"}}, .sidecar_settings = "grant_lease = 30ms\n"});
@@ -41,8 +42,9 @@
     CHECK(system.runs_of(work) == 0);
 }
 
-// The connection that carried the start has gone silent; the entry asks on a new one before the start
-// arrives. Told "not begun", it places the request elsewhere, so the late start must not run here too.
+// The connection with the start message has become unresponsive, and the entry asks for the state of the
+// dispatch on a new connection before the start arrives. It is told "not begun" and places the request
+// elsewhere, so the late start must not run the request here too.
 TEST_CASE("sidecar: a start that arrives after its fate was asked does not run", "[sidecar]") {
     cluster system({.entries = 0, .backend_servers = {{.name = "pluma-1"}}});
     sidecar_driver driver(system);
@@ -58,8 +60,8 @@
     CHECK(system.runs_of(work) == 0);
 }
 
-// The connection breaks in the middle of an answer. The user must see it go on at the very byte where it
-// stopped.
+// The connection breaks in the middle of an answer. On a new connection, the answer must go on at exactly the
+// byte where it stopped.
 TEST_CASE("sidecar: several connections read one answer, each from its own offset", "[sidecar]") {
     cluster system(
         {.entries = 0,
@@ -85,9 +87,10 @@
     CHECK(system.runs_of(work) == 1);
 }
 
-// The answer's last part was lost on the way. It must still be there until the entry has said that it has it
-// all, and afterwards nobody may be told that it never ran.
-TEST_CASE("sidecar: an answer is kept until it is acknowledged, and then counts as run", "[sidecar]") {
+// The last part of an answer may be lost on its way to the entry. The sidecar must keep the answer until the
+// entry has acknowledged it, and must not report the dispatch as not run afterwards.
+TEST_CASE("sidecar: an answer is kept until it is acknowledged, and its dispatch then counts as run",
+          "[sidecar]") {
     cluster system({.entries = 0, .backend_servers = {{.name = "pluma-1"}}});
     sidecar_driver driver(system);
     auto entry = driver.connect();
@@ -108,8 +111,9 @@
     CHECK(wire::error_kind_from_wire(end.error_kind) == error_kind::already_ran);
 }
 
-// An operator confirmed a new revision between grant and start; the place may no longer be allowed.
-TEST_CASE("sidecar: a start under another revision is not begun", "[sidecar]") {
+// An operator confirmed a new configuration revision between grant and start. The revision may not allow the
+// request to run at this backend server any more.
+TEST_CASE("sidecar: a start message with another configuration revision is not begun", "[sidecar]") {
     cluster system({.entries = 0, .backend_servers = {{.name = "pluma-1"}}});
     sidecar_driver driver(system);
     auto entry = driver.connect();
@@ -122,8 +126,8 @@
     CHECK(system.runs_of(work) == 0);
 }
 
-// A caller whose entry died sends the same request again through another entry. It must not be paid for
-// twice.
+// A caller whose entry died sends the same request again through another entry. The request must not be run,
+// and so paid for, a second time.
 TEST_CASE("sidecar: a resend finds the running answer", "[sidecar]") {
     cluster system({.entries = 0, .backend_servers = {{.name = "pluma-1"}}});
     sidecar_driver driver(system);
@@ -144,7 +148,8 @@
     CHECK(system.runs_of(work) == 1);
 }
 
-// A caller uses its key again for another request. It must never be given the answer to the first.
+// A caller uses its idempotency key again for another request. It must not get the answer to the first
+// request.
 TEST_CASE("sidecar: a resend key with another body finds nothing", "[sidecar]") {
     cluster system({.entries = 0, .backend_servers = {{.name = "pluma-1"}}});
     sidecar_driver driver(system);
@@ -156,8 +161,9 @@
     CHECK(entry.wait_for<wire::offer_reply_message>(other).verdict == wire::offer_verdict::queued);
 }
 
-// The same, but the first copy was started at another backend server: this one was only offered it.
-TEST_CASE("sidecar: a resend learns where its first copy was started", "[sidecar]") {
+// A caller sends a request again. The request had been offered to this sidecar but was started at another
+// backend server, and the reply must name that server and the dispatch.
+TEST_CASE("sidecar: a resend is told where the request was started first", "[sidecar]") {
     cluster system({.entries = 0, .backend_servers = {{.name = "pluma-1"}}});
     sidecar_driver driver(system);
     auto entry = driver.connect();
@@ -176,8 +182,9 @@
     CHECK(wire::from_wire(reply.running_dispatch) == dispatch_id{7, 8});
 }
 
-// The caller is gone and no resend comes: an answer for nobody must not hold an engine's room for long.
-TEST_CASE("sidecar: an abandoned stream is cancelled at the engine after the grace", "[sidecar]") {
+// The caller has disconnected and doesn't send the request again. An answer that nobody reads must not occupy
+// the engine for long.
+TEST_CASE("sidecar: an abandoned stream is cancelled at the engine after resend_grace", "[sidecar]") {
     cluster system(
         {.entries = 0,
          .backend_servers = {{.name = "pluma-1", .arguments = {"--output-tokens-per-second", "5"}}},
@@ -194,9 +201,9 @@
     wait_until("the engine's cancellation", [&] { return system.server_count(0, "cancelled") == 1; });
 }
 
-// A call that may not be repeated was abandoned by its caller. Cancelling it would leave its effect half
-// done.
-TEST_CASE("sidecar: an abandoned call that is not idempotent runs to its end", "[sidecar]") {
+// The caller of a request that isn't idempotent has disconnected. Cancelling the request could leave its
+// effect half done.
+TEST_CASE("sidecar: an abandoned request that is not idempotent runs to its end", "[sidecar]") {
     cluster system(
         {.entries = 0,
          .backend_servers = {{.name = "pluma-1", .arguments = {"--output-tokens-per-second", "100"}}},
--- a/tests/failure/test_sidecar_engine.cpp
+++ b/tests/failure/test_sidecar_engine.cpp
@@ -1,4 +1,5 @@
-// A sidecar whose backend server is slow, stuck, garbled, cut off, dead or back again.
+// Tests a sidecar whose backend server stalls, sends invalid answers, refuses requests, loses its connection,
+// dies or restarts.
 #include "support/answer_text.hpp"
 #include "support/cluster.hpp"
 #include "support/completion.hpp"
@@ -23,6 +24,7 @@
     return wire::error_kind_from_wire(end.error_kind);
 }
 
+/// Offers the request and starts it when granted.
 dispatch_id begin_run(const sidecar_driver& driver, peer_client& entry, const http::request& work,
                       const offer_options& options = {}) {
     const auto dispatch = driver.offer(entry, work, options);
@@ -30,6 +32,7 @@
     return dispatch;
 }
 
+/// The response body of the platform for the request's crash mark row.
 std::string mark_row(const cluster& system, const http::request& work) {
     const auto key = "mark/" + to_hex(fingerprint_of(work.body));
     return call(system.platform(), {"GET", "/table/row?key=" + key, {}, {}}).body;
@@ -37,9 +40,9 @@
 
 } // namespace
 
-// The engine stops sending in the middle of an answer and keeps the connection open. The caller must learn of
-// it soon, and when to come back, instead of waiting for its deadline.
-TEST_CASE("sidecar: a stream that stalls ends at once with its kind and is cancelled", "[sidecar]") {
+// The engine stops sending in the middle of an answer and keeps the connection open. The caller must soon be
+// told so and when to retry, instead of waiting for its deadline.
+TEST_CASE("sidecar: a stream that stalls ends with backend_stalled and is cancelled", "[sidecar]") {
     cluster system(one_engine("stall_limit = 200ms\n"));
     system.control_server(0, R"({"stall_after":5})");
     sidecar_driver driver(system);
@@ -53,8 +56,9 @@
     wait_until("the engine's cancellation", [&] { return system.server_count(0, "cancelled") == 1; });
 }
 
-// The engine sends text that isn't an answer, with a correct HTTP end. A caller must never take it for one.
-TEST_CASE("sidecar: rubbish ends the answer as garbled", "[sidecar]") {
+// The engine sends text that isn't a valid answer, in a complete HTTP response. The caller must not take the
+// text for an answer.
+TEST_CASE("sidecar: an invalid answer ends with backend_garbled", "[sidecar]") {
     cluster system(one_engine());
     system.control_server(0, R"({"garble":true})");
     sidecar_driver driver(system);
@@ -68,7 +72,7 @@
     }
 }
 
-TEST_CASE("sidecar: an engine that refuses is a failed backend server", "[sidecar]") {
+TEST_CASE("sidecar: a request that the engine refuses ends with backend_failed", "[sidecar]") {
     cluster system(one_engine());
     system.control_server(0, R"({"refuse":true})");
     sidecar_driver driver(system);
@@ -80,8 +84,9 @@
     CHECK(answer.end.retry_after_ms > 0);
 }
 
-// The connection to the engine breaks while the engine goes on. The caller notices nothing, and pays once.
-TEST_CASE("sidecar: a cut connection to a living engine is resumed at the byte held", "[sidecar]") {
+// The connection to the engine breaks while the engine keeps running. The caller must get the complete
+// answer, and the request must run only once.
+TEST_CASE("sidecar: after a broken connection the answer is resumed at the next missing byte", "[sidecar]") {
     cluster system(one_engine());
     sidecar_driver driver(system);
     auto entry = driver.connect();
@@ -97,9 +102,11 @@
     CHECK(system.runs_of(work) == 1);
 }
 
-// The engine dies. The caller may send the request again at once, to another entry: by then the table must
-// know that a backend server died under it. When the engine is back, work goes on.
-TEST_CASE("sidecar: an engine's death ends its dispatches, marked before they are told", "[sidecar]") {
+// The engine dies. The caller may send the request again at once to another entry, so the request's crash
+// mark must be in the table before the failure is reported. After a restart of the engine, requests must be
+// served again.
+TEST_CASE("sidecar: when the engine dies, its requests are marked before their failure is reported",
+          "[sidecar]") {
     cluster system(one_engine("mark_limit = 20s\n"));
     sidecar_driver driver(system);
     auto entry = driver.connect();
@@ -130,8 +137,9 @@
     CHECK(text_of_stream(answer.body) == expected_text(next, 5));
 }
 
-// The table is out when the engine dies. The caller's failure must not wait for the table.
-TEST_CASE("sidecar: an engine's death is told while the table is out", "[sidecar]") {
+// The table is unavailable when the engine dies. The failure must be reported without waiting for the table,
+// and the crash mark must be written later.
+TEST_CASE("sidecar: the engine's death is reported while the table is unavailable", "[sidecar]") {
     cluster system(one_engine("mark_limit = 50ms\n"));
     sidecar_driver driver(system);
     auto entry = driver.connect();
@@ -147,9 +155,9 @@
     wait_until("the mark's row", [&] { return mark_row(system, work).find("pluma-1") != std::string::npos; });
 }
 
-// One request kills each backend server that runs it. What merely ran beside it must not be refused for that.
-TEST_CASE("sidecar: a marked request runs alone among marked ones, and only it is marked again",
-          "[sidecar]") {
+// A request crashes every backend server that runs it. Other requests that ran at the same time must not be
+// quarantined because of it: at most one marked request runs at a time, and only that one is marked again.
+TEST_CASE("sidecar: one marked request runs at a time, and only that one is marked again", "[sidecar]") {
     cluster system(one_engine());
     sidecar_driver driver(system);
     auto entry = driver.connect();
@@ -190,8 +198,9 @@
     begin_run(driver, entry, innocent);
 }
 
-// The sidecar dies and is started again while its engine goes on. The new one knows nothing; the engine does.
-TEST_CASE("sidecar: a new sidecar finds a running dispatch at its engine", "[sidecar]") {
+// The sidecar dies and is restarted while its engine keeps running. The new sidecar must find the dispatch at
+// the engine and resume its answer.
+TEST_CASE("sidecar: a restarted sidecar finds a running dispatch at its engine", "[sidecar]") {
     cluster system(one_engine({}, "50"));
     sidecar_driver driver(system);
     const auto work = make_completion("reinicio", {.tokens = 60});
@@ -218,8 +227,9 @@
     CHECK(entry.wait_for<wire::fate_message>(never_heard_of).state == wire::dispatch_fate::unknown);
 }
 
-// The engine's connection ends in the middle of the HTTP body. The part must not be taken for the whole.
-TEST_CASE("sidecar: an answer whose body is cut is read on from there", "[sidecar]") {
+// The engine's connection ends in the middle of the HTTP body. The truncated answer must not count as
+// complete.
+TEST_CASE("sidecar: an answer whose body is truncated is resumed from there", "[sidecar]") {
     cluster system(one_engine());
     sidecar_driver driver(system);
     auto entry = driver.connect();
--- a/tests/failure/test_sidecar_orders.cpp
+++ b/tests/failure/test_sidecar_orders.cpp
@@ -1,5 +1,5 @@
-// Who may order an engine: leases at the table, a sidecar that was paused past its own, and engines of both
-// kinds, those that check fencing numbers and those that obey anything.
+// Tests which sidecar may give orders to an engine: the lease in the platform's table, and a sidecar that was
+// paused until its lease expired. Covers engines that check fencing numbers and engines that ignore them.
 #include "sidecar/fencing_lease.hpp"
 #include "store/table.hpp"
 #include "support/cluster.hpp"
@@ -22,7 +22,7 @@
 
 namespace {
 
-/// The platform's stand-in and the calls to it, run to their end one after the other.
+/// A fake platform process with a store::table client. run() completes one operation at a time.
 struct table_stand {
     child_process platform{
         std::filesystem::path(BORAGEFORD_PROGRAM_FOLDER) / "fake_platform", {}, "/dev/null"};
@@ -42,7 +42,7 @@
     }
 };
 
-/// The engine starts with an old version, so that there is something to order.
+/// One engine that starts with an old version of its model, so that the sidecar has to give an order.
 cluster_options old_version(bool checks_fencing) {
     return {.entries = 0,
             .backend_servers = {{.name = "pluma-1",
@@ -72,9 +72,10 @@
     return state.find("\"version\":\"" + version + "\"") != std::string::npos;
 }
 
-/// An old sidecar has the lease, has lost an order, and is frozen with work left. Its replacement takes over
-/// and finishes that work; then the engine is started again with its old version, so that the old sidecar,
-/// thawed, finds something to order.
+/// Freezes a sidecar while it holds the lease and an order of it was lost. A replacement sidecar takes over
+/// and gives the order. Then the replacement is killed and the engine restarted with its old version, so that
+/// the old sidecar has to give an order again after it is thawed. Checks that it acquires a newer fencing
+/// number first.
 void pause_past_lease(cluster& system) {
     auto& unit = system.backend(0);
     wait_until("the first orders to be done", [&] { return has_version(system, "1"); });
@@ -89,7 +90,7 @@
     const auto replaced_by = orders_of(system).back().fencing;
     unit.sidecar->kill();
     system.start_server(0);
-    wait_until("the frozen sidecar's lease to be over",
+    wait_until("the frozen sidecar's lease to expire",
                [&] { return steady_clock::now() - frozen_at > 1500ms; });
     old_sidecar->thaw();
     wait_until("the thawed sidecar's orders", [&] { return has_version(system, "1"); });
@@ -101,7 +102,7 @@
 
 } // namespace
 
-TEST_CASE("fencing: an engine is brought to what the configuration wants", "[sidecar]") {
+TEST_CASE("fencing: an engine is brought to its configured state", "[sidecar]") {
     for (const bool checks_fencing : {true, false}) {
         cluster system(old_version(checks_fencing));
         wait_until("the new version", [&] { return has_version(system, "1"); });
@@ -111,25 +112,28 @@
     }
 }
 
-// The old sidecar of an engine was paused past its lease and believes that it still holds it. Its order would
-// undo what its replacement has done. Here the engine obeys whatever number comes.
+// The old sidecar of an engine was paused until its lease expired, and resumes as if it still held the lease.
+// Its order would undo the orders of its replacement. The engine of this test ignores fencing numbers.
 TEST_CASE(
-    "fencing: a sidecar paused past its lease takes it anew before it orders an engine that ignores numbers",
+    "fencing: a sidecar whose lease expired acquires it again before it orders an engine without fencing",
     "[sidecar]") {
     cluster system(old_version(false));
     pause_past_lease(system);
 }
 
-// The same where the engine refuses old numbers.
-TEST_CASE(
-    "fencing: a sidecar paused past its lease takes it anew before it orders an engine that checks numbers",
-    "[sidecar]") {
+// The old sidecar of an engine was paused until its lease expired, as in the test above. The engine of this
+// test refuses orders with an old fencing number.
+TEST_CASE("fencing: a sidecar whose lease expired acquires it again before it orders an engine with fencing",
+          "[sidecar]") {
     cluster system(old_version(true));
     pause_past_lease(system);
 }
 
-// A replacement starts while the old sidecar may still have an order under way.
-TEST_CASE("fencing: a former holder's lease is waited out, and its renewal fails", "[sidecar]") {
+// A replacement sidecar starts while the old one may still have an order in progress. It must not give orders
+// before the old lease has expired.
+TEST_CASE(
+    "fencing: a new holder waits until the previous lease expires, and the previous holder can't renew it",
+    "[sidecar]") {
     table_stand stand;
     auto old_holder = stand.lease(700ms);
     auto new_holder = stand.lease(5s);
@@ -144,7 +148,7 @@
     CHECK(new_holder.number() == 2);
     const auto after_taking = steady_clock::now();
     CHECK(new_holder.time_left(after_taking).count() == 0);
-    // By the time the new holder may order, the old one knows from its own clock that it may not.
+    // When the new holder may give orders, the old holder's own clock shows that its lease has expired.
     CHECK(new_holder.time_left(after_taking + 700ms).count() > 0);
     CHECK(old_holder.time_left(after_taking + 700ms).count() == 0);
     CHECK_FALSE(stand.run(old_holder.take(true)).has_value());
@@ -163,8 +167,9 @@
     CHECK(third.number() == 3);
 }
 
-// The table's answer to the taking was lost after the write took effect. Taken for a failure, the sidecar
-// would wait for itself; taken for a success without looking, two might hold it.
+// The write that acquires the lease takes effect, but the table's answer is lost. A sidecar that counted this
+// as a failure would wait for its own lease to expire; one that counted it as a success without reading the
+// row could hold the lease together with another sidecar.
 TEST_CASE("fencing: a lost answer is resolved by reading the row back", "[sidecar]") {
     table_stand stand;
     auto holder = stand.lease(1h);
--- a/tests/failure/test_sidecar_queue.cpp
+++ b/tests/failure/test_sidecar_queue.cpp
@@ -1,4 +1,5 @@
-// A sidecar whose engine is full, that is told to stop, that was frozen, or that hears rubbish.
+// Tests a sidecar whose engine has no free slot, that is asked to stop, that was frozen, or that receives a
+// damaged frame or wrong settings.
 #include "support/cluster.hpp"
 #include "support/completion.hpp"
 #include "support/http_caller.hpp"
@@ -11,7 +12,7 @@
 
 namespace {
 
-/// One place at the engine, so that a second request has to wait.
+/// An engine with one slot, so that a second request has to wait.
 cluster_options one_place(const std::string& sidecar_settings = {}) {
     return {.entries = 0,
             .backend_servers = {{.name = "pluma-1",
@@ -20,6 +21,7 @@
             .sidecar_settings = sidecar_settings};
 }
 
+/// Offers and starts the request, and waits for the head of its answer.
 dispatch_id begin_run(const sidecar_driver& driver, peer_client& entry, const http::request& work) {
     const auto dispatch = driver.offer(entry, work);
     driver.grant_and_start(entry, dispatch, work);
@@ -35,7 +37,8 @@
 
 } // namespace
 
-// A burst fills the queue. What belongs to a higher tier must not be refused while a lower one waits.
+// A burst of requests fills the queue. A request of a higher tier must not be refused while one of a lower
+// tier waits. The displaced request must not run, even if its start message arrives.
 TEST_CASE("sidecar: a full queue pushes out the lower tier, truly not run", "[sidecar]") {
     cluster system(one_place("queue_requests = 1\n"));
     sidecar_driver driver(system);
@@ -53,7 +56,7 @@
     CHECK(refusal.retry_after_ms > 0);
     const auto refused = driver.offer(entry, low, {.tier = 2});
     CHECK(entry.wait_for<wire::offer_reply_message>(refused).verdict == wire::offer_verdict::refused);
-    // Its start comes all the same: the entry had not read the refusal yet.
+    // A start message of the displaced request arrives, because the entry had not read the refusal yet.
     driver.start(entry, low_offer, low);
     entry.wait_for<wire::not_begun_message>(low_offer);
     driver.grant_and_start(entry, high_offer, high);
@@ -63,8 +66,9 @@
     CHECK(system.runs_of(high) == 1);
 }
 
-// The entry that made an offer dies while it waits. Its place in the queue must go to others.
-TEST_CASE("sidecar: offers of a lost connection give way", "[sidecar]") {
+// An entry dies while its offer waits in the queue. The offer must be removed, so that other requests are
+// served.
+TEST_CASE("sidecar: offers of a closed connection are removed from the queue", "[sidecar]") {
     cluster system(one_place());
     sidecar_driver driver(system);
     auto entry = driver.connect();
@@ -83,8 +87,9 @@
     CHECK(system.runs_of(orphan) == 0);
 }
 
-// A request whose deadline has passed in the queue is told so at once, not when its turn comes.
-TEST_CASE("sidecar: an offer that can't meet its deadline any more is refused while it waits", "[sidecar]") {
+// The deadline of a request passes while the request waits in the queue. The request must be refused at once,
+// not when it would be granted.
+TEST_CASE("sidecar: a queued offer that can't meet its deadline any more is refused at once", "[sidecar]") {
     cluster system(one_place());
     sidecar_driver driver(system);
     auto entry = driver.connect();
@@ -96,9 +101,9 @@
     CHECK_FALSE(entry.has<wire::answer_end_message>(first));
 }
 
-// The VM is taken out of service. What runs is finished and delivered; what waits is told that it has not
-// run, so that its entry can go elsewhere.
-TEST_CASE("sidecar: told to stop, it finishes what runs and gives back what waits", "[sidecar]") {
+// The VM is taken out of service. Running requests must be finished and delivered. Waiting requests must be
+// refused as not run, so that their entries can place them elsewhere.
+TEST_CASE("sidecar: asked to stop, it finishes running requests and refuses waiting ones", "[sidecar]") {
     cluster system(one_place());
     sidecar_driver driver(system);
     auto entry = driver.connect();
@@ -118,7 +123,7 @@
     const auto answer = driver.read_answer(entry, first);
     CHECK_FALSE(answer.end.failed);
     CHECK(answer.end.total_length > 0);
-    // The last part is lost on the way: another connection can still fetch it.
+    // If the last part of the answer was lost, another connection can still read it.
     auto other = driver.connect();
     CHECK(other.hello().leaving);
     driver.attach(other, first, 0);
@@ -129,8 +134,8 @@
     CHECK(system.runs_of(waiting) == 0);
 }
 
-// An operator who can't wait for the last stream asks a second time.
-TEST_CASE("sidecar: told to stop twice, it ends at once", "[sidecar]") {
+// An operator who doesn't want to wait for the last stream asks the sidecar to stop a second time.
+TEST_CASE("sidecar: asked to stop twice, it ends at once", "[sidecar]") {
     cluster system(one_place());
     sidecar_driver driver(system);
     auto entry = driver.connect();
@@ -141,9 +146,10 @@
     CHECK(system.backend(0).sidecar->wait_for_exit() == 130);
 }
 
-// The sidecar was frozen while a newer revision took its backend server out of use. A start that had waited
-// in its socket must not run under the old one.
-TEST_CASE("sidecar: thawed, it verifies its revision before it starts or grants anything", "[sidecar]") {
+// The sidecar was frozen while a newer configuration revision drained its backend server. A start message
+// that had waited in the socket must not be run under the old revision.
+TEST_CASE("sidecar: after a freeze it verifies its revision before it starts or grants anything",
+          "[sidecar]") {
     cluster system(one_place("grant_lease = 30s\n"));
     sidecar_driver driver(system);
     auto entry = driver.connect();
@@ -154,7 +160,7 @@
     driver.start(entry, dispatch, work);
     system.commit("", "pluma-1");
     const auto frozen_at = std::chrono::steady_clock::now();
-    wait_until("the freeze to be long enough to be one", [&] {
+    wait_until("the freeze to be longer than the detection threshold", [&] {
         return std::chrono::steady_clock::now() - frozen_at > std::chrono::milliseconds(1200);
     });
     system.backend(0).sidecar->thaw();
@@ -164,9 +170,9 @@
     CHECK(system.runs_of(work) == 0);
 }
 
-// Something between two processes damages frames. The connection can't be trusted any more; the sidecar and
-// its other connections go on.
-TEST_CASE("sidecar: a damaged frame ends its connection and nothing else", "[sidecar]") {
+// A frame is damaged between two processes. Its connection must be closed, because its further content can't
+// be trusted. The sidecar and its other connections must keep working.
+TEST_CASE("sidecar: a damaged frame closes its connection and no other", "[sidecar]") {
     cluster system(one_place());
     sidecar_driver driver(system);
     auto entry = driver.connect();
@@ -181,7 +187,7 @@
     CHECK_FALSE(damaged.has<wire::grant_message>(lost));
 }
 
-// The settings file is wrong in several places. The operator sees all of them at once, and nothing starts.
+// The settings file has several errors. The sidecar must report all of them at once and not start.
 TEST_CASE("sidecar: wrong settings are all shown and end it with exit code 2", "[sidecar]") {
     cluster system(one_place());
     const auto file =
--- a/tests/unit/test_sidecar_memory.cpp
+++ b/tests/unit/test_sidecar_memory.cpp
@@ -1,5 +1,6 @@
-// What one entry costs in memory. Hidden: it prints figures for docs/design/sidecar.md and judges nothing but
-// a generous bound. Run it with: unit_tests "[.measure]"
+// Measures the heap memory of one ledger entry, one queued offer and one kept answer, for
+// docs/design/sidecar.md. Each size is checked only against a generous bound. The test is hidden; run it
+// with: unit_tests "[.measure]"
 #include "ledger/dispatch_ledger.hpp"
 #include "policy/offer_queue.hpp"
 #include "sidecar/dispatch_store.hpp"
@@ -18,7 +19,7 @@
 
 constexpr std::uint64_t entry_count = 100'000;
 
-/// Heap bytes for one of many entries that `fill` makes.
+/// The mean number of heap bytes for each of the `entry_count` entries that `fill` creates.
 double measure_entry(const std::function<void()>& fill) {
     const auto before = mallinfo2().uordblks + mallinfo2().hblkhd;
     fill();
@@ -28,7 +29,7 @@
 
 } // namespace
 
-TEST_CASE("memory of a sidecar's entries", "[.measure]") {
+TEST_CASE("heap memory of one ledger entry, queued offer and kept answer of a sidecar", "[.measure]") {
     const ledger::time_point now = ledger::time_point{} + 1h;
     ledger::dispatch_ledger ledger({.retention = 1h, .entries = entry_count});
     const auto tombstone = measure_entry([&] {
--- a/tests/unit/test_sidecar_parts.cpp
+++ b/tests/unit/test_sidecar_parts.cpp
@@ -1,4 +1,5 @@
-// The parts of a sidecar that need no sockets: what is kept, what is checked, what is ordered.
+// Tests the parts of a sidecar that need no sockets: dispatch_store, the answer checkers, plan_orders(),
+// prefix_memory and the rows of crash marks.
 #include "backend/answer_checker.hpp"
 #include "sidecar/crash_marks.hpp"
 #include "sidecar/dispatch_store.hpp"
@@ -25,6 +26,7 @@
     return record;
 }
 
+/// Ends the record's answer with `bytes` bytes and hands it to the store to be kept.
 void finish(dispatch_store& store, const dispatch_store::record_pointer& record, std::size_t bytes,
             time_point now, std::optional<error_kind> failure = std::nullopt) {
     record->answer.append(std::string(bytes, 'x'));
@@ -38,7 +40,8 @@
 
 TEST_CASE("kept answers are bounded by count, bytes and time, and running ones are never dropped",
           "[sidecar]") {
-    // Entries die without acknowledging: what is kept for them must not grow until the sidecar dies too.
+    // Entries may die before they acknowledge answers. The answers kept for them must not grow until the
+    // sidecar runs out of memory.
     dispatch_store store({.kept_answers = 3, .memory = 1000, .retention = 1min});
     const auto running = make_record(100);
     store.add(running);
@@ -64,7 +67,7 @@
     CHECK(store.running_count() == 1);
 }
 
-TEST_CASE("resends find running and whole answers, not failed or acknowledged ones", "[sidecar]") {
+TEST_CASE("resends find running and complete answers, not failed or acknowledged ones", "[sidecar]") {
     dispatch_store store({});
     const auto good = make_record(1, 11);
     const auto bad = make_record(2, 22);
@@ -74,7 +77,7 @@
     CHECK(store.find_resend(11, 5) == good);
     CHECK(store.find_resend(0, 5) == nullptr);
     CHECK(store.find_resend(11, 6) == nullptr);
-    bad->is_cancelled = true; // its end is on the way; a resend must not be led to it
+    bad->is_cancelled = true; // The dispatch is about to end, so a resend must not find it.
     CHECK(store.find_resend(22, 5) == nullptr);
     finish(store, good, 1, begin);
     finish(store, bad, 1, begin, error_kind::backend_failed);
@@ -85,7 +88,7 @@
     store.acknowledge({1, 1});
     CHECK(store.find_resend(11, 5) == nullptr);
     CHECK_FALSE(store.has_undelivered(10s, begin));
-    // A kudos was counted and its answer delivered; a resend with its key gets that answer.
+    // A request that isn't idempotent stays in the store after its acknowledgement.
     const auto once = make_record(3);
     store.add(once);
     finish(store, once, 1, begin);
@@ -108,10 +111,10 @@
     CHECK_FALSE(store.find_elsewhere(3, 5, begin + 3s).has_value());
 }
 
-TEST_CASE("a streamed answer is whole only with its closing event, however it is cut into pieces",
+TEST_CASE("a streamed answer is complete only with its closing event, however it is split into pieces",
           "[sidecar]") {
-    // An engine that is stopped ends its HTTP body correctly in the middle of an answer. The caller would
-    // read a part as the whole.
+    // An engine that is stopped ends its HTTP body correctly in the middle of an answer. Without the check,
+    // the caller would take the truncated answer for the complete one.
     const std::string stream = "data: {\"choices\":[{\"delta\":{\"content\":\"a\"}}]}\n\n"
                                ": comment\n"
                                "data: {\"choices\":[{\"delta\":{\"content\":\"b\"}}]}\r\n\r\n"
@@ -137,7 +140,7 @@
     }
 }
 
-TEST_CASE("what is no event, or follows the closing one, is garbled", "[sidecar]") {
+TEST_CASE("text that is not an event, or follows the closing event, is an error", "[sidecar]") {
     for (const auto* text :
          {"hello\n", "data: {\"cut\": \n", "data: 7\n", "<html>\n", "data: [DONE]\ndata: {}\n"}) {
         backend::event_stream_checker checker;
@@ -152,7 +155,7 @@
     CHECK(backend::check_whole_answer(R"({"usage":{"completion_tokens":3}})").output_tokens == 3);
 }
 
-TEST_CASE("only what differs is ordered: role first, loads before unloads", "[sidecar]") {
+TEST_CASE("orders cover only the differences: the role first, loads before unloads", "[sidecar]") {
     configuration::configuration wanted;
     wanted.models.resize(2);
     wanted.models[0].name = "pluma";
@@ -190,7 +193,7 @@
     CHECK(memory.cached_tokens(prompt) == 0);
 }
 
-TEST_CASE("rows of crash marks survive their coding, and rubbish is refused", "[sidecar]") {
+TEST_CASE("rows of crash marks are decoded as they were encoded, and invalid rows are refused", "[sidecar]") {
     CHECK(marks::key_for(0x2a) == "mark/000000000000002a");
     const std::vector<crash_mark> written{{{1, 2}, "pluma-1", 1700000000000}};
     const auto decoded = marks::decode_row(marks::encode_row(written));
