--- a/src/sidecar/cache_follower.cpp
+++ b/src/sidecar/cache_follower.cpp
@@ -21,7 +21,7 @@
 
 void cache_follower::reset() {
     m_next = 0;
-    ++m_life;
+    ++m_reset_count;
     m_context.prefixes.clear();
 }
 
@@ -34,11 +34,11 @@
 }
 
 asio::awaitable<void> cache_follower::poll() {
-    const auto life = m_life;
+    const auto reset_count = m_reset_count;
     try {
         const auto batch = co_await m_server.as_engine()->cache_events(m_next);
-        if (life == m_life) {
-            take(batch);
+        if (reset_count == m_reset_count) {
+            apply(batch);
         }
     } catch (const std::exception&) {
         // The poll failed. The prefixes recorded so far are kept, and the next poll tries again.
@@ -46,7 +46,7 @@
     m_is_polling = false;
 }
 
-void cache_follower::take(const backend::cache_event_batch& batch) {
+void cache_follower::apply(const backend::cache_event_batch& batch) {
     for (const auto& event : batch.events) {
         if (event.is_stored) {
             m_context.prefixes.add(event.hashes);
--- a/src/sidecar/cache_follower.hpp
+++ b/src/sidecar/cache_follower.hpp
@@ -27,14 +27,15 @@
 private:
     void poll_soon();
     boost::asio::awaitable<void> poll();
-    void take(const backend::cache_event_batch& batch);
+    void apply(const backend::cache_event_batch& batch);
 
     sidecar_context& m_context;
     backend::backend_server& m_server;
     timer_subscription m_timer;
     bool m_is_polling = false;
     std::uint64_t m_next = 0; ///< number of the next event to read
-    std::uint64_t m_life = 0; ///< number of resets; a poll that was started before a reset is discarded
+    std::uint64_t m_reset_count =
+        0; ///< number of resets; a poll that was started before a reset is discarded
 };
 
 } // namespace borageford::sidecar
--- a/src/sidecar/crash_marks.cpp
+++ b/src/sidecar/crash_marks.cpp
@@ -82,24 +82,24 @@
     return static_cast<std::size_t>(std::ranges::count_if(found->second.marks, counts));
 }
 
-void crash_marks::take(std::uint64_t fingerprint, const crash_mark& mark) {
-    auto& held = hold(fingerprint);
-    if (!has_mark(held.marks, mark.mark) && held.marks.size() < marks_limit) {
-        held.marks.push_back(mark);
+void crash_marks::add_received(std::uint64_t fingerprint, const crash_mark& mark) {
+    auto& found_entry = find_or_create(fingerprint);
+    if (!has_mark(found_entry.marks, mark.mark) && found_entry.marks.size() < marks_limit) {
+        found_entry.marks.push_back(mark);
         if (mark.time == 0) {
-            held.marks.back().time = milliseconds_since_1970();
+            found_entry.marks.back().time = milliseconds_since_1970();
         }
     }
 }
 
 const crash_mark& crash_marks::add(std::uint64_t fingerprint) {
-    auto& held = hold(fingerprint);
-    held.marks.push_back({identifier::random(), m_backend_server, milliseconds_since_1970()});
-    held.is_written = false;
-    return held.marks.back();
+    auto& found_entry = find_or_create(fingerprint);
+    found_entry.marks.push_back({identifier::random(), m_backend_server, milliseconds_since_1970()});
+    found_entry.is_written = false;
+    return found_entry.marks.back();
 }
 
-crash_marks::entry& crash_marks::hold(std::uint64_t fingerprint) {
+crash_marks::entry& crash_marks::find_or_create(std::uint64_t fingerprint) {
     const auto [found, is_new] = m_entries.try_emplace(fingerprint);
     if (is_new) {
         m_order.push_back(fingerprint);
@@ -166,7 +166,7 @@
 
 asio::awaitable<void> crash_marks::read_all() {
     try {
-        forget_released(co_await read_rows());
+        remove_released(co_await read_rows());
     } catch (const store::store_error&) {
         // The platform is unavailable. The marks in memory are kept.
     }
@@ -176,7 +176,7 @@
 /// Adds the marks of all rows in the table and removes expired rows. Returns the fingerprints that have a
 /// row.
 asio::awaitable<std::set<std::uint64_t>> crash_marks::read_rows() {
-    std::set<std::uint64_t> standing;
+    std::set<std::uint64_t> stored;
     std::string after;
     for (;;) {
         const auto rows = co_await m_table.scan(marks::key_prefix, after, scan_limit);
@@ -185,21 +185,21 @@
             if (!marks::parse_key(row.key, fingerprint)) {
                 continue;
             }
-            standing.insert(fingerprint);
+            stored.insert(fingerprint);
             const auto marks = read_marks(row);
             for (const auto& mark : marks) {
-                take(fingerprint, mark);
+                add_received(fingerprint, mark);
             }
             // Only the sidecar of the backend server in the last mark removes the row, so that not all
             // sidecars try to.
-            const auto is_over =
+            const auto are_expired =
                 std::ranges::all_of(marks, [this](const crash_mark& mark) { return is_expired(mark); });
-            if (is_over && !marks.empty() && marks.back().backend_server == m_backend_server) {
+            if (are_expired && !marks.empty() && marks.back().backend_server == m_backend_server) {
                 co_await remove_row(row);
             }
         }
         if (rows.size() < scan_limit) {
-            co_return standing;
+            co_return stored;
         }
         after = rows.back().key;
     }
@@ -214,11 +214,11 @@
 
 /// Removes the fingerprints that have no row in the table any more: an operator released them, or they
 /// expired. Fingerprints with a mark that isn't written to the table yet are kept.
-void crash_marks::forget_released(const std::set<std::uint64_t>& standing) {
+void crash_marks::remove_released(const std::set<std::uint64_t>& stored) {
     std::erase_if(m_order, [&](std::uint64_t fingerprint) {
         const auto found = m_entries.find(fingerprint);
         const auto is_released =
-            found != m_entries.end() && found->second.is_written && !standing.contains(fingerprint);
+            found != m_entries.end() && found->second.is_written && !stored.contains(fingerprint);
         if (is_released) {
             m_entries.erase(found);
         }
--- a/src/sidecar/crash_marks.hpp
+++ b/src/sidecar/crash_marks.hpp
@@ -51,7 +51,7 @@
     [[nodiscard]] std::size_t count(std::uint64_t fingerprint) const;
 
     /// Adds a mark that was received from a peer. A mark with the time 0 gets the current time.
-    void take(std::uint64_t fingerprint, const crash_mark& mark);
+    void add_received(std::uint64_t fingerprint, const crash_mark& mark);
 
     /// Creates a mark for a request that was running when this sidecar's backend server died. The returned
     /// reference is valid until marks are next added or removed.
@@ -69,14 +69,14 @@
     };
 
     /// The entry for `fingerprint`, created if there is none.
-    entry& hold(std::uint64_t fingerprint);
+    entry& find_or_create(std::uint64_t fingerprint);
     boost::asio::awaitable<bool> try_write(std::uint64_t fingerprint, const crash_mark& mark);
     boost::asio::awaitable<void> write_until_done(std::uint64_t fingerprint, crash_mark mark,
                                                   std::function<void()> done);
     boost::asio::awaitable<void> read_all();
     boost::asio::awaitable<std::set<std::uint64_t>> read_rows();
     boost::asio::awaitable<void> remove_row(store::row row);
-    void forget_released(const std::set<std::uint64_t>& standing);
+    void remove_released(const std::set<std::uint64_t>& stored);
     [[nodiscard]] bool is_expired(const crash_mark& mark) const;
 
     boost::asio::strand<boost::asio::any_io_executor> m_strand;
--- a/src/sidecar/sidecar_core.cpp
+++ b/src/sidecar/sidecar_core.cpp
@@ -78,8 +78,8 @@
                 m_context.configuration.take_from_peer(message.revision, message.deflated_text);
                 finish_verification(m_verification);
             } else if constexpr (std::is_same_v<type, wire::crash_mark_message>) {
-                m_context.marks.take(message.fingerprint,
-                                     {wire::from_wire(message.mark), message.backend_server, 0});
+                m_context.marks.add_received(message.fingerprint,
+                                             {wire::from_wire(message.mark), message.backend_server, 0});
                 m_offers.review();
             }
             // All other messages are heartbeats, or messages that only a sidecar sends.
