--- a/src/sidecar/dispatch_manager.cpp
+++ b/src/sidecar/dispatch_manager.cpp
@@ -14,7 +14,7 @@
 
 namespace {
 
-constexpr std::size_t most_early_attaches = 10'000;
+constexpr std::size_t max_early_attaches = 10'000;
 
 } // namespace
 
@@ -34,19 +34,19 @@
         m_delivery.deliver(dispatch);
     };
     calls.tokens_came = [this](dispatch_record& dispatch, std::size_t tokens) {
-        count_tokens(dispatch, tokens);
+        record_tokens(dispatch, tokens);
     };
     calls.ended = [this](const record_pointer& dispatch, answer_ending ending) {
-        end(dispatch, ending);
+        finish(dispatch, ending);
     };
     calls.never_began = [this](const record_pointer& dispatch) {
-        take_back(dispatch);
+        report_not_begun(dispatch);
     };
     calls.lost = [this](const record_pointer& dispatch) {
         return report_lost(dispatch);
     };
     calls.unknown = [this](const record_pointer& dispatch) {
-        forget_unknown(dispatch);
+        report_unknown(dispatch);
     };
     return calls;
 }
@@ -57,14 +57,14 @@
     m_context.store.add(dispatch);
     m_context.metrics.started(dispatch->request, dispatch->started - dispatch->request.received);
     m_context.record(audit::event::started, dispatch->request);
-    watch_prefill(dispatch);
+    schedule_prefill_end(dispatch);
     m_runner.start(dispatch);
 }
 
 /// Ends the prefill of a dispatch that has no first token to show when its prefill is over: an answer that
 /// isn't streamed, or a call to a plain service, which has no prefill. If such a dispatch counted as
 /// prefilling until its end, it would block other requests for all that time.
-void dispatch_manager::watch_prefill(const record_pointer& dispatch) {
+void dispatch_manager::schedule_prefill_end(const record_pointer& dispatch) {
     if (dispatch->call.streamed && !dispatch->request.is_service) {
         return;
     }
@@ -100,7 +100,7 @@
     if (wire::from_wire(request.incarnation) != m_own_incarnation && m_context.ledger.find(id) == nullptr) {
         if (m_is_backend_known) {
             adopt(connection, request);
-        } else if (m_early_attaches.size() < most_early_attaches) {
+        } else if (m_early_attaches.size() < max_early_attaches) {
             // The dispatch can't be adopted yet, because only an engine can resume a stream. A plain service
             // would also respond to the request to resume, and that response would be taken for the answer of
             // the dispatch.
@@ -130,7 +130,7 @@
     send_fate(connection, request.dispatch, wire::dispatch_fate::unknown);
 }
 
-void dispatch_manager::note_backend_known() {
+void dispatch_manager::on_backend_known() {
     m_is_backend_known = true;
     for (const auto& early : std::exchange(m_early_attaches, {})) {
         attach(early.connection, early.request);
@@ -213,7 +213,7 @@
         });
 }
 
-void dispatch_manager::count_tokens(dispatch_record& dispatch, std::size_t tokens) {
+void dispatch_manager::record_tokens(dispatch_record& dispatch, std::size_t tokens) {
     const auto now = steady_clock::now();
     dispatch.tokens += tokens;
     m_context.costs.record_output_tokens(tokens, true, now);
@@ -237,14 +237,14 @@
     m_context.metrics.between_tokens(dispatch.request, each);
 }
 
-void dispatch_manager::end(const record_pointer& dispatch, answer_ending ending) {
+void dispatch_manager::finish(const record_pointer& dispatch, answer_ending ending) {
     const auto now = steady_clock::now();
     const auto& request = dispatch->request;
     if (ending.failure) {
         ending.retry_after = m_calls.retry_after(request.tier);
         m_context.metrics.failed(*ending.failure);
     } else {
-        learn(*dispatch, ending.usage, now);
+        record_result(*dispatch, ending.usage, now);
     }
     m_context.metrics.ended(*dispatch, now - dispatch->started, ending.usage);
     m_context.record(audit::event::ended, request, ending.failure);
@@ -259,7 +259,8 @@
     m_calls.room_freed();
 }
 
-void dispatch_manager::learn(const dispatch_record& dispatch, const backend::usage& usage, time_point now) {
+void dispatch_manager::record_result(const dispatch_record& dispatch, const backend::usage& usage,
+                                     time_point now) {
     const auto& request = dispatch.request;
     m_context.prefixes.add(request.prefix_hashes);
     if (dispatch.is_adopted || request.is_service) {
@@ -277,7 +278,7 @@
 
 /// Reports to the readers that the dispatch has not begun, because the backend server can't have received the
 /// call. The entry may place the request elsewhere.
-void dispatch_manager::take_back(const record_pointer& dispatch) {
+void dispatch_manager::report_not_begun(const record_pointer& dispatch) {
     const auto now = steady_clock::now();
     const auto& request = dispatch->request;
     m_context.ledger.take_back(request.dispatch, now);
@@ -295,7 +296,7 @@
     m_calls.room_freed();
 }
 
-void dispatch_manager::forget_unknown(const record_pointer& dispatch) {
+void dispatch_manager::report_unknown(const record_pointer& dispatch) {
     release_room(*dispatch);
     for (const auto& reader : dispatch->readers) {
         send_fate(reader.connection, wire::to_wire(dispatch->request.dispatch), wire::dispatch_fate::unknown);
--- a/src/sidecar/dispatch_manager.hpp
+++ b/src/sidecar/dispatch_manager.hpp
@@ -44,7 +44,7 @@
 
     /// To be called when the configuration first says which kind of backend server this sidecar has. Handles
     /// the attach messages that waited for it.
-    void note_backend_known();
+    void on_backend_known();
     /// An entry has received a complete answer.
     void acknowledge(const wire::acknowledge_message& request);
     /// An entry doesn't read the answer any more, because its caller has disconnected.
@@ -64,12 +64,12 @@
     void adopt(connection_id connection, const wire::attach_message& request);
     void announce_adopted(dispatch_record& dispatch);
     void send_fate(connection_id connection, const wire::id& dispatch, wire::dispatch_fate state);
-    void count_tokens(dispatch_record& dispatch, std::size_t tokens);
-    void end(const record_pointer& dispatch, answer_ending ending);
-    void take_back(const record_pointer& dispatch);
-    void forget_unknown(const record_pointer& dispatch);
-    void watch_prefill(const record_pointer& dispatch);
-    void learn(const dispatch_record& dispatch, const backend::usage& usage, time_point now);
+    void record_tokens(dispatch_record& dispatch, std::size_t tokens);
+    void finish(const record_pointer& dispatch, answer_ending ending);
+    void report_not_begun(const record_pointer& dispatch);
+    void report_unknown(const record_pointer& dispatch);
+    void schedule_prefill_end(const record_pointer& dispatch);
+    void record_result(const dispatch_record& dispatch, const backend::usage& usage, time_point now);
     void release_room(dispatch_record& dispatch);
     void start_grace(const record_pointer& dispatch);
     boost::asio::awaitable<void> report_lost(record_pointer dispatch);
--- a/src/sidecar/sidecar_core.cpp
+++ b/src/sidecar/sidecar_core.cpp
@@ -121,7 +121,7 @@
     const auto current = m_context.configuration.current();
     if (const auto* server = current->find_backend_server(m_context.settings.backend_server)) {
         m_context.limit.set_slots(server->slots);
-        m_dispatches.note_backend_known();
+        m_dispatches.on_backend_known();
         m_cache.start();
     }
     m_offers.review();
