--- a/src/sidecar/dispatch_manager.cpp
+++ b/src/sidecar/dispatch_manager.cpp
@@ -78,7 +78,7 @@
         m_context.timers.after(m_context.strand, expected, [this, weak = std::weak_ptr(dispatch)] {
             if (const auto held = weak.lock()) {
                 m_context.limit.end_prefill(held->admission);
-                m_calls.room_freed();
+                m_calls.capacity_freed();
             }
         });
 }
@@ -226,7 +226,7 @@
             m_context.limit.record_first_token(dispatch.admission, elapsed, now);
             m_context.metrics.first_token(dispatch.request, elapsed);
         }
-        m_calls.room_freed();
+        m_calls.capacity_freed();
         return;
     }
     // Several tokens may arrive in one piece. Each of them counts with an equal share of the time since the
@@ -253,10 +253,10 @@
     dispatch->ended = now;
     dispatch->call = {};
     dispatch->grace.cancel();
-    release_room(*dispatch);
+    release_capacity(*dispatch);
     m_context.store.keep(dispatch, now);
     m_delivery.deliver(*dispatch);
-    m_calls.room_freed();
+    m_calls.capacity_freed();
 }
 
 void dispatch_manager::record_result(const dispatch_record& dispatch, const backend::usage& usage,
@@ -282,7 +282,7 @@
     const auto now = steady_clock::now();
     const auto& request = dispatch->request;
     m_context.ledger.take_back(request.dispatch, now);
-    release_room(*dispatch);
+    release_capacity(*dispatch);
     m_context.store.remove(request.dispatch);
     m_context.metrics.refused(error_kind::no_backend_server, request.tier);
     m_context.record(audit::event::refused, request, error_kind::no_backend_server, "never begun");
@@ -293,20 +293,20 @@
     for (const auto& reader : dispatch->readers) {
         m_context.peers.send(reader.connection, refusal);
     }
-    m_calls.room_freed();
+    m_calls.capacity_freed();
 }
 
 void dispatch_manager::report_unknown(const record_pointer& dispatch) {
-    release_room(*dispatch);
+    release_capacity(*dispatch);
     for (const auto& reader : dispatch->readers) {
         send_fate(reader.connection, wire::to_wire(dispatch->request.dispatch), wire::dispatch_fate::unknown);
     }
     m_context.ledger.forget_adopted(dispatch->request.dispatch);
     m_context.store.remove(dispatch->request.dispatch);
-    m_calls.room_freed();
+    m_calls.capacity_freed();
 }
 
-void dispatch_manager::release_room(dispatch_record& dispatch) {
+void dispatch_manager::release_capacity(dispatch_record& dispatch) {
     m_context.limit.release(dispatch.admission);
 }
 
--- a/src/sidecar/dispatch_manager.hpp
+++ b/src/sidecar/dispatch_manager.hpp
@@ -27,7 +27,7 @@
     struct callbacks {
         /// A dispatch has released capacity at the backend server or finished its prefill, so that a waiting
         /// request may be granted.
-        std::function<void()> room_freed;
+        std::function<void()> capacity_freed;
         /// How long a caller of a request of this tier should wait before it retries.
         std::function<std::chrono::milliseconds(unsigned tier)> retry_after;
     };
@@ -70,7 +70,7 @@
     void report_unknown(const record_pointer& dispatch);
     void schedule_prefill_end(const record_pointer& dispatch);
     void record_result(const dispatch_record& dispatch, const backend::usage& usage, time_point now);
-    void release_room(dispatch_record& dispatch);
+    void release_capacity(dispatch_record& dispatch);
     void start_grace(const record_pointer& dispatch);
     boost::asio::awaitable<void> report_lost(record_pointer dispatch);
 
--- a/src/sidecar/offer_scheduler.cpp
+++ b/src/sidecar/offer_scheduler.cpp
@@ -76,7 +76,7 @@
         m_context.record(audit::event::pushed_out, m_offers.at(displaced.dispatch).request);
         end_offer(displaced.dispatch, error_kind::overloaded);
     }
-    grant_room();
+    grant_waiting();
 }
 
 std::optional<error_kind> offer_scheduler::find_obstacle(const offered_request& request) const {
@@ -193,7 +193,7 @@
     m_context.peers.send(connection, std::move(answer));
 }
 
-void offer_scheduler::grant_room() {
+void offer_scheduler::grant_waiting() {
     while (!m_is_held && m_context.monitor.is_up() && !m_context.store.is_full()) {
         const auto now = steady_clock::now();
         const auto* next = m_queue.next(now);
@@ -201,7 +201,7 @@
             return;
         }
         const auto& request = m_offers.at(next->dispatch).request;
-        if (!has_room_for(request) || must_wait_alone(request)) {
+        if (!has_capacity_for(request) || must_wait_alone(request)) {
             return;
         }
         grant_next(now);
@@ -210,7 +210,7 @@
 
 /// Whether the backend server has capacity for the request. A plain service produces no tokens from which a
 /// limit could be measured, so its limit is the configured number of slots.
-bool offer_scheduler::has_room_for(const offered_request& request) const {
+bool offer_scheduler::has_capacity_for(const offered_request& request) const {
     if (!request.is_service) {
         return m_context.limit.has_room(request.prefill_tokens);
     }
@@ -268,7 +268,7 @@
             m_offers.erase(found);
         }
         not_begun(connection, request.dispatch, error_kind::overloaded, milliseconds(0));
-        grant_room();
+        grant_waiting();
         return;
     case ledger::start_result::begun:
         break;
@@ -303,7 +303,7 @@
     m_queue.remove(id, now);
     release(found->second);
     m_offers.erase(found);
-    grant_room();
+    grant_waiting();
 }
 
 void offer_scheduler::give_up(dispatch_id dispatch) {
@@ -344,7 +344,7 @@
     for (const auto& queued : m_queue.take_unreachable(now)) {
         end_offer(queued.dispatch, error_kind::deadline_unreachable);
     }
-    grant_room();
+    grant_waiting();
 }
 
 void offer_scheduler::drain() {
@@ -354,7 +354,7 @@
 
 void offer_scheduler::hold(bool is_held) {
     m_is_held = is_held;
-    grant_room();
+    grant_waiting();
 }
 
 void offer_scheduler::review() {
@@ -369,7 +369,7 @@
             end_offer(id, *obstacle);
         }
     }
-    grant_room();
+    grant_waiting();
 }
 
 void offer_scheduler::end_offer(dispatch_id dispatch, error_kind kind) {
--- a/src/sidecar/offer_scheduler.hpp
+++ b/src/sidecar/offer_scheduler.hpp
@@ -39,7 +39,7 @@
     void drop_connection(connection_id connection);
 
     /// Grants queued offers as long as the backend server has capacity.
-    void grant_room();
+    void grant_waiting();
 
     /// Ends grants that have expired, and refuses queued offers that can't meet their deadline any more.
     void tick();
@@ -79,7 +79,7 @@
     [[nodiscard]] policy::queued_offer to_queued(const offered_request& request) const;
     [[nodiscard]] duration expected_service(const offered_request& request) const;
     [[nodiscard]] bool misses_deadline(const policy::queued_offer& queued) const;
-    [[nodiscard]] bool has_room_for(const offered_request& request) const;
+    [[nodiscard]] bool has_capacity_for(const offered_request& request) const;
     [[nodiscard]] bool must_wait_alone(const offered_request& request) const;
 
     void refuse(connection_id connection, const offered_request& request, error_kind kind);
--- a/src/sidecar/sidecar_core.cpp
+++ b/src/sidecar/sidecar_core.cpp
@@ -35,7 +35,7 @@
                            const identifier& own_incarnation)
     : m_context(context),
       m_dispatches(context, server, own_incarnation,
-                   {.room_freed = [this] { m_offers.grant_room(); },
+                   {.capacity_freed = [this] { m_offers.grant_waiting(); },
                     .retry_after =
                         [this](unsigned tier) {
                             return m_offers.retry_after(tier);
@@ -130,7 +130,7 @@
 
 void sidecar_core::backend_came_up() {
     m_orders.compare_soon();
-    m_offers.grant_room();
+    m_offers.grant_waiting();
 }
 
 void sidecar_core::backend_went_down() {
