--- a/src/sidecar/backend_monitor.cpp
+++ b/src/sidecar/backend_monitor.cpp
@@ -89,8 +89,8 @@
 }
 
 std::chrono::milliseconds backend_monitor::retry_after(policy::time_point now) const {
-    const auto away = std::chrono::duration_cast<std::chrono::milliseconds>(now - m_down_since);
-    return std::clamp(away, shortest_retry, longest_retry);
+    const auto down_time = std::chrono::duration_cast<std::chrono::milliseconds>(now - m_down_since);
+    return std::clamp(down_time, shortest_retry, longest_retry);
 }
 
 } // namespace borageford::sidecar
--- a/src/sidecar/dispatch_manager.cpp
+++ b/src/sidecar/dispatch_manager.cpp
@@ -33,7 +33,7 @@
         announce_adopted(dispatch);
         m_delivery.deliver(dispatch);
     };
-    calls.tokens_came = [this](dispatch_record& dispatch, std::size_t tokens) {
+    calls.tokens_received = [this](dispatch_record& dispatch, std::size_t tokens) {
         record_tokens(dispatch, tokens);
     };
     calls.ended = [this](const record_pointer& dispatch, answer_ending ending) {
--- a/src/sidecar/dispatch_runner.cpp
+++ b/src/sidecar/dispatch_runner.cpp
@@ -57,7 +57,7 @@
     if (dispatch->stream != nullptr) {
         dispatch->stream->cancel();
     }
-    asio::co_spawn(m_strand, tell_cancel(dispatch->request.dispatch), asio::detached);
+    asio::co_spawn(m_strand, send_cancel(dispatch->request.dispatch), asio::detached);
 }
 
 asio::awaitable<void> dispatch_runner::run(record_pointer dispatch) {
@@ -130,7 +130,7 @@
         }
         const auto tokens = is_checked && is_stream ? state.checker.take(piece) : 0;
         if (tokens > 0) {
-            m_calls.tokens_came(dispatch, tokens);
+            m_calls.tokens_received(dispatch, tokens);
         }
         dispatch.answer.append(piece);
         m_calls.progressed(dispatch, piece.size());
@@ -171,16 +171,16 @@
         m_calls.unknown(dispatch);
         co_return;
     }
-    const auto is_gone =
+    const auto is_server_down =
         state.failed == unreachable || (state.failed == cut && !co_await m_server.is_healthy());
-    if (is_gone) {
+    if (is_server_down) {
         // Reported before this dispatch ends, because dispatch_manager::choose_suspects looks at all
         // dispatches that were running when the server went down, including this one.
         m_monitor.report_lost(dispatch->backend_epoch);
         co_await m_calls.lost(dispatch);
     }
     if (state.failed == silent && dispatch->request.is_idempotent) {
-        asio::co_spawn(m_strand, tell_cancel(dispatch->request.dispatch), asio::detached);
+        asio::co_spawn(m_strand, send_cancel(dispatch->request.dispatch), asio::detached);
     }
     log::warning("dispatch_failed", {{"dispatch", dispatch->request.dispatch.to_string()},
                                      {"kind", std::string(to_string(kind_of(state.failed)))},
@@ -189,7 +189,7 @@
                   {.failure = kind_of(state.failed), .retry_after = {}, .usage = state.checker.measured()});
 }
 
-asio::awaitable<void> dispatch_runner::tell_cancel(dispatch_id dispatch) {
+asio::awaitable<void> dispatch_runner::send_cancel(dispatch_id dispatch) {
     try {
         co_await m_server.cancel(dispatch);
     } catch (const backend::backend_error& error) {
--- a/src/sidecar/dispatch_runner.hpp
+++ b/src/sidecar/dispatch_runner.hpp
@@ -26,7 +26,7 @@
         /// The head or body of the record's answer has grown. `bytes` is the number of new bytes of the body.
         std::function<void(dispatch_record&, std::size_t bytes)> progressed;
         /// The given number of output tokens of a streamed answer has been received.
-        std::function<void(dispatch_record&, std::size_t tokens)> tokens_came;
+        std::function<void(dispatch_record&, std::size_t tokens)> tokens_received;
         /// The answer has ended as described by the answer_ending. The callback must store the ending in the
         /// record.
         std::function<void(const record_pointer&, answer_ending)> ended;
@@ -57,7 +57,7 @@
     boost::asio::awaitable<void> read(dispatch_record& dispatch, attempt& state);
     boost::asio::awaitable<void> follow(dispatch_record& dispatch, attempt& state);
     boost::asio::awaitable<void> recover(const record_pointer& dispatch, attempt& state);
-    boost::asio::awaitable<void> tell_cancel(dispatch_id dispatch);
+    boost::asio::awaitable<void> send_cancel(dispatch_id dispatch);
     [[nodiscard]] backend::stream_limits limits_for(const dispatch_record& dispatch) const;
     [[nodiscard]] static error_kind kind_of(backend::failure what);
 
