--- a/src/sidecar/fencing_lease.cpp
+++ b/src/sidecar/fencing_lease.cpp
@@ -52,43 +52,44 @@
                               : std::max(policy::duration::zero(), m_valid_until - now);
 }
 
-asio::awaitable<std::optional<policy::duration>> fencing_lease::take(bool is_waited_out) {
+asio::awaitable<std::optional<policy::duration>> fencing_lease::acquire(bool must_wait_for_expiry) {
     const auto row = co_await m_table.read(m_key);
     const auto version = row ? row->version : 0;
-    const auto held = row ? decode_fencing(row->value) : fencing_row{};
-    const bool is_own = row && held.holder == m_incarnation;
-    const bool is_free = !row || held.is_released || is_own;
+    const auto current = row ? decode_fencing(row->value) : fencing_row{};
+    const bool is_own = row && current.holder == m_incarnation;
+    const bool is_free = !row || current.is_released || is_own;
     // The lease counts from before the write, because the write may take effect at any time between now and
     // the answer. A new holder that waits for this lease to expire counts from when it has read the write, so
     // later.
-    const auto asked = steady_clock::now();
-    if (!is_free && m_number != 0 && must_respect(held, version, asked)) {
+    const auto requested_at = steady_clock::now();
+    if (!is_free && m_number != 0 && must_yield(current, version, requested_at)) {
         co_return std::nullopt;
     }
     fencing_row next;
-    next.number = is_own && !held.is_released ? held.number : held.number + 1;
+    next.number = is_own && !current.is_released ? current.number : current.number + 1;
     next.holder = m_incarnation;
     next.lease = m_lease;
-    next.writes = held.writes + 1;
+    next.writes = current.writes + 1;
     if (!co_await write(next, version)) {
         co_return std::nullopt;
     }
     m_number = next.number;
-    const auto wait = is_free || !is_waited_out ? policy::duration::zero() : policy::duration(held.lease);
+    const auto wait =
+        is_free || !must_wait_for_expiry ? policy::duration::zero() : policy::duration(current.lease);
     m_valid_from = std::max(m_valid_from, steady_clock::now() + wait);
-    m_valid_until = asked + m_lease;
+    m_valid_until = requested_at + m_lease;
     co_return wait;
 }
 
 /// Whether a sidecar that has lost the row to another holder must leave the row to that holder: as long as
 /// the holder keeps renewing it. If the sidecar took the row back, the two of them would give contradicting
 /// orders for ever.
-bool fencing_lease::must_respect(const fencing_row& held, std::uint64_t version, policy::time_point now) {
+bool fencing_lease::must_yield(const fencing_row& current, std::uint64_t version, policy::time_point now) {
     if (m_seen_version != version) {
         m_seen_version = version;
         m_seen_since = now;
     }
-    return now - m_seen_since < held.lease;
+    return now - m_seen_since < current.lease;
 }
 
 asio::awaitable<bool> fencing_lease::write(const fencing_row& next, std::uint64_t version) {
@@ -122,13 +123,13 @@
         if (!row) {
             co_return;
         }
-        auto held = decode_fencing(row->value);
-        if (held.holder != m_incarnation || held.is_released) {
+        auto current = decode_fencing(row->value);
+        if (current.holder != m_incarnation || current.is_released) {
             co_return;
         }
-        held.is_released = true;
-        ++held.writes;
-        co_await write(held, row->version);
+        current.is_released = true;
+        ++current.writes;
+        co_await write(current, row->version);
     } catch (const std::exception&) {
         // The next holder has to wait until the lease expires.
     }
--- a/src/sidecar/fencing_lease.hpp
+++ b/src/sidecar/fencing_lease.hpp
@@ -43,11 +43,11 @@
     fencing_lease(store::table& table, std::string_view backend_server, identifier incarnation,
                   std::chrono::milliseconds lease);
 
-    /// Acquires or renews the lease. `is_waited_out` must be true if the engine doesn't check fencing
+    /// Acquires or renews the lease. `must_wait_for_expiry` must be true if the engine doesn't check fencing
     /// numbers: then the previous holder's lease must expire before the first order. Returns how long to wait
     /// before the first order; std::nullopt if another sidecar holds the lease or another write of the row
     /// came first. Throws store::store_error, or std::invalid_argument if the row can't be decoded.
-    boost::asio::awaitable<std::optional<policy::duration>> take(bool is_waited_out);
+    boost::asio::awaitable<std::optional<policy::duration>> acquire(bool must_wait_for_expiry);
 
     /// Releases the lease, so that the next holder doesn't have to wait until it expires. Never throws: if
     /// the write fails, the next holder has to wait.
@@ -60,7 +60,7 @@
     [[nodiscard]] bool is_held(policy::time_point now) const noexcept { return time_left(now).count() > 0; }
 
 private:
-    [[nodiscard]] bool must_respect(const fencing_row& held, std::uint64_t version, policy::time_point now);
+    [[nodiscard]] bool must_yield(const fencing_row& current, std::uint64_t version, policy::time_point now);
     boost::asio::awaitable<bool> write(const fencing_row& next, std::uint64_t version);
 
     store::table& m_table;
--- a/src/sidecar/order_controller.cpp
+++ b/src/sidecar/order_controller.cpp
@@ -143,14 +143,14 @@
     if (m_lease.time_left(steady_clock::now()) > m_context.settings.order_timeout) {
         co_return true;
     }
-    const auto wait = co_await m_lease.take(!is_checked);
+    const auto wait = co_await m_lease.acquire(!is_checked);
     if (!wait) {
         co_return false;
     }
     if (wait->count() > 0) {
         log::info("waiting_out_former_lease", {});
         co_await pause(*wait);
-        co_return (co_await m_lease.take(!is_checked)).has_value();
+        co_return (co_await m_lease.acquire(!is_checked)).has_value();
     }
     co_return true;
 }
--- a/tests/failure/test_sidecar_orders.cpp
+++ b/tests/failure/test_sidecar_orders.cpp
@@ -137,12 +137,12 @@
     table_stand stand;
     auto old_holder = stand.lease(700ms);
     auto new_holder = stand.lease(5s);
-    const auto first = stand.run(old_holder.take(true));
+    const auto first = stand.run(old_holder.acquire(true));
     REQUIRE(first.has_value());
     CHECK(first->count() == 0);
     CHECK(old_holder.number() == 1);
     CHECK(old_holder.time_left(steady_clock::now()) <= 700ms);
-    const auto second = stand.run(new_holder.take(true));
+    const auto second = stand.run(new_holder.acquire(true));
     REQUIRE(second.has_value());
     CHECK(*second == 700ms);
     CHECK(new_holder.number() == 2);
@@ -151,7 +151,7 @@
     // When the new holder may give orders, the old holder's own clock shows that its lease has expired.
     CHECK(new_holder.time_left(after_taking + 700ms).count() > 0);
     CHECK(old_holder.time_left(after_taking + 700ms).count() == 0);
-    CHECK_FALSE(stand.run(old_holder.take(true)).has_value());
+    CHECK_FALSE(stand.run(old_holder.acquire(true)).has_value());
 }
 
 TEST_CASE("fencing: a released lease, or an engine that checks numbers, needs no waiting", "[sidecar]") {
@@ -159,11 +159,11 @@
     auto first = stand.lease(1h);
     auto second = stand.lease(1h);
     auto third = stand.lease(1h);
-    REQUIRE(stand.run(first.take(true)).has_value());
+    REQUIRE(stand.run(first.acquire(true)).has_value());
     stand.run(first.release());
     CHECK(first.time_left(steady_clock::now()).count() == 0);
-    CHECK(stand.run(second.take(true)) == policy::duration::zero());
-    CHECK(stand.run(third.take(false)) == policy::duration::zero());
+    CHECK(stand.run(second.acquire(true)) == policy::duration::zero());
+    CHECK(stand.run(third.acquire(false)) == policy::duration::zero());
     CHECK(third.number() == 3);
 }
 
@@ -174,7 +174,7 @@
     table_stand stand;
     auto holder = stand.lease(1h);
     call(stand.address, {"POST", "/control", {}, R"({"lose_answers":1})"});
-    REQUIRE(stand.run(holder.take(true)).has_value());
+    REQUIRE(stand.run(holder.acquire(true)).has_value());
     CHECK(holder.number() == 1);
     CHECK(holder.time_left(steady_clock::now()) > 1min);
 }
