--- a/src/sidecar/engine_plan.hpp
+++ b/src/sidecar/engine_plan.hpp
@@ -12,8 +12,8 @@
 /// which they are to be given: the role first, and loads before unloads, so that a model that is served is
 /// unavailable no longer than needed. The orders' fencing numbers are 0. Empty when the engine is in the
 /// configured state.
-[[nodiscard]] std::vector<backend::order> plan_orders(const configuration::configuration& wanted,
+[[nodiscard]] std::vector<backend::order> plan_orders(const configuration::configuration& configured,
                                                       const configuration::backend_server& server,
-                                                      const backend::engine_state& now);
+                                                      const backend::engine_state& reported);
 
 } // namespace borageford::sidecar
--- a/src/sidecar/order_controller.cpp
+++ b/src/sidecar/order_controller.cpp
@@ -99,7 +99,7 @@
     auto orders = plan_orders(*current, *server, now);
     if (!orders.empty()) {
         m_is_settled = false;
-        co_await give(std::move(orders), server->checks_fencing);
+        co_await give_first(std::move(orders), server->checks_fencing);
         co_return;
     }
     if (!m_is_settled) {
@@ -111,14 +111,14 @@
 
 /// Gives only the first of the orders. The next comparison reads the engine's state again and plans the
 /// remaining orders.
-asio::awaitable<void> order_controller::give(std::vector<backend::order> orders, bool is_checked) {
+asio::awaitable<void> order_controller::give_first(std::vector<backend::order> orders, bool checks_fencing) {
     auto command = orders.front();
     if (is_load(command)) {
         // A random delay spreads the loads, because a new revision reaches all sidecars at the same time and
         // the store that the weights are loaded from is rate-limited.
         co_await pause(random_delay(m_context.settings.load_spread));
     }
-    if (!co_await hold_lease(is_checked)) {
+    if (!co_await ensure_lease(checks_fencing)) {
         co_return;
     }
     auto* engine = m_server.as_engine();
@@ -139,18 +139,18 @@
 }
 
 /// Acquires or renews the lease if needed. Returns whether orders may be given now.
-asio::awaitable<bool> order_controller::hold_lease(bool is_checked) {
+asio::awaitable<bool> order_controller::ensure_lease(bool checks_fencing) {
     if (m_lease.time_left(steady_clock::now()) > m_context.settings.order_timeout) {
         co_return true;
     }
-    const auto wait = co_await m_lease.acquire(!is_checked);
+    const auto wait = co_await m_lease.acquire(!checks_fencing);
     if (!wait) {
         co_return false;
     }
     if (wait->count() > 0) {
         log::info("waiting_out_former_lease", {});
         co_await pause(*wait);
-        co_return (co_await m_lease.acquire(!is_checked)).has_value();
+        co_return (co_await m_lease.acquire(!checks_fencing)).has_value();
     }
     co_return true;
 }
@@ -175,7 +175,7 @@
         co_return now;
     } catch (const backend::backend_error& error) {
         failure = std::current_exception();
-        if (error.what_failed() == backend::failure::garbled && !m_context.models.is_asked()) {
+        if (error.what_failed() == backend::failure::garbled && !m_context.models.is_known()) {
             m_context.models.set_unreadable();
             m_models_changed();
         }
--- a/src/sidecar/order_controller.hpp
+++ b/src/sidecar/order_controller.hpp
@@ -33,8 +33,8 @@
 private:
     boost::asio::awaitable<void> compare();
     boost::asio::awaitable<void> compare_once();
-    boost::asio::awaitable<void> give(std::vector<backend::order> orders, bool is_checked);
-    boost::asio::awaitable<bool> hold_lease(bool is_checked);
+    boost::asio::awaitable<void> give_first(std::vector<backend::order> orders, bool checks_fencing);
+    boost::asio::awaitable<bool> ensure_lease(bool checks_fencing);
     boost::asio::awaitable<void> pause(policy::duration time);
     boost::asio::awaitable<backend::engine_state> read_state();
 
