--- a/src/sidecar/cache_follower.hpp
+++ b/src/sidecar/cache_follower.hpp
@@ -33,9 +33,8 @@
     backend::backend_server& m_server;
     timer_subscription m_timer;
     bool m_is_polling = false;
-    std::uint64_t m_next = 0; ///< number of the next event to read
-    std::uint64_t m_reset_count =
-        0; ///< number of resets; a poll that was started before a reset is discarded
+    std::uint64_t m_next = 0;        ///< number of the next event to read
+    std::uint64_t m_reset_count = 0; ///< a poll that began before the last reset is discarded
 };
 
 } // namespace borageford::sidecar
--- a/src/sidecar/loaded_models.hpp
+++ b/src/sidecar/loaded_models.hpp
@@ -15,7 +15,7 @@
 class loaded_models {
 public:
     /// To be called when the engine went down: its models are unknown until it reports them again.
-    void forget() noexcept { m_state = state::unknown; }
+    void forget() noexcept { m_state = state::not_queried; }
     /// The engine can't report its models. From now on every model counts as loaded.
     void set_unreadable() noexcept { m_state = state::unreadable; }
     /// Sets the names of the models that the engine has reported.
@@ -25,7 +25,7 @@
     }
 
     /// Whether the engine has been asked for its models since it came up. May be called from any thread.
-    [[nodiscard]] bool is_known() const noexcept { return m_state != state::unknown; }
+    [[nodiscard]] bool has_been_queried() const noexcept { return m_state != state::not_queried; }
     /// Whether the model counts as loaded.
     [[nodiscard]] bool has(const std::string& name) const {
         if (m_state == state::known) {
@@ -35,9 +35,9 @@
     }
 
 private:
-    enum class state : std::uint8_t { unknown, unreadable, known };
+    enum class state : std::uint8_t { not_queried, unreadable, known };
 
-    std::atomic<state> m_state = state::unknown;
+    std::atomic<state> m_state = state::not_queried;
     std::vector<std::string> m_names;
 };
 
--- a/src/sidecar/sidecar_process.cpp
+++ b/src/sidecar/sidecar_process.cpp
@@ -236,7 +236,7 @@
 
 bool sidecar_process::is_ready() const {
     return m_monitor.is_up() && m_configuration.revision() > 0 && !m_is_leaving.load() &&
-           (m_models.is_known() || m_is_service.load());
+           (m_models.has_been_queried() || m_is_service.load());
 }
 
 /// Starts the graceful stop. No running dispatch is aborted: the peers are informed at once that the sidecar
