--- a/src/sidecar/offer_scheduler.cpp
+++ b/src/sidecar/offer_scheduler.cpp
@@ -16,8 +16,8 @@
 constexpr std::size_t quarantine_marks = 2;
 
 std::uint32_t to_wire_milliseconds(milliseconds time) {
-    constexpr std::int64_t most = UINT32_MAX;
-    return static_cast<std::uint32_t>(std::clamp<std::int64_t>(time.count(), 0, most));
+    constexpr std::int64_t max_milliseconds = UINT32_MAX;
+    return static_cast<std::uint32_t>(std::clamp<std::int64_t>(time.count(), 0, max_milliseconds));
 }
 
 } // namespace
@@ -28,7 +28,7 @@
       m_resends(context.store),
       m_queue({.requests = context.settings.queue_requests, .tokens = context.settings.queue_tokens}) {}
 
-void offer_scheduler::take(connection_id connection, const wire::offer_message& offer) {
+void offer_scheduler::handle_offer(connection_id connection, const wire::offer_message& offer) {
     m_context.metrics.offered();
     auto request = read_offer(offer);
     if (auto found = m_resends.find(offer, request.received)) {
@@ -56,7 +56,7 @@
     case ledger::offer_result::already_known:
         return;
     case ledger::offer_result::tombstoned:
-        not_begun(connection, offer.dispatch, error_kind::overloaded, retry_after(request.tier));
+        send_not_begun(connection, offer.dispatch, error_kind::overloaded, retry_after(request.tier));
         return;
     case ledger::offer_result::taken:
         break;
@@ -194,14 +194,14 @@
 }
 
 void offer_scheduler::grant_waiting() {
-    while (!m_is_held && m_context.monitor.is_up() && !m_context.store.is_full()) {
+    while (!m_is_paused && m_context.monitor.is_up() && !m_context.store.is_full()) {
         const auto now = steady_clock::now();
         const auto* next = m_queue.next(now);
         if (next == nullptr) {
             return;
         }
         const auto& request = m_offers.at(next->dispatch).request;
-        if (!has_capacity_for(request) || must_wait_alone(request)) {
+        if (!has_capacity_for(request) || must_wait_for_marked(request)) {
             return;
         }
         grant_next(now);
@@ -222,7 +222,7 @@
 /// Whether the request has a crash mark and another request with a crash mark is granted or running. At most
 /// one such request runs at a time: if the backend server died while two of them were running, it would be
 /// unknown which of them caused it, and a harmless request could be quarantined.
-bool offer_scheduler::must_wait_alone(const offered_request& request) const {
+bool offer_scheduler::must_wait_for_marked(const offered_request& request) const {
     if (m_context.marks.count(request.fingerprint) == 0) {
         return false;
     }
@@ -253,7 +253,7 @@
     const auto found = m_offers.find(id);
     if (found != m_offers.end() && found->second.admission) {
         const auto revision = m_context.configuration.revision();
-        if (m_is_held || request.revision != revision) {
+        if (m_is_paused || request.revision != revision) {
             end_offer(id, error_kind::stale_revision);
             return;
         }
@@ -264,10 +264,10 @@
     case ledger::start_result::not_begun:
         if (found != m_offers.end()) {
             m_queue.remove(id, steady_clock::now());
-            release(found->second);
+            release_capacity(found->second);
             m_offers.erase(found);
         }
-        not_begun(connection, request.dispatch, error_kind::overloaded, milliseconds(0));
+        send_not_begun(connection, request.dispatch, error_kind::overloaded, milliseconds(0));
         grant_waiting();
         return;
     case ledger::start_result::begun:
@@ -301,12 +301,12 @@
     const auto& offered = found->second.request;
     m_resends.learn(request, offered.resend_key, offered.fingerprint, now);
     m_queue.remove(id, now);
-    release(found->second);
+    release_capacity(found->second);
     m_offers.erase(found);
     grant_waiting();
 }
 
-void offer_scheduler::give_up(dispatch_id dispatch) {
+void offer_scheduler::withdraw_attached(dispatch_id dispatch) {
     if (!m_offers.contains(dispatch)) {
         return;
     }
@@ -317,13 +317,13 @@
 
 void offer_scheduler::drop_connection(connection_id connection) {
     m_resends.drop_connection(connection);
-    std::vector<dispatch_id> gone;
+    std::vector<dispatch_id> closed_offers;
     for (const auto& [id, offer] : m_offers) {
         if (offer.connection == connection) {
-            gone.push_back(id);
+            closed_offers.push_back(id);
         }
     }
-    for (const auto& id : gone) {
+    for (const auto& id : closed_offers) {
         wire::withdraw_message withdrawal;
         withdrawal.dispatch = wire::to_wire(id);
         withdraw(withdrawal);
@@ -349,15 +349,15 @@
 
 void offer_scheduler::drain() {
     m_is_draining = true;
-    review();
+    recheck_offers();
 }
 
-void offer_scheduler::hold(bool is_held) {
-    m_is_held = is_held;
+void offer_scheduler::set_paused(bool is_paused) {
+    m_is_paused = is_paused;
     grant_waiting();
 }
 
-void offer_scheduler::review() {
+void offer_scheduler::recheck_offers() {
     std::vector<dispatch_id> waiting;
     waiting.reserve(m_offers.size());
     for (const auto& [id, offer] : m_offers) {
@@ -380,16 +380,16 @@
     const auto now = steady_clock::now();
     m_context.ledger.withdraw(dispatch, now);
     m_queue.remove(dispatch, now);
-    release(found->second);
+    release_capacity(found->second);
     const auto offer = std::move(found->second);
     m_offers.erase(found);
     m_context.metrics.refused(kind, offer.request.tier);
     m_context.record(audit::event::refused, offer.request, kind);
-    not_begun(offer.connection, wire::to_wire(dispatch), kind, retry_after(offer.request.tier));
+    send_not_begun(offer.connection, wire::to_wire(dispatch), kind, retry_after(offer.request.tier));
 }
 
-void offer_scheduler::not_begun(connection_id connection, const wire::id& dispatch, error_kind kind,
-                                milliseconds retry_after) {
+void offer_scheduler::send_not_begun(connection_id connection, const wire::id& dispatch, error_kind kind,
+                                     milliseconds retry_after) {
     wire::not_begun_message refusal;
     refusal.dispatch = dispatch;
     refusal.error_kind = wire::to_wire(kind);
@@ -397,7 +397,7 @@
     m_context.peers.send(connection, std::move(refusal));
 }
 
-void offer_scheduler::release(pending_offer& offer) {
+void offer_scheduler::release_capacity(pending_offer& offer) {
     if (!offer.admission) {
         return;
     }
--- a/src/sidecar/offer_scheduler.hpp
+++ b/src/sidecar/offer_scheduler.hpp
@@ -25,7 +25,7 @@
     offer_scheduler(sidecar_context& context, dispatch_manager& dispatches);
 
     /// Queues or refuses an offer and replies to it.
-    void take(connection_id connection, const wire::offer_message& offer);
+    void handle_offer(connection_id connection, const wire::offer_message& offer);
     /// Starts a granted offer, or replies that it has not begun.
     void start(connection_id connection, wire::start_message request);
     /// Removes an offer that has not started. Also ends a lookup_only offer.
@@ -33,7 +33,7 @@
 
     /// Withdraws the offer without a message to its entry. Called when an entry attaches to the dispatch:
     /// that entry counts the dispatch as started, and dispatch_manager::attach reports what became of it.
-    void give_up(dispatch_id dispatch);
+    void withdraw_attached(dispatch_id dispatch);
 
     /// Withdraws all offers of a closed connection, because their grants could not be answered any more.
     void drop_connection(connection_id connection);
@@ -47,13 +47,13 @@
     /// Ends all offers that have not started, and refuses new ones from now on.
     void drain();
 
-    /// While `is_held` is true, offers are queued but none is granted or started. Used after the process was
-    /// frozen, until it is known whether the configuration revision is still in force.
-    void hold(bool is_held);
+    /// While `is_paused` is true, offers are queued but none is granted or started. Used after the process
+    /// was frozen, until it is known whether the configuration revision is still in force.
+    void set_paused(bool is_paused);
 
     /// Refuses the offers that can't be served any more. To be called when the backend server or the
     /// configuration has changed.
-    void review();
+    void recheck_offers();
 
     /// How long a refused caller of this tier should wait before it retries, derived from the measured rate
     /// at which the queue drains or, while the backend server is down, from how long it has been down.
@@ -80,18 +80,18 @@
     [[nodiscard]] duration expected_service(const offered_request& request) const;
     [[nodiscard]] bool misses_deadline(const policy::queued_offer& queued) const;
     [[nodiscard]] bool has_capacity_for(const offered_request& request) const;
-    [[nodiscard]] bool must_wait_alone(const offered_request& request) const;
+    [[nodiscard]] bool must_wait_for_marked(const offered_request& request) const;
 
     void refuse(connection_id connection, const offered_request& request, error_kind kind);
     void reply(connection_id connection, const offered_request& request, wire::offer_reply_message answer);
     void grant_next(time_point now);
-    void not_begun(connection_id connection, const wire::id& dispatch, error_kind kind,
-                   std::chrono::milliseconds retry_after);
+    void send_not_begun(connection_id connection, const wire::id& dispatch, error_kind kind,
+                        std::chrono::milliseconds retry_after);
     /// Ends an offer that hasn't started: writes its tombstone to the ledger first, then sends the message to
     /// its entry.
     void end_offer(dispatch_id dispatch, error_kind kind);
     /// Releases the capacity of a granted offer. Does nothing if the offer isn't granted.
-    void release(pending_offer& offer);
+    void release_capacity(pending_offer& offer);
 
     sidecar_context& m_context;
     dispatch_manager& m_dispatches;
@@ -99,7 +99,7 @@
     policy::offer_queue m_queue;
     offer_map m_offers;
     bool m_is_draining = false;
-    bool m_is_held = false;
+    bool m_is_paused = false;
 };
 
 } // namespace borageford::sidecar
--- a/src/sidecar/sidecar_core.cpp
+++ b/src/sidecar/sidecar_core.cpp
@@ -41,7 +41,7 @@
                             return m_offers.retry_after(tier);
                         }}),
       m_offers(context, m_dispatches),
-      m_orders(context, server, own_incarnation, [this] { m_offers.review(); }),
+      m_orders(context, server, own_incarnation, [this] { m_offers.recheck_offers(); }),
       m_cache(context, server) {}
 
 void sidecar_core::start() {
@@ -60,13 +60,13 @@
         [this, connection](auto& message) {
             using type = std::decay_t<decltype(message)>;
             if constexpr (std::is_same_v<type, wire::offer_message>) {
-                m_offers.take(connection, message);
+                m_offers.handle_offer(connection, message);
             } else if constexpr (std::is_same_v<type, wire::start_message>) {
                 m_offers.start(connection, std::move(message));
             } else if constexpr (std::is_same_v<type, wire::withdraw_message>) {
                 m_offers.withdraw(message);
             } else if constexpr (std::is_same_v<type, wire::attach_message>) {
-                m_offers.give_up(wire::from_wire(message.dispatch));
+                m_offers.withdraw_attached(wire::from_wire(message.dispatch));
                 m_dispatches.attach(connection, message);
             } else if constexpr (std::is_same_v<type, wire::acknowledge_message>) {
                 m_dispatches.acknowledge(message);
@@ -80,7 +80,7 @@
             } else if constexpr (std::is_same_v<type, wire::crash_mark_message>) {
                 m_context.marks.add_received(message.fingerprint,
                                              {wire::from_wire(message.mark), message.backend_server, 0});
-                m_offers.review();
+                m_offers.recheck_offers();
             }
             // All other messages are heartbeats, or messages that only a sidecar sends.
         },
@@ -124,7 +124,7 @@
         m_dispatches.on_backend_known();
         m_cache.start();
     }
-    m_offers.review();
+    m_offers.recheck_offers();
     m_orders.compare_soon();
 }
 
@@ -137,7 +137,7 @@
     m_cache.reset();
     m_context.models.forget();
     m_dispatches.choose_suspects();
-    m_offers.review();
+    m_offers.recheck_offers();
 }
 
 /// Detects that the process was frozen, and then stops grants and starts until its configuration revision is
@@ -153,7 +153,7 @@
     }
     const auto lost = std::chrono::duration_cast<std::chrono::milliseconds>(silence);
     log::warning("frozen", {{"milliseconds", std::to_string(lost.count())}});
-    m_offers.hold(true);
+    m_offers.set_paused(true);
     ++m_verification;
     wire::configuration_request_message request;
     request.known_revision = m_context.configuration.revision();
@@ -187,7 +187,7 @@
 void sidecar_core::finish_verification(std::uint64_t verification) {
     if (m_verification == verification) {
         m_verified = verification;
-        m_offers.hold(false);
+        m_offers.set_paused(false);
     }
 }
 
