--- a/src/sidecar/sidecar_core.cpp
+++ b/src/sidecar/sidecar_core.cpp
@@ -27,7 +27,7 @@
 /// Delay between attempts to read the configuration's head row after a freeze.
 constexpr std::chrono::milliseconds verification_pause{100};
 /// Time after which the configuration is requested from a peer again if no newer revision was received.
-constexpr std::chrono::milliseconds ask_again_after{500};
+constexpr std::chrono::milliseconds request_interval{500};
 
 } // namespace
 
@@ -50,8 +50,8 @@
 }
 
 void sidecar_core::receive(connection_id connection, wire::envelope received) {
-    notice_freeze();
-    follow_revision(connection, received.revision);
+    detect_freeze();
+    request_newer_revision(connection, received.revision);
     handle(connection, std::move(received.content));
 }
 
@@ -89,16 +89,17 @@
 
 /// Requests the configuration from a peer that has a newer revision. This way a revision reaches all
 /// processes also while the platform is unavailable.
-void sidecar_core::follow_revision(connection_id connection, std::uint64_t peer_revision) {
+void sidecar_core::request_newer_revision(connection_id connection, std::uint64_t peer_revision) {
     const auto own = m_context.configuration.revision();
     const auto now = steady_clock::now();
     // Every frame of a peer contains its revision, and every reply contains the complete configuration. So a
-    // revision is requested only once in `ask_again_after`, not for each frame.
-    if (peer_revision <= own || (peer_revision <= m_asked_revision && now - m_asked_at < ask_again_after)) {
+    // revision is requested only once in `request_interval`, not for each frame.
+    if (peer_revision <= own ||
+        (peer_revision <= m_requested_revision && now - m_requested_at < request_interval)) {
         return;
     }
-    m_asked_revision = peer_revision;
-    m_asked_at = now;
+    m_requested_revision = peer_revision;
+    m_requested_at = now;
     wire::configuration_request_message request;
     request.known_revision = own;
     m_context.peers.send(connection, request);
@@ -117,7 +118,7 @@
     m_dispatches.drop_connection(connection);
 }
 
-void sidecar_core::follow_configuration() {
+void sidecar_core::apply_configuration() {
     const auto current = m_context.configuration.current();
     if (const auto* server = current->find_backend_server(m_context.settings.backend_server)) {
         m_context.limit.set_slots(server->slots);
@@ -144,15 +145,15 @@
 /// verified. During the freeze a newer revision may have taken the backend server out of use. A start message
 /// that had waited in the socket would then run under a revision that is no longer in force. Called before
 /// each message is handled and on each tick.
-void sidecar_core::notice_freeze() {
+void sidecar_core::detect_freeze() {
     const auto now = steady_clock::now();
-    const auto silence = now - m_last_seen;
+    const auto elapsed = now - m_last_seen;
     m_last_seen = now;
-    if (silence < freeze_threshold) {
+    if (elapsed < freeze_threshold) {
         return;
     }
-    const auto lost = std::chrono::duration_cast<std::chrono::milliseconds>(silence);
-    log::warning("frozen", {{"milliseconds", std::to_string(lost.count())}});
+    const auto frozen_for = std::chrono::duration_cast<std::chrono::milliseconds>(elapsed);
+    log::warning("frozen", {{"milliseconds", std::to_string(frozen_for.count())}});
     m_offers.set_paused(true);
     ++m_verification;
     wire::configuration_request_message request;
@@ -169,8 +170,8 @@
     while (m_verification == verification && m_verified != verification) {
         try {
             const auto head = co_await m_context.table.read(configuration::head_key);
-            const auto named = head ? configuration::decode_head(head->value).revision : 0;
-            if (named <= m_context.configuration.revision()) {
+            const auto head_revision = head ? configuration::decode_head(head->value).revision : 0;
+            if (head_revision <= m_context.configuration.revision()) {
                 finish_verification(verification);
                 co_return;
             }
@@ -192,32 +193,32 @@
 }
 
 void sidecar_core::tick() {
-    notice_freeze();
+    detect_freeze();
     const auto now = steady_clock::now();
     m_offers.tick();
     m_context.store.forget_old(now);
     m_context.ledger.forget_old(now);
     m_context.costs.record_output_tokens(0, m_context.limit.running() > 0, now);
-    finish_leaving();
+    finish_shutdown();
 }
 
-void sidecar_core::leave(std::function<void()> done) {
-    m_is_leaving = true;
-    m_left = std::move(done);
+void sidecar_core::shut_down(std::function<void()> done) {
+    m_is_shutting_down = true;
+    m_shutdown_done = std::move(done);
     wire::leaving_message leaving;
     leaving.reason = "stop requested";
     m_context.peers.send_to_all(leaving);
     m_offers.drain();
 }
 
-void sidecar_core::finish_leaving() {
-    if (!m_left || m_context.store.running_count() > 0) {
+void sidecar_core::finish_shutdown() {
+    if (!m_shutdown_done || m_context.store.running_count() > 0) {
         return;
     }
     if (m_context.store.has_undelivered(m_context.settings.resend_grace, steady_clock::now())) {
         return;
     }
-    std::exchange(m_left, {})();
+    std::exchange(m_shutdown_done, {})();
 }
 
 std::unique_ptr<wire::load_report_message> sidecar_core::make_load_report() const {
--- a/src/sidecar/sidecar_process.cpp
+++ b/src/sidecar/sidecar_process.cpp
@@ -85,7 +85,7 @@
     sidecar_context m_context;
     sidecar_core m_core;
     http::server m_status_server;
-    std::atomic<bool> m_is_leaving = false;
+    std::atomic<bool> m_is_shutting_down = false;
     std::atomic<bool> m_is_service = false;
 };
 
@@ -167,7 +167,7 @@
     hello.region = m_settings.common.region;
     hello.backend_server = m_settings.backend_server;
     hello.revision = m_configuration.revision();
-    hello.leaving = m_core.is_leaving();
+    hello.leaving = m_core.is_shutting_down();
     return hello;
 }
 
@@ -176,7 +176,7 @@
     m_configuration.start([this](const auto&) {
         asio::post(m_strand, [this] {
             choose_backend_kind();
-            m_core.follow_configuration();
+            m_core.apply_configuration();
         });
     });
     m_audit.start();
@@ -235,16 +235,16 @@
 }
 
 bool sidecar_process::is_ready() const {
-    return m_monitor.is_up() && m_configuration.revision() > 0 && !m_is_leaving.load() &&
+    return m_monitor.is_up() && m_configuration.revision() > 0 && !m_is_shutting_down.load() &&
            (m_models.has_been_queried() || m_is_service.load());
 }
 
 /// Starts the graceful stop. No running dispatch is aborted: the peers are informed at once that the sidecar
 /// takes no new work, and the process ends when the last answer has been delivered.
 void sidecar_process::stop_gracefully() {
-    m_is_leaving = true;
+    m_is_shutting_down = true;
     log::info("leaving", {{"running", std::to_string(m_store.running_count())}});
-    m_core.leave([this] { finish(); });
+    m_core.shut_down([this] { finish(); });
 }
 
 void sidecar_process::finish() {
