--- a/src/sidecar/answer_delivery.cpp
+++ b/src/sidecar/answer_delivery.cpp
@@ -45,16 +45,16 @@
         m_peers.send(reader.connection, std::move(head));
         reader.has_head = true;
     }
-    auto rest = answer.from(reader.next_offset);
-    while (!rest.empty()) {
-        const auto piece = rest.substr(0, chunk_limit);
+    auto unsent = answer.from(reader.next_offset);
+    while (!unsent.empty()) {
+        const auto piece = unsent.substr(0, chunk_limit);
         wire::chunk_message chunk;
         chunk.dispatch = id;
         chunk.offset = reader.next_offset;
         chunk.data.assign(piece.begin(), piece.end());
         m_peers.send(reader.connection, std::move(chunk));
         reader.next_offset += piece.size();
-        rest.remove_prefix(piece.size());
+        unsent.remove_prefix(piece.size());
     }
     if (answer.ending()) {
         send_end(dispatch, reader.connection);
--- a/src/sidecar/offer_scheduler.cpp
+++ b/src/sidecar/offer_scheduler.cpp
@@ -299,7 +299,7 @@
     m_context.metrics.withdrawn();
     m_context.record(audit::event::withdrawn, found->second.request);
     const auto& offered = found->second.request;
-    m_resends.learn(request, offered.resend_key, offered.fingerprint, now);
+    m_resends.record_start(request, offered.resend_key, offered.fingerprint, now);
     m_queue.remove(id, now);
     release_capacity(found->second);
     m_offers.erase(found);
@@ -337,7 +337,7 @@
         if (found == m_offers.end()) {
             continue;
         }
-        m_context.metrics.lapsed();
+        m_context.metrics.grant_expired();
         m_context.record(audit::event::lapsed, found->second.request);
         end_offer(id, error_kind::overloaded);
     }
--- a/src/sidecar/peer_registry.cpp
+++ b/src/sidecar/peer_registry.cpp
@@ -45,7 +45,7 @@
         }
         if (error) {
             log::warning("accept_failed", {{"error", error.message()}});
-            m_accept_later = m_timers.after(m_strand, accept_pause, [this] { accept_next(); });
+            m_accept_retry = m_timers.after(m_strand, accept_pause, [this] { accept_next(); });
             return;
         }
         add(std::move(socket));
--- a/src/sidecar/peer_registry.hpp
+++ b/src/sidecar/peer_registry.hpp
@@ -68,7 +68,7 @@
     std::size_t m_limit;
     callbacks m_calls;
     boost::asio::ip::tcp::acceptor m_acceptor;
-    timer_subscription m_accept_later;
+    timer_subscription m_accept_retry;
     std::map<connection_id, peer> m_peers;
     connection_id m_last_connection = 0;
 };
--- a/src/sidecar/resend_finder.cpp
+++ b/src/sidecar/resend_finder.cpp
@@ -29,17 +29,17 @@
 }
 
 bool resend_finder::end_lookup(const wire::withdraw_message& request, time_point now) {
-    const auto asked = m_lookups.find(wire::from_wire(request.dispatch));
-    if (asked == m_lookups.end()) {
+    const auto entry = m_lookups.find(wire::from_wire(request.dispatch));
+    if (entry == m_lookups.end()) {
         return false;
     }
-    learn(request, asked->second.resend_key, asked->second.fingerprint, now);
-    m_lookups.erase(asked);
+    record_start(request, entry->second.resend_key, entry->second.fingerprint, now);
+    m_lookups.erase(entry);
     return true;
 }
 
-void resend_finder::learn(const wire::withdraw_message& request, std::uint64_t resend_key,
-                          std::uint64_t fingerprint, time_point now) {
+void resend_finder::record_start(const wire::withdraw_message& request, std::uint64_t resend_key,
+                                 std::uint64_t fingerprint, time_point now) {
     if (!request.started_at.empty()) {
         m_store.remember_elsewhere(
             resend_key, {wire::from_wire(request.running_dispatch), request.started_at, fingerprint}, now);
@@ -48,7 +48,7 @@
 
 void resend_finder::drop_connection(connection_id connection) {
     std::erase_if(m_lookups,
-                  [connection](const auto& asked) { return asked.second.connection == connection; });
+                  [connection](const auto& entry) { return entry.second.connection == connection; });
 }
 
 } // namespace borageford::sidecar
--- a/src/sidecar/resend_finder.hpp
+++ b/src/sidecar/resend_finder.hpp
@@ -33,8 +33,8 @@
     bool end_lookup(const wire::withdraw_message& request, time_point now);
 
     /// Records where the request was started, if the withdrawal says so.
-    void learn(const wire::withdraw_message& request, std::uint64_t resend_key, std::uint64_t fingerprint,
-               time_point now);
+    void record_start(const wire::withdraw_message& request, std::uint64_t resend_key,
+                      std::uint64_t fingerprint, time_point now);
 
     /// Forgets the lookups of a closed connection.
     void drop_connection(connection_id connection);
--- a/src/sidecar/sidecar_metrics.cpp
+++ b/src/sidecar/sidecar_metrics.cpp
@@ -9,7 +9,8 @@
     : m_registry(registry),
       m_offers(registry.get_counter("borageford_sidecar_offers_total", "Offers that came in.")),
       m_grants(registry.get_counter("borageford_sidecar_grants_total", "Grants given.")),
-      m_lapses(registry.get_counter("borageford_sidecar_lapses_total", "Grants whose start did not come.")),
+      m_expired_grants(
+          registry.get_counter("borageford_sidecar_lapses_total", "Grants whose start did not come.")),
       m_withdrawals(registry.get_counter("borageford_sidecar_withdrawals_total", "Offers withdrawn.")),
       m_starts(registry.get_counter("borageford_sidecar_starts_total", "Dispatches started.")),
       m_attachments(registry.get_counter("borageford_sidecar_attachments_total",
@@ -40,17 +41,18 @@
 
 void sidecar_metrics::started(const offered_request& request, duration waited) {
     m_starts.add();
-    timing("borageford_sidecar_queue_wait_seconds", "From offer to start.", request)
+    duration_histogram("borageford_sidecar_queue_wait_seconds", "From offer to start.", request)
         .record(policy::to_seconds(waited));
 }
 
 void sidecar_metrics::first_token(const offered_request& request, duration elapsed) {
-    timing("borageford_sidecar_first_token_seconds", "From start to the first token.", request)
+    duration_histogram("borageford_sidecar_first_token_seconds", "From start to the first token.", request)
         .record(policy::to_seconds(elapsed));
 }
 
 void sidecar_metrics::between_tokens(const offered_request& request, duration elapsed) {
-    timing("borageford_sidecar_between_tokens_seconds", "Between two tokens of an answer.", request)
+    duration_histogram("borageford_sidecar_between_tokens_seconds", "Between two tokens of an answer.",
+                       request)
         .record(policy::to_seconds(elapsed));
 }
 
@@ -58,12 +60,13 @@
     m_prompt_tokens.add(usage.prompt_tokens);
     m_cached_tokens.add(usage.cached_tokens);
     m_output_tokens.add(usage.output_tokens);
-    timing("borageford_sidecar_total_seconds", "From start to the end of the answer.", dispatch.request)
+    duration_histogram("borageford_sidecar_total_seconds", "From start to the end of the answer.",
+                       dispatch.request)
         .record(policy::to_seconds(elapsed));
 }
 
-metrics::histogram& sidecar_metrics::timing(std::string_view name, std::string_view help,
-                                            const offered_request& request) {
+metrics::histogram& sidecar_metrics::duration_histogram(std::string_view name, std::string_view help,
+                                                        const offered_request& request) {
     return m_registry.get_histogram(
         name, help, {{"workspace", request.workspace}, {"tier", std::to_string(request.tier)}});
 }
--- a/src/sidecar/sidecar_metrics.hpp
+++ b/src/sidecar/sidecar_metrics.hpp
@@ -16,7 +16,7 @@
 
     void offered() { m_offers.add(); }
     void granted() { m_grants.add(); }
-    void lapsed() { m_lapses.add(); }
+    void grant_expired() { m_expired_grants.add(); }
     void withdrawn() { m_withdrawals.add(); }
     void attached() { m_attachments.add(); }
     void cancelled() { m_cancellations.add(); }
@@ -33,12 +33,13 @@
     void ended(const dispatch_record& dispatch, duration elapsed, const backend::usage& usage);
 
 private:
-    metrics::histogram& timing(std::string_view name, std::string_view help, const offered_request& request);
+    metrics::histogram& duration_histogram(std::string_view name, std::string_view help,
+                                           const offered_request& request);
 
     metrics::registry& m_registry;
     metrics::counter& m_offers;
     metrics::counter& m_grants;
-    metrics::counter& m_lapses;
+    metrics::counter& m_expired_grants;
     metrics::counter& m_withdrawals;
     metrics::counter& m_starts;
     metrics::counter& m_attachments;
--- a/src/sidecar/sidecar_settings.cpp
+++ b/src/sidecar/sidecar_settings.cpp
@@ -16,14 +16,14 @@
 constexpr milliseconds shortest{1};
 constexpr milliseconds longest{3'600'000};
 constexpr milliseconds longest_lifetime{7LL * 24 * 3'600'000};
-constexpr std::int64_t most_entries = 10'000'000;
+constexpr std::int64_t max_entries = 10'000'000;
 constexpr std::uint64_t smallest_memory = 64U * 1024;
 constexpr std::uint64_t largest_memory = 64ULL * 1024 * 1024 * 1024;
 
 void read_queue(settings::section_reader& reader, sidecar_settings& out) {
     const auto requests = static_cast<std::int64_t>(out.queue_requests);
     const auto tokens = static_cast<std::int64_t>(out.queue_tokens);
-    out.queue_requests = static_cast<std::size_t>(reader.number("queue_requests", requests, 1, most_entries));
+    out.queue_requests = static_cast<std::size_t>(reader.number("queue_requests", requests, 1, max_entries));
     out.queue_tokens = static_cast<std::uint64_t>(
         reader.number("queue_tokens", tokens, 1, std::numeric_limits<std::int32_t>::max()));
     out.grant_lease = reader.duration("grant_lease", out.grant_lease, shortest, longest);
@@ -33,12 +33,12 @@
     out.resend_grace = reader.duration("resend_grace", out.resend_grace, milliseconds(0), longest);
     out.answer_retention = reader.duration("answer_retention", out.answer_retention, shortest, longest);
     const auto count = static_cast<std::int64_t>(out.answer_count);
-    out.answer_count = static_cast<std::size_t>(reader.number("answer_count", count, 1, most_entries));
+    out.answer_count = static_cast<std::size_t>(reader.number("answer_count", count, 1, max_entries));
     out.answer_memory = reader.size("answer_memory", out.answer_memory, smallest_memory, largest_memory);
     out.answer_size = reader.size("answer_size", out.answer_size, smallest_memory, largest_memory);
     out.ledger_retention = reader.duration("ledger_retention", out.ledger_retention, shortest, longest);
     const auto entries = static_cast<std::int64_t>(out.ledger_entries);
-    out.ledger_entries = static_cast<std::size_t>(reader.number("ledger_entries", entries, 1, most_entries));
+    out.ledger_entries = static_cast<std::size_t>(reader.number("ledger_entries", entries, 1, max_entries));
 }
 
 void read_backend(settings::section_reader& reader, sidecar_settings& out) {
@@ -80,7 +80,7 @@
     out.status_listen = reader.address("status_listen");
     const auto connections = static_cast<std::int64_t>(out.peer_connections);
     out.peer_connections =
-        static_cast<std::size_t>(reader.number("peer_connections", connections, 1, most_entries));
+        static_cast<std::size_t>(reader.number("peer_connections", connections, 1, max_entries));
     read_queue(reader, out);
     read_answers(reader, out);
     read_backend(reader, out);
