--- a/tests/failure/test_sidecar_orders.cpp
+++ b/tests/failure/test_sidecar_orders.cpp
@@ -23,7 +23,7 @@
 namespace {
 
 /// A fake platform process with a store::table client. run() completes one operation at a time.
-struct table_stand {
+struct table_fixture {
     child_process platform{
         std::filesystem::path(BORAGEFORD_PROGRAM_FOLDER) / "fake_platform", {}, "/dev/null"};
     http::endpoint address = http::parse_endpoint(platform.wait_for_line("listening").substr(10));
@@ -43,7 +43,7 @@
 };
 
 /// One engine that starts with an old version of its model, so that the sidecar has to give an order.
-cluster_options old_version(bool checks_fencing) {
+cluster_options old_version_cluster(bool checks_fencing) {
     return {.entries = 0,
             .backend_servers = {{.name = "pluma-1",
                                  .arguments = {"--models", "pluma@0"},
@@ -76,7 +76,7 @@
 /// and gives the order. Then the replacement is killed and the engine restarted with its old version, so that
 /// the old sidecar has to give an order again after it is thawed. Checks that it acquires a newer fencing
 /// number first.
-void pause_past_lease(cluster& system) {
+void pause_until_lease_expires(cluster& system) {
     auto& unit = system.backend(0);
     wait_until("the first orders to be done", [&] { return has_version(system, "1"); });
     unit.server_link->arm(direction::up, contains("POST /orders"), fault::lose);
@@ -87,7 +87,7 @@
     const auto old_sidecar = std::move(unit.sidecar);
     system.start_sidecar(0);
     wait_until("the replacement's orders", [&] { return has_version(system, "1"); });
-    const auto replaced_by = orders_of(system).back().fencing;
+    const auto replacement_fencing = orders_of(system).back().fencing;
     unit.sidecar->kill();
     system.start_server(0);
     wait_until("the frozen sidecar's lease to expire",
@@ -95,7 +95,7 @@
     old_sidecar->thaw();
     wait_until("the thawed sidecar's orders", [&] { return has_version(system, "1"); });
     for (const auto& order : orders_of(system)) {
-        CHECK(order.fencing > replaced_by);
+        CHECK(order.fencing > replacement_fencing);
         CHECK(order.is_obeyed);
     }
 }
@@ -104,7 +104,7 @@
 
 TEST_CASE("fencing: an engine is brought to its configured state", "[sidecar]") {
     for (const bool checks_fencing : {true, false}) {
-        cluster system(old_version(checks_fencing));
+        cluster system(old_version_cluster(checks_fencing));
         wait_until("the new version", [&] { return has_version(system, "1"); });
         const auto orders = orders_of(system);
         REQUIRE(orders.size() == 1);
@@ -117,16 +117,16 @@
 TEST_CASE(
     "fencing: a sidecar whose lease expired acquires it again before it orders an engine without fencing",
     "[sidecar]") {
-    cluster system(old_version(false));
-    pause_past_lease(system);
+    cluster system(old_version_cluster(false));
+    pause_until_lease_expires(system);
 }
 
 // The old sidecar of an engine was paused until its lease expired, as in the test above. The engine of this
 // test refuses orders with an old fencing number.
 TEST_CASE("fencing: a sidecar whose lease expired acquires it again before it orders an engine with fencing",
           "[sidecar]") {
-    cluster system(old_version(true));
-    pause_past_lease(system);
+    cluster system(old_version_cluster(true));
+    pause_until_lease_expires(system);
 }
 
 // A replacement sidecar starts while the old one may still have an order in progress. It must not give orders
@@ -134,15 +134,15 @@
 TEST_CASE(
     "fencing: a new holder waits until the previous lease expires, and the previous holder can't renew it",
     "[sidecar]") {
-    table_stand stand;
-    auto old_holder = stand.lease(700ms);
-    auto new_holder = stand.lease(5s);
-    const auto first = stand.run(old_holder.acquire(true));
+    table_fixture fixture;
+    auto old_holder = fixture.lease(700ms);
+    auto new_holder = fixture.lease(5s);
+    const auto first = fixture.run(old_holder.acquire(true));
     REQUIRE(first.has_value());
     CHECK(first->count() == 0);
     CHECK(old_holder.number() == 1);
     CHECK(old_holder.time_left(steady_clock::now()) <= 700ms);
-    const auto second = stand.run(new_holder.acquire(true));
+    const auto second = fixture.run(new_holder.acquire(true));
     REQUIRE(second.has_value());
     CHECK(*second == 700ms);
     CHECK(new_holder.number() == 2);
@@ -151,19 +151,19 @@
     // When the new holder may give orders, the old holder's own clock shows that its lease has expired.
     CHECK(new_holder.time_left(after_taking + 700ms).count() > 0);
     CHECK(old_holder.time_left(after_taking + 700ms).count() == 0);
-    CHECK_FALSE(stand.run(old_holder.acquire(true)).has_value());
+    CHECK_FALSE(fixture.run(old_holder.acquire(true)).has_value());
 }
 
 TEST_CASE("fencing: a released lease, or an engine that checks numbers, needs no waiting", "[sidecar]") {
-    table_stand stand;
-    auto first = stand.lease(1h);
-    auto second = stand.lease(1h);
-    auto third = stand.lease(1h);
-    REQUIRE(stand.run(first.acquire(true)).has_value());
-    stand.run(first.release());
+    table_fixture fixture;
+    auto first = fixture.lease(1h);
+    auto second = fixture.lease(1h);
+    auto third = fixture.lease(1h);
+    REQUIRE(fixture.run(first.acquire(true)).has_value());
+    fixture.run(first.release());
     CHECK(first.time_left(steady_clock::now()).count() == 0);
-    CHECK(stand.run(second.acquire(true)) == policy::duration::zero());
-    CHECK(stand.run(third.acquire(false)) == policy::duration::zero());
+    CHECK(fixture.run(second.acquire(true)) == policy::duration::zero());
+    CHECK(fixture.run(third.acquire(false)) == policy::duration::zero());
     CHECK(third.number() == 3);
 }
 
@@ -171,10 +171,10 @@
 // as a failure would wait for its own lease to expire; one that counted it as a success without reading the
 // row could hold the lease together with another sidecar.
 TEST_CASE("fencing: a lost answer is resolved by reading the row back", "[sidecar]") {
-    table_stand stand;
-    auto holder = stand.lease(1h);
-    call(stand.address, {"POST", "/control", {}, R"({"lose_answers":1})"});
-    REQUIRE(stand.run(holder.acquire(true)).has_value());
+    table_fixture fixture;
+    auto holder = fixture.lease(1h);
+    call(fixture.address, {"POST", "/control", {}, R"({"lose_answers":1})"});
+    REQUIRE(fixture.run(holder.acquire(true)).has_value());
     CHECK(holder.number() == 1);
     CHECK(holder.time_left(steady_clock::now()) > 1min);
 }
--- a/tests/failure/test_sidecar_queue.cpp
+++ b/tests/failure/test_sidecar_queue.cpp
@@ -13,7 +13,7 @@
 namespace {
 
 /// An engine with one slot, so that a second request has to wait.
-cluster_options one_place(const std::string& sidecar_settings = {}) {
+cluster_options one_slot(const std::string& sidecar_settings = {}) {
     return {.entries = 0,
             .backend_servers = {{.name = "pluma-1",
                                  .arguments = {"--output-tokens-per-second", "100"},
@@ -40,7 +40,7 @@
 // A burst of requests fills the queue. A request of a higher tier must not be refused while one of a lower
 // tier waits. The displaced request must not run, even if its start message arrives.
 TEST_CASE("sidecar: a full queue pushes out the lower tier, truly not run", "[sidecar]") {
-    cluster system(one_place("queue_requests = 1\n"));
+    cluster system(one_slot("queue_requests = 1\n"));
     sidecar_driver driver(system);
     auto entry = driver.connect();
     const auto running = make_completion("corre", {.tokens = 60});
@@ -69,7 +69,7 @@
 // An entry dies while its offer waits in the queue. The offer must be removed, so that other requests are
 // served.
 TEST_CASE("sidecar: offers of a closed connection are removed from the queue", "[sidecar]") {
-    cluster system(one_place());
+    cluster system(one_slot());
     sidecar_driver driver(system);
     auto entry = driver.connect();
     const auto running = make_completion("corre", {.tokens = 40});
@@ -90,7 +90,7 @@
 // The deadline of a request passes while the request waits in the queue. The request must be refused at once,
 // not when it would be granted.
 TEST_CASE("sidecar: a queued offer that can't meet its deadline any more is refused at once", "[sidecar]") {
-    cluster system(one_place());
+    cluster system(one_slot());
     sidecar_driver driver(system);
     auto entry = driver.connect();
     const auto first = begin_run(driver, entry, make_completion("largo", {.tokens = 3000}));
@@ -104,7 +104,7 @@
 // The VM is taken out of service. Running requests must be finished and delivered. Waiting requests must be
 // refused as not run, so that their entries can place them elsewhere.
 TEST_CASE("sidecar: asked to stop, it finishes running requests and refuses waiting ones", "[sidecar]") {
-    cluster system(one_place());
+    cluster system(one_slot());
     sidecar_driver driver(system);
     auto entry = driver.connect();
     const auto running = make_completion("termina", {.tokens = 60});
@@ -136,7 +136,7 @@
 
 // An operator who doesn't want to wait for the last stream asks the sidecar to stop a second time.
 TEST_CASE("sidecar: asked to stop twice, it ends at once", "[sidecar]") {
-    cluster system(one_place());
+    cluster system(one_slot());
     sidecar_driver driver(system);
     auto entry = driver.connect();
     begin_run(driver, entry, make_completion("eterno", {.tokens = 3000}));
@@ -150,7 +150,7 @@
 // that had waited in the socket must not be run under the old revision.
 TEST_CASE("sidecar: after a freeze it verifies its revision before it starts or grants anything",
           "[sidecar]") {
-    cluster system(one_place("grant_lease = 30s\n"));
+    cluster system(one_slot("grant_lease = 30s\n"));
     sidecar_driver driver(system);
     auto entry = driver.connect();
     const auto work = make_completion("congelado", {.tokens = 5});
@@ -173,7 +173,7 @@
 // A frame is damaged between two processes. Its connection must be closed, because its further content can't
 // be trusted. The sidecar and its other connections must keep working.
 TEST_CASE("sidecar: a damaged frame closes its connection and no other", "[sidecar]") {
-    cluster system(one_place());
+    cluster system(one_slot());
     sidecar_driver driver(system);
     auto entry = driver.connect();
     auto damaged = driver.connect();
@@ -189,7 +189,7 @@
 
 // The settings file has several errors. The sidecar must report all of them at once and not start.
 TEST_CASE("sidecar: wrong settings are all shown and end it with exit code 2", "[sidecar]") {
-    cluster system(one_place());
+    cluster system(one_slot());
     const auto file =
         system.write_file("wrong.ini", "[process]\nvm = x\nfailure_domain = sala-a\nregion = occidente\n"
                                        "[platform]\naddress = nowhere\n[sidecar]\n"
