--- a/src/sidecar/cache_follower.hpp
+++ b/src/sidecar/cache_follower.hpp
@@ -11,8 +11,8 @@
 
 namespace borageford::sidecar {
 
-/// Applies the engine's cache events to sidecar_context::prefixes. Used on the strand only. The events are
-/// hints: they arrive late and some are missing.
+/// Applies the engine's cache events to sidecar_context::prefixes. Used on sidecar_context::strand only. The
+/// events are hints: they arrive late and some are missing.
 class cache_follower {
 public:
     cache_follower(sidecar_context& context, backend::backend_server& server);
--- a/src/sidecar/dispatch_manager.hpp
+++ b/src/sidecar/dispatch_manager.hpp
@@ -18,8 +18,8 @@
 namespace borageford::sidecar {
 
 /// Manages the dispatches that the offer_scheduler has started and those that are adopted from a previous
-/// process of this sidecar. Used on the strand only. Invariant: each dispatch ends once, and its capacity at
-/// the backend server is released once.
+/// process of this sidecar. Used on sidecar_context::strand only. Invariant: each dispatch ends once, and its
+/// capacity at the backend server is released once.
 class dispatch_manager {
 public:
     using record_pointer = dispatch_store::record_pointer;
--- a/src/sidecar/fencing_lease.cpp
+++ b/src/sidecar/fencing_lease.cpp
@@ -131,7 +131,7 @@
         ++current.writes;
         co_await write(current, row->version);
     } catch (const std::exception&) {
-        // The next holder has to wait until the lease expires.
+        // The lease could not be released, so the next holder has to wait until it expires.
     }
 }
 
--- a/src/sidecar/offer_scheduler.hpp
+++ b/src/sidecar/offer_scheduler.hpp
@@ -16,10 +16,10 @@
 
 namespace borageford::sidecar {
 
-/// Schedules the offers of all entries. Used on the strand only. Invariants: every offer in `m_offers` is
-/// either in the queue or granted; capacity is reserved for each granted offer until it starts, is withdrawn
-/// or its grant expires; an offer that is removed from `m_offers` without a start gets a tombstone in the
-/// ledger before its entry is informed, so that a late start message can't run it.
+/// Schedules the offers of all entries. Used on sidecar_context::strand only. Invariants: every offer in
+/// `m_offers` is either in the queue or granted; capacity is reserved for each granted offer until it starts,
+/// is withdrawn or its grant expires; an offer that is removed from `m_offers` without a start gets a
+/// tombstone in the ledger before its entry is informed, so that a late start message can't run it.
 class offer_scheduler {
 public:
     offer_scheduler(sidecar_context& context, dispatch_manager& dispatches);
--- a/src/sidecar/sidecar_core.hpp
+++ b/src/sidecar/sidecar_core.hpp
@@ -14,7 +14,7 @@
 
 namespace borageford::sidecar {
 
-/// The logic of a sidecar, without its sockets and settings. Used on the strand only.
+/// The logic of a sidecar, without its sockets and settings. Used on sidecar_context::strand only.
 class sidecar_core {
 public:
     sidecar_core(sidecar_context& context, backend::backend_server& server,
