--- a/src/sidecar/dispatch_store.cpp
+++ b/src/sidecar/dispatch_store.cpp
@@ -1,4 +1,4 @@
-// Implementation of dispatch_store.
+// Implementation of dispatch_store: adding, finding and removing started dispatches.
 #include "sidecar/dispatch_store.hpp"
 
 #include <algorithm>
--- a/src/sidecar/engine_plan.cpp
+++ b/src/sidecar/engine_plan.cpp
@@ -1,4 +1,4 @@
-// Implementation of plan_orders().
+// Implementation of plan_orders(): compares the loaded models, adapters and role with the configured ones.
 #include "sidecar/engine_plan.hpp"
 
 #include <algorithm>
--- a/src/sidecar/fencing_lease.cpp
+++ b/src/sidecar/fencing_lease.cpp
@@ -1,4 +1,4 @@
-// Implementation of fencing_lease.
+// Implementation of fencing_lease: acquiring, renewing and releasing the right to give orders to an engine.
 #include "sidecar/fencing_lease.hpp"
 
 #include <boost/json.hpp>
--- a/src/sidecar/order_controller.cpp
+++ b/src/sidecar/order_controller.cpp
@@ -1,4 +1,4 @@
-// Implementation of order_controller.
+// Implementation of order_controller: comparing the engine with its configuration and giving orders.
 #include "sidecar/order_controller.hpp"
 
 #include "base/log.hpp"
--- a/src/sidecar/peer_registry.cpp
+++ b/src/sidecar/peer_registry.cpp
@@ -1,4 +1,4 @@
-// Implementation of peer_registry.
+// Implementation of peer_registry: accepting, using and closing connections from entry processes.
 #include "sidecar/peer_registry.hpp"
 
 #include "base/log.hpp"
--- a/src/sidecar/prefix_memory.cpp
+++ b/src/sidecar/prefix_memory.cpp
@@ -1,4 +1,4 @@
-// Implementation of prefix_memory.
+// Implementation of prefix_memory: a bounded set of block hashes.
 #include "sidecar/prefix_memory.hpp"
 
 namespace borageford::sidecar {
--- a/src/sidecar/resend_finder.cpp
+++ b/src/sidecar/resend_finder.cpp
@@ -1,4 +1,4 @@
-// Implementation of resend_finder.
+// Implementation of resend_finder, which finds the earlier dispatch of a request that is sent again.
 #include "sidecar/resend_finder.hpp"
 
 namespace borageford::sidecar {
--- a/src/sidecar/resend_finder.hpp
+++ b/src/sidecar/resend_finder.hpp
@@ -12,8 +12,9 @@
 
 namespace borageford::sidecar {
 
-/// Used on the strand only. Invariant: at most `lookup_limit` lookups are remembered. A lookup beyond the
-/// limit is answered too, but where its request is started afterwards isn't recorded.
+/// Finds earlier dispatches. Used on the strand of the dispatch_store only. Invariant: at most `lookup_limit`
+/// lookups are remembered. A lookup beyond the limit is answered too, but where its request is started
+/// afterwards isn't recorded.
 class resend_finder {
 public:
     static constexpr std::size_t lookup_limit = 10'000;
