--- a/src/sidecar/answer_delivery.cpp
+++ b/src/sidecar/answer_delivery.cpp
@@ -1,4 +1,4 @@
-// Sending answers piece by piece.
+// Implementation of answer_delivery, which sends the bytes of answers to entry processes in chunks.
 #include "sidecar/answer_delivery.hpp"
 
 #include <algorithm>
@@ -7,7 +7,8 @@
 namespace borageford::sidecar {
 namespace {
 
-/// Keeps a kept answer's frames far below the frame limit, and heartbeats flowing between them.
+/// The most bytes of an answer in one frame. A long answer is split so that its frames stay far below the
+/// frame size limit and heartbeats can be sent between them.
 constexpr std::size_t chunk_limit = 256U * 1024;
 
 } // namespace
@@ -44,16 +45,16 @@
         m_peers.send(reader.connection, std::move(head));
         reader.has_head = true;
     }
-    auto rest = answer.from(reader.next_offset);
-    while (!rest.empty()) {
-        const auto piece = rest.substr(0, chunk_limit);
+    auto unsent = answer.from(reader.next_offset);
+    while (!unsent.empty()) {
+        const auto piece = unsent.substr(0, chunk_limit);
         wire::chunk_message chunk;
         chunk.dispatch = id;
         chunk.offset = reader.next_offset;
         chunk.data.assign(piece.begin(), piece.end());
         m_peers.send(reader.connection, std::move(chunk));
         reader.next_offset += piece.size();
-        rest.remove_prefix(piece.size());
+        unsent.remove_prefix(piece.size());
     }
     if (answer.ending()) {
         send_end(dispatch, reader.connection);
--- a/src/sidecar/dispatch_runner.cpp
+++ b/src/sidecar/dispatch_runner.cpp
@@ -1,4 +1,5 @@
-// Running one dispatch: call, read, check, resume after a cut.
+// Implementation of dispatch_runner: calls the backend server, reads and checks the answer, and resumes
+// reading after a broken connection.
 #include "sidecar/dispatch_runner.hpp"
 
 #include "base/log.hpp"
@@ -18,19 +19,20 @@
 namespace asio = boost::asio;
 
 constexpr unsigned status_ok = 200;
-/// Statuses by which an engine says that the request itself is at fault: they are the caller's answer.
+/// HTTP statuses by which an engine reports an error in the request itself. The engine's response is passed
+/// on to the caller.
 constexpr std::array<unsigned, 4> request_fault_statuses{400, 404, 413, 422};
-/// Cuts in a row, without a byte in between, after which resuming is given up.
+/// How often an answer is resumed without receiving a byte before the dispatch fails.
 constexpr unsigned resume_limit = 3;
 
 } // namespace
 
-/// Where one dispatch stands while it is followed.
+/// The state of one dispatch while its answer is read.
 struct dispatch_runner::attempt {
     backend::event_stream_checker checker;
     bool must_resume = false;
-    unsigned resumes = 0; ///< since the last byte
-    bool is_over = false; ///< its end was reported
+    unsigned resumes = 0; ///< number of resumes since the last byte was received
+    bool is_over = false; ///< a callback has reported the end of the dispatch
     backend::failure failed = backend::failure::cut;
     std::string error;
     bool has_failed = false;
@@ -55,7 +57,7 @@
     if (dispatch->stream != nullptr) {
         dispatch->stream->cancel();
     }
-    asio::co_spawn(m_strand, tell_cancel(dispatch->request.dispatch), asio::detached);
+    asio::co_spawn(m_strand, send_cancel(dispatch->request.dispatch), asio::detached);
 }
 
 asio::awaitable<void> dispatch_runner::run(record_pointer dispatch) {
@@ -96,7 +98,8 @@
     if (state.must_resume) {
         auto head = co_await m_server.resume(*dispatch.stream, id, dispatch.answer.length());
         if (!head) {
-            throw backend::backend_error(backend::failure::unreachable, "the engine does not know it");
+            throw backend::backend_error(backend::failure::unreachable,
+                                         "the engine does not know the dispatch");
         }
         if (!dispatch.answer.head()) {
             dispatch.answer.set_head(std::move(*head));
@@ -112,9 +115,11 @@
     const auto is_checked = m_server.is_engine() && status == status_ok;
     if (m_server.is_engine() && status != status_ok &&
         std::ranges::find(request_fault_statuses, status) == request_fault_statuses.end()) {
-        throw backend::backend_error(backend::failure::refused, "status " + std::to_string(status));
+        throw backend::backend_error(backend::failure::refused,
+                                     "the engine answered with status " + std::to_string(status));
     }
-    // Of an adopted dispatch only the answer itself tells how it was asked for.
+    // For an adopted dispatch, whether the caller asked for a stream is known only from the answer's content
+    // type.
     const auto is_stream = (dispatch.call.streamed && !dispatch.is_adopted) ||
                            dispatch.answer.head()->content_type.starts_with("text/event-stream");
     for (auto piece = co_await dispatch.stream->read_some(); !piece.empty();
@@ -125,7 +130,7 @@
         }
         const auto tokens = is_checked && is_stream ? state.checker.take(piece) : 0;
         if (tokens > 0) {
-            m_calls.tokens_came(dispatch, tokens);
+            m_calls.tokens_received(dispatch, tokens);
         }
         dispatch.answer.append(piece);
         m_calls.progressed(dispatch, piece.size());
@@ -138,7 +143,8 @@
     }
 }
 
-/// Decides what a failure means. Leaves `state.is_over` false when the dispatch is to be resumed.
+/// Handles the failure in `state`: reports the end of the dispatch and sets `state.is_over`, or leaves it
+/// false when reading is to be resumed.
 asio::awaitable<void> dispatch_runner::recover(const record_pointer& dispatch, attempt& state) {
     using enum backend::failure;
     if (dispatch->is_cancelled) {
@@ -165,16 +171,16 @@
         m_calls.unknown(dispatch);
         co_return;
     }
-    const auto is_gone =
+    const auto is_server_down =
         state.failed == unreachable || (state.failed == cut && !co_await m_server.is_healthy());
-    if (is_gone) {
-        // Told before this dispatch ends, so that what ran beside it is known while it still counts as
-        // running.
+    if (is_server_down) {
+        // Reported before this dispatch ends, because dispatch_manager::choose_suspects looks at all
+        // dispatches that were running when the server went down, including this one.
         m_monitor.report_lost(dispatch->backend_epoch);
         co_await m_calls.lost(dispatch);
     }
     if (state.failed == silent && dispatch->request.is_idempotent) {
-        asio::co_spawn(m_strand, tell_cancel(dispatch->request.dispatch), asio::detached);
+        asio::co_spawn(m_strand, send_cancel(dispatch->request.dispatch), asio::detached);
     }
     log::warning("dispatch_failed", {{"dispatch", dispatch->request.dispatch.to_string()},
                                      {"kind", std::string(to_string(kind_of(state.failed)))},
@@ -183,7 +189,7 @@
                   {.failure = kind_of(state.failed), .retry_after = {}, .usage = state.checker.measured()});
 }
 
-asio::awaitable<void> dispatch_runner::tell_cancel(dispatch_id dispatch) {
+asio::awaitable<void> dispatch_runner::send_cancel(dispatch_id dispatch) {
     try {
         co_await m_server.cancel(dispatch);
     } catch (const backend::backend_error& error) {
--- a/src/sidecar/fencing_lease.cpp
+++ b/src/sidecar/fencing_lease.cpp
@@ -1,4 +1,4 @@
-// Taking, renewing and releasing the right to order.
+// Implementation of fencing_lease: acquiring, renewing and releasing the right to give orders to an engine.
 #include "sidecar/fencing_lease.hpp"
 
 #include <boost/json.hpp>
@@ -36,7 +36,7 @@
         row.writes = parsed.at("writes").to_number<std::uint64_t>();
         return row;
     } catch (const std::exception& error) {
-        throw std::invalid_argument(std::string("not a row of a fencing number: ") + error.what());
+        throw std::invalid_argument(std::string("not a valid fencing row: ") + error.what());
     }
 }
 
@@ -52,41 +52,44 @@
                               : std::max(policy::duration::zero(), m_valid_until - now);
 }
 
-asio::awaitable<std::optional<policy::duration>> fencing_lease::take(bool is_waited_out) {
+asio::awaitable<std::optional<policy::duration>> fencing_lease::acquire(bool must_wait_for_expiry) {
     const auto row = co_await m_table.read(m_key);
     const auto version = row ? row->version : 0;
-    const auto held = row ? decode_fencing(row->value) : fencing_row{};
-    const bool is_own = row && held.holder == m_incarnation;
-    const bool is_free = !row || held.is_released || is_own;
-    // From before the write: the row may take effect any time between now and the answer, and whoever waits
-    // this lease out counts from when it sees the write.
-    const auto asked = steady_clock::now();
-    if (!is_free && m_number != 0 && must_respect(held, version, asked)) {
+    const auto current = row ? decode_fencing(row->value) : fencing_row{};
+    const bool is_own = row && current.holder == m_incarnation;
+    const bool is_free = !row || current.is_released || is_own;
+    // The lease counts from before the write, because the write may take effect at any time between now and
+    // the answer. A new holder that waits for this lease to expire counts from when it has read the write, so
+    // later.
+    const auto requested_at = steady_clock::now();
+    if (!is_free && m_number != 0 && must_yield(current, version, requested_at)) {
         co_return std::nullopt;
     }
     fencing_row next;
-    next.number = is_own && !held.is_released ? held.number : held.number + 1;
+    next.number = is_own && !current.is_released ? current.number : current.number + 1;
     next.holder = m_incarnation;
     next.lease = m_lease;
-    next.writes = held.writes + 1;
+    next.writes = current.writes + 1;
     if (!co_await write(next, version)) {
         co_return std::nullopt;
     }
     m_number = next.number;
-    const auto wait = is_free || !is_waited_out ? policy::duration::zero() : policy::duration(held.lease);
+    const auto wait =
+        is_free || !must_wait_for_expiry ? policy::duration::zero() : policy::duration(current.lease);
     m_valid_from = std::max(m_valid_from, steady_clock::now() + wait);
-    m_valid_until = asked + m_lease;
+    m_valid_until = requested_at + m_lease;
     co_return wait;
 }
 
-/// Who was displaced leaves the row to the newer holder while that one goes on writing it: taking it back
-/// would set the two of them ordering against each other for ever.
-bool fencing_lease::must_respect(const fencing_row& held, std::uint64_t version, policy::time_point now) {
+/// Whether a sidecar that has lost the row to another holder must leave the row to that holder: as long as
+/// the holder keeps renewing it. If the sidecar took the row back, the two of them would give contradicting
+/// orders for ever.
+bool fencing_lease::must_yield(const fencing_row& current, std::uint64_t version, policy::time_point now) {
     if (m_seen_version != version) {
         m_seen_version = version;
         m_seen_since = now;
     }
-    return now - m_seen_since < held.lease;
+    return now - m_seen_since < current.lease;
 }
 
 asio::awaitable<bool> fencing_lease::write(const fencing_row& next, std::uint64_t version) {
@@ -104,7 +107,7 @@
         }
         is_lost = true;
     }
-    // The answer was lost: the row says whether the write took effect.
+    // The answer was lost. The row shows whether the write took effect.
     const auto row = co_await m_table.read(m_key);
     co_return is_lost&& row && row->value == value;
 }
@@ -113,21 +116,22 @@
     if (m_number == 0) {
         co_return;
     }
-    m_valid_until = {}; // before anyone can learn of it
+    // No more orders are allowed before another sidecar can see the release.
+    m_valid_until = {};
     try {
         const auto row = co_await m_table.read(m_key);
         if (!row) {
             co_return;
         }
-        auto held = decode_fencing(row->value);
-        if (held.holder != m_incarnation || held.is_released) {
+        auto current = decode_fencing(row->value);
+        if (current.holder != m_incarnation || current.is_released) {
             co_return;
         }
-        held.is_released = true;
-        ++held.writes;
-        co_await write(held, row->version);
+        current.is_released = true;
+        ++current.writes;
+        co_await write(current, row->version);
     } catch (const std::exception&) {
-        // Whoever comes next waits the lease out.
+        // The lease could not be released, so the next holder has to wait until it expires.
     }
 }
 
--- a/src/sidecar/offer_scheduler.cpp
+++ b/src/sidecar/offer_scheduler.cpp
@@ -1,4 +1,4 @@
-// Offers, grants and starts, by the points of docs/design/dispatch.md.
+// Implementation of offer_scheduler: offers, grants and starts, following docs/design/dispatch.md.
 #include "sidecar/offer_scheduler.hpp"
 
 #include <algorithm>
@@ -12,12 +12,12 @@
 
 namespace {
 
-/// A request under which so many backend servers have died isn't run any more.
+/// The number of crash marks, and so of dead backend servers, at which a request is refused as quarantined.
 constexpr std::size_t quarantine_marks = 2;
 
 std::uint32_t to_wire_milliseconds(milliseconds time) {
-    constexpr std::int64_t most = UINT32_MAX;
-    return static_cast<std::uint32_t>(std::clamp<std::int64_t>(time.count(), 0, most));
+    constexpr std::int64_t max_milliseconds = UINT32_MAX;
+    return static_cast<std::uint32_t>(std::clamp<std::int64_t>(time.count(), 0, max_milliseconds));
 }
 
 } // namespace
@@ -28,7 +28,7 @@
       m_resends(context.store),
       m_queue({.requests = context.settings.queue_requests, .tokens = context.settings.queue_tokens}) {}
 
-void offer_scheduler::take(connection_id connection, const wire::offer_message& offer) {
+void offer_scheduler::handle_offer(connection_id connection, const wire::offer_message& offer) {
     m_context.metrics.offered();
     auto request = read_offer(offer);
     if (auto found = m_resends.find(offer, request.received)) {
@@ -56,7 +56,7 @@
     case ledger::offer_result::already_known:
         return;
     case ledger::offer_result::tombstoned:
-        not_begun(connection, offer.dispatch, error_kind::overloaded, retry_after(request.tier));
+        send_not_begun(connection, offer.dispatch, error_kind::overloaded, retry_after(request.tier));
         return;
     case ledger::offer_result::taken:
         break;
@@ -76,7 +76,7 @@
         m_context.record(audit::event::pushed_out, m_offers.at(displaced.dispatch).request);
         end_offer(displaced.dispatch, error_kind::overloaded);
     }
-    grant_room();
+    grant_waiting();
 }
 
 std::optional<error_kind> offer_scheduler::find_obstacle(const offered_request& request) const {
@@ -144,7 +144,7 @@
     return queued;
 }
 
-/// From the start to the end of the answer, by measured rates; zero as far as nothing was measured.
+/// The expected time of the request's prefill by the measured rate; zero if no rate was measured yet.
 duration offer_scheduler::expected_service(const offered_request& request) const {
     double seconds = 0;
     if (m_context.costs.prefill_rate() > 0) {
@@ -193,23 +193,24 @@
     m_context.peers.send(connection, std::move(answer));
 }
 
-void offer_scheduler::grant_room() {
-    while (!m_is_held && m_context.monitor.is_up() && !m_context.store.is_full()) {
+void offer_scheduler::grant_waiting() {
+    while (!m_is_paused && m_context.monitor.is_up() && !m_context.store.is_full()) {
         const auto now = steady_clock::now();
         const auto* next = m_queue.next(now);
         if (next == nullptr) {
             return;
         }
         const auto& request = m_offers.at(next->dispatch).request;
-        if (!has_room_for(request) || must_wait_alone(request)) {
+        if (!has_capacity_for(request) || must_wait_for_marked(request)) {
             return;
         }
         grant_next(now);
     }
 }
 
-/// A plain service has no tokens by which a limit could be found: there the configured slots are the limit.
-bool offer_scheduler::has_room_for(const offered_request& request) const {
+/// Whether the backend server has capacity for the request. A plain service produces no tokens from which a
+/// limit could be measured, so its limit is the configured number of slots.
+bool offer_scheduler::has_capacity_for(const offered_request& request) const {
     if (!request.is_service) {
         return m_context.limit.has_room(request.prefill_tokens);
     }
@@ -218,10 +219,10 @@
     return server != nullptr && m_context.limit.running() < server->slots;
 }
 
-/// At most one request that a backend server has died of before runs at a time: were two of them running
-/// when this one dies too, there would be no telling which it was, and an innocent one would be refused from
-/// then on.
-bool offer_scheduler::must_wait_alone(const offered_request& request) const {
+/// Whether the request has a crash mark and another request with a crash mark is granted or running. At most
+/// one such request runs at a time: if the backend server died while two of them were running, it would be
+/// unknown which of them caused it, and a harmless request could be quarantined.
+bool offer_scheduler::must_wait_for_marked(const offered_request& request) const {
     if (m_context.marks.count(request.fingerprint) == 0) {
         return false;
     }
@@ -252,7 +253,7 @@
     const auto found = m_offers.find(id);
     if (found != m_offers.end() && found->second.admission) {
         const auto revision = m_context.configuration.revision();
-        if (m_is_held || request.revision != revision) {
+        if (m_is_paused || request.revision != revision) {
             end_offer(id, error_kind::stale_revision);
             return;
         }
@@ -263,11 +264,11 @@
     case ledger::start_result::not_begun:
         if (found != m_offers.end()) {
             m_queue.remove(id, steady_clock::now());
-            release(found->second);
+            release_capacity(found->second);
             m_offers.erase(found);
         }
-        not_begun(connection, request.dispatch, error_kind::overloaded, milliseconds(0));
-        grant_room();
+        send_not_begun(connection, request.dispatch, error_kind::overloaded, milliseconds(0));
+        grant_waiting();
         return;
     case ledger::start_result::begun:
         break;
@@ -298,14 +299,14 @@
     m_context.metrics.withdrawn();
     m_context.record(audit::event::withdrawn, found->second.request);
     const auto& offered = found->second.request;
-    m_resends.learn(request, offered.resend_key, offered.fingerprint, now);
+    m_resends.record_start(request, offered.resend_key, offered.fingerprint, now);
     m_queue.remove(id, now);
-    release(found->second);
+    release_capacity(found->second);
     m_offers.erase(found);
-    grant_room();
+    grant_waiting();
 }
 
-void offer_scheduler::give_up(dispatch_id dispatch) {
+void offer_scheduler::withdraw_attached(dispatch_id dispatch) {
     if (!m_offers.contains(dispatch)) {
         return;
     }
@@ -316,13 +317,13 @@
 
 void offer_scheduler::drop_connection(connection_id connection) {
     m_resends.drop_connection(connection);
-    std::vector<dispatch_id> gone;
+    std::vector<dispatch_id> closed_offers;
     for (const auto& [id, offer] : m_offers) {
         if (offer.connection == connection) {
-            gone.push_back(id);
+            closed_offers.push_back(id);
         }
     }
-    for (const auto& id : gone) {
+    for (const auto& id : closed_offers) {
         wire::withdraw_message withdrawal;
         withdrawal.dispatch = wire::to_wire(id);
         withdraw(withdrawal);
@@ -336,27 +337,27 @@
         if (found == m_offers.end()) {
             continue;
         }
-        m_context.metrics.lapsed();
+        m_context.metrics.grant_expired();
         m_context.record(audit::event::lapsed, found->second.request);
         end_offer(id, error_kind::overloaded);
     }
     for (const auto& queued : m_queue.take_unreachable(now)) {
         end_offer(queued.dispatch, error_kind::deadline_unreachable);
     }
-    grant_room();
+    grant_waiting();
 }
 
 void offer_scheduler::drain() {
     m_is_draining = true;
-    review();
+    recheck_offers();
 }
 
-void offer_scheduler::hold(bool is_held) {
-    m_is_held = is_held;
-    grant_room();
+void offer_scheduler::set_paused(bool is_paused) {
+    m_is_paused = is_paused;
+    grant_waiting();
 }
 
-void offer_scheduler::review() {
+void offer_scheduler::recheck_offers() {
     std::vector<dispatch_id> waiting;
     waiting.reserve(m_offers.size());
     for (const auto& [id, offer] : m_offers) {
@@ -368,7 +369,7 @@
             end_offer(id, *obstacle);
         }
     }
-    grant_room();
+    grant_waiting();
 }
 
 void offer_scheduler::end_offer(dispatch_id dispatch, error_kind kind) {
@@ -379,16 +380,16 @@
     const auto now = steady_clock::now();
     m_context.ledger.withdraw(dispatch, now);
     m_queue.remove(dispatch, now);
-    release(found->second);
+    release_capacity(found->second);
     const auto offer = std::move(found->second);
     m_offers.erase(found);
     m_context.metrics.refused(kind, offer.request.tier);
     m_context.record(audit::event::refused, offer.request, kind);
-    not_begun(offer.connection, wire::to_wire(dispatch), kind, retry_after(offer.request.tier));
+    send_not_begun(offer.connection, wire::to_wire(dispatch), kind, retry_after(offer.request.tier));
 }
 
-void offer_scheduler::not_begun(connection_id connection, const wire::id& dispatch, error_kind kind,
-                                milliseconds retry_after) {
+void offer_scheduler::send_not_begun(connection_id connection, const wire::id& dispatch, error_kind kind,
+                                     milliseconds retry_after) {
     wire::not_begun_message refusal;
     refusal.dispatch = dispatch;
     refusal.error_kind = wire::to_wire(kind);
@@ -396,7 +397,7 @@
     m_context.peers.send(connection, std::move(refusal));
 }
 
-void offer_scheduler::release(pending_offer& offer) {
+void offer_scheduler::release_capacity(pending_offer& offer) {
     if (!offer.admission) {
         return;
     }
--- a/src/sidecar/order_controller.cpp
+++ b/src/sidecar/order_controller.cpp
@@ -1,4 +1,4 @@
-// Comparing and ordering.
+// Implementation of order_controller: comparing the engine with its configuration and giving orders.
 #include "sidecar/order_controller.hpp"
 
 #include "base/log.hpp"
@@ -90,8 +90,8 @@
     }
     const auto current = m_context.configuration.current();
     const auto* server = current->find_backend_server(m_context.settings.backend_server);
-    // Only the configuration says whether this is an engine: asked before it is known, a plain service would
-    // take the question for a call and run it.
+    // Only the configuration says whether the backend server is an engine. A plain service would run a
+    // request for its state as a call.
     if (server == nullptr || server->kind != configuration::backend_kind::engine) {
         co_return;
     }
@@ -99,7 +99,7 @@
     auto orders = plan_orders(*current, *server, now);
     if (!orders.empty()) {
         m_is_settled = false;
-        co_await give(std::move(orders), server->checks_fencing);
+        co_await give_first(std::move(orders), server->checks_fencing);
         co_return;
     }
     if (!m_is_settled) {
@@ -109,19 +109,21 @@
     }
 }
 
-/// Gives the first of the orders: the next comparison reads the state back and finds what is left.
-asio::awaitable<void> order_controller::give(std::vector<backend::order> orders, bool is_checked) {
+/// Gives only the first of the orders. The next comparison reads the engine's state again and plans the
+/// remaining orders.
+asio::awaitable<void> order_controller::give_first(std::vector<backend::order> orders, bool checks_fencing) {
     auto command = orders.front();
     if (is_load(command)) {
-        // The weight store is rate-limited, and a new revision reaches all sidecars at once.
+        // A random delay spreads the loads, because a new revision reaches all sidecars at the same time and
+        // the store that the weights are loaded from is rate-limited.
         co_await pause(random_delay(m_context.settings.load_spread));
     }
-    if (!co_await hold_lease(is_checked)) {
+    if (!co_await ensure_lease(checks_fencing)) {
         co_return;
     }
     auto* engine = m_server.as_engine();
     const auto limit = m_context.settings.order_timeout;
-    // A process that was paused up to here finds its lease over on the monotonic clock.
+    // If the process was paused before this point, the monotonic clock shows that its lease has expired.
     if (engine == nullptr || m_is_stopped || m_lease.time_left(steady_clock::now()) <= limit) {
         co_return;
     }
@@ -136,19 +138,19 @@
     }
 }
 
-/// Returns whether orders may be given now.
-asio::awaitable<bool> order_controller::hold_lease(bool is_checked) {
+/// Acquires or renews the lease if needed. Returns whether orders may be given now.
+asio::awaitable<bool> order_controller::ensure_lease(bool checks_fencing) {
     if (m_lease.time_left(steady_clock::now()) > m_context.settings.order_timeout) {
         co_return true;
     }
-    const auto wait = co_await m_lease.take(!is_checked);
+    const auto wait = co_await m_lease.acquire(!checks_fencing);
     if (!wait) {
         co_return false;
     }
     if (wait->count() > 0) {
         log::info("waiting_out_former_lease", {});
         co_await pause(*wait);
-        co_return (co_await m_lease.take(!is_checked)).has_value();
+        co_return (co_await m_lease.acquire(!checks_fencing)).has_value();
     }
     co_return true;
 }
@@ -173,7 +175,7 @@
         co_return now;
     } catch (const backend::backend_error& error) {
         failure = std::current_exception();
-        if (error.what_failed() == backend::failure::garbled && !m_context.models.is_asked()) {
+        if (error.what_failed() == backend::failure::garbled && !m_context.models.has_been_queried()) {
             m_context.models.set_unreadable();
             m_models_changed();
         }
--- a/src/sidecar/sidecar_core.cpp
+++ b/src/sidecar/sidecar_core.cpp
@@ -1,4 +1,4 @@
-// Messages, ticks and leaving.
+// Implementation of sidecar_core: messages, the periodic tick and the graceful stop.
 #include "sidecar/sidecar_core.hpp"
 
 #include "base/log.hpp"
@@ -20,12 +20,14 @@
 
 namespace {
 
-/// Grants lapse and deadlines are noticed this late at most.
+/// Expired grants and missed deadlines are noticed at most this late.
 constexpr std::chrono::milliseconds tick_period{20};
-/// A tick that is this late means that the process stood still, not that it was busy.
+/// If nothing has run on the strand for this time, the process was frozen and not just busy.
 constexpr std::chrono::milliseconds freeze_threshold{1000};
+/// Delay between attempts to read the configuration's head row after a freeze.
 constexpr std::chrono::milliseconds verification_pause{100};
-constexpr std::chrono::milliseconds ask_again_after{500};
+/// Time after which the configuration is requested from a peer again if no newer revision was received.
+constexpr std::chrono::milliseconds request_interval{500};
 
 } // namespace
 
@@ -33,13 +35,13 @@
                            const identifier& own_incarnation)
     : m_context(context),
       m_dispatches(context, server, own_incarnation,
-                   {.room_freed = [this] { m_offers.grant_room(); },
+                   {.capacity_freed = [this] { m_offers.grant_waiting(); },
                     .retry_after =
                         [this](unsigned tier) {
                             return m_offers.retry_after(tier);
                         }}),
       m_offers(context, m_dispatches),
-      m_orders(context, server, own_incarnation, [this] { m_offers.review(); }),
+      m_orders(context, server, own_incarnation, [this] { m_offers.recheck_offers(); }),
       m_cache(context, server) {}
 
 void sidecar_core::start() {
@@ -48,8 +50,8 @@
 }
 
 void sidecar_core::receive(connection_id connection, wire::envelope received) {
-    notice_freeze();
-    follow_revision(connection, received.revision);
+    detect_freeze();
+    request_newer_revision(connection, received.revision);
     handle(connection, std::move(received.content));
 }
 
@@ -58,13 +60,13 @@
         [this, connection](auto& message) {
             using type = std::decay_t<decltype(message)>;
             if constexpr (std::is_same_v<type, wire::offer_message>) {
-                m_offers.take(connection, message);
+                m_offers.handle_offer(connection, message);
             } else if constexpr (std::is_same_v<type, wire::start_message>) {
                 m_offers.start(connection, std::move(message));
             } else if constexpr (std::is_same_v<type, wire::withdraw_message>) {
                 m_offers.withdraw(message);
             } else if constexpr (std::is_same_v<type, wire::attach_message>) {
-                m_offers.give_up(wire::from_wire(message.dispatch));
+                m_offers.withdraw_attached(wire::from_wire(message.dispatch));
                 m_dispatches.attach(connection, message);
             } else if constexpr (std::is_same_v<type, wire::acknowledge_message>) {
                 m_dispatches.acknowledge(message);
@@ -76,26 +78,28 @@
                 m_context.configuration.take_from_peer(message.revision, message.deflated_text);
                 finish_verification(m_verification);
             } else if constexpr (std::is_same_v<type, wire::crash_mark_message>) {
-                m_context.marks.take(message.fingerprint,
-                                     {wire::from_wire(message.mark), message.backend_server, 0});
-                m_offers.review();
+                m_context.marks.add_received(message.fingerprint,
+                                             {wire::from_wire(message.mark), message.backend_server, 0});
+                m_offers.recheck_offers();
             }
-            // All else is a heartbeat, or something that only a sidecar says.
+            // All other messages are heartbeats, or messages that only a sidecar sends.
         },
         content);
 }
 
-/// Whoever is behind asks the one that is ahead, so a revision spreads while the platform is out.
-void sidecar_core::follow_revision(connection_id connection, std::uint64_t peer_revision) {
+/// Requests the configuration from a peer that has a newer revision. This way a revision reaches all
+/// processes also while the platform is unavailable.
+void sidecar_core::request_newer_revision(connection_id connection, std::uint64_t peer_revision) {
     const auto own = m_context.configuration.revision();
     const auto now = steady_clock::now();
-    // Each frame of a peer says its revision, and each answer is a whole configuration: asked once, not for
-    // every frame that comes meanwhile.
-    if (peer_revision <= own || (peer_revision <= m_asked_revision && now - m_asked_at < ask_again_after)) {
+    // Every frame of a peer contains its revision, and every reply contains the complete configuration. So a
+    // revision is requested only once in `request_interval`, not for each frame.
+    if (peer_revision <= own ||
+        (peer_revision <= m_requested_revision && now - m_requested_at < request_interval)) {
         return;
     }
-    m_asked_revision = peer_revision;
-    m_asked_at = now;
+    m_requested_revision = peer_revision;
+    m_requested_at = now;
     wire::configuration_request_message request;
     request.known_revision = own;
     m_context.peers.send(connection, request);
@@ -114,42 +118,43 @@
     m_dispatches.drop_connection(connection);
 }
 
-void sidecar_core::follow_configuration() {
+void sidecar_core::apply_configuration() {
     const auto current = m_context.configuration.current();
     if (const auto* server = current->find_backend_server(m_context.settings.backend_server)) {
         m_context.limit.set_slots(server->slots);
-        m_dispatches.note_backend_known();
+        m_dispatches.on_backend_known();
         m_cache.start();
     }
-    m_offers.review();
+    m_offers.recheck_offers();
     m_orders.compare_soon();
 }
 
 void sidecar_core::backend_came_up() {
     m_orders.compare_soon();
-    m_offers.grant_room();
+    m_offers.grant_waiting();
 }
 
 void sidecar_core::backend_went_down() {
     m_cache.reset();
     m_context.models.forget();
     m_dispatches.choose_suspects();
-    m_offers.review();
+    m_offers.recheck_offers();
 }
 
-/// A process that was stopped wakes with what it knew before: meanwhile a newer revision may have taken its
-/// backend server out of use. Noticed by a tick that comes late, before anything is decided: otherwise a
-/// start that had waited in the socket would run under a revision that is no longer in force.
-void sidecar_core::notice_freeze() {
+/// Detects that the process was frozen, and then stops grants and starts until its configuration revision is
+/// verified. During the freeze a newer revision may have taken the backend server out of use. A start message
+/// that had waited in the socket would then run under a revision that is no longer in force. Called before
+/// each message is handled and on each tick.
+void sidecar_core::detect_freeze() {
     const auto now = steady_clock::now();
-    const auto silence = now - m_last_seen;
+    const auto elapsed = now - m_last_seen;
     m_last_seen = now;
-    if (silence < freeze_threshold) {
+    if (elapsed < freeze_threshold) {
         return;
     }
-    const auto lost = std::chrono::duration_cast<std::chrono::milliseconds>(silence);
-    log::warning("frozen", {{"milliseconds", std::to_string(lost.count())}});
-    m_offers.hold(true);
+    const auto frozen_for = std::chrono::duration_cast<std::chrono::milliseconds>(elapsed);
+    log::warning("frozen", {{"milliseconds", std::to_string(frozen_for.count())}});
+    m_offers.set_paused(true);
     ++m_verification;
     wire::configuration_request_message request;
     request.known_revision = m_context.configuration.revision();
@@ -157,21 +162,22 @@
     boost::asio::co_spawn(m_context.strand, verify_revision(m_verification), boost::asio::detached);
 }
 
-/// Reads the head until an answer comes. A peer's answer ends the wait as well, so an outage of the platform
-/// doesn't keep a thawed sidecar out of work.
+/// Reads the configuration's head row until this succeeds and no newer revision exists. A peer's reply ends
+/// the verification as well, so that a sidecar can work again after a freeze while the platform is
+/// unavailable.
 boost::asio::awaitable<void> sidecar_core::verify_revision(std::uint64_t verification) {
     boost::asio::steady_timer pause(m_context.strand);
     while (m_verification == verification && m_verified != verification) {
         try {
             const auto head = co_await m_context.table.read(configuration::head_key);
-            const auto named = head ? configuration::decode_head(head->value).revision : 0;
-            if (named <= m_context.configuration.revision()) {
+            const auto head_revision = head ? configuration::decode_head(head->value).revision : 0;
+            if (head_revision <= m_context.configuration.revision()) {
                 finish_verification(verification);
                 co_return;
             }
             m_context.configuration.poll_soon();
         } catch (const std::exception&) {
-            // The platform is out: tried again.
+            // The platform is unavailable. The read is retried after the pause.
         }
         pause.expires_after(verification_pause);
         boost::system::error_code ignored;
@@ -182,37 +188,37 @@
 void sidecar_core::finish_verification(std::uint64_t verification) {
     if (m_verification == verification) {
         m_verified = verification;
-        m_offers.hold(false);
+        m_offers.set_paused(false);
     }
 }
 
 void sidecar_core::tick() {
-    notice_freeze();
+    detect_freeze();
     const auto now = steady_clock::now();
     m_offers.tick();
     m_context.store.forget_old(now);
     m_context.ledger.forget_old(now);
     m_context.costs.record_output_tokens(0, m_context.limit.running() > 0, now);
-    finish_leaving();
+    finish_shutdown();
 }
 
-void sidecar_core::leave(std::function<void()> done) {
-    m_is_leaving = true;
-    m_left = std::move(done);
+void sidecar_core::shut_down(std::function<void()> done) {
+    m_is_shutting_down = true;
+    m_shutdown_done = std::move(done);
     wire::leaving_message leaving;
     leaving.reason = "stop requested";
     m_context.peers.send_to_all(leaving);
     m_offers.drain();
 }
 
-void sidecar_core::finish_leaving() {
-    if (!m_left || m_context.store.running_count() > 0) {
+void sidecar_core::finish_shutdown() {
+    if (!m_shutdown_done || m_context.store.running_count() > 0) {
         return;
     }
     if (m_context.store.has_undelivered(m_context.settings.resend_grace, steady_clock::now())) {
         return;
     }
-    std::exchange(m_left, {})();
+    std::exchange(m_shutdown_done, {})();
 }
 
 std::unique_ptr<wire::load_report_message> sidecar_core::make_load_report() const {
--- a/src/sidecar/sidecar_metrics.hpp
+++ b/src/sidecar/sidecar_metrics.hpp
@@ -1,4 +1,4 @@
-// What a sidecar counts and times.
+// The metrics of a sidecar.
 #pragma once
 
 #include "base/error_kind.hpp"
@@ -9,21 +9,22 @@
 
 namespace borageford::sidecar {
 
+/// Counters and histograms of a sidecar. Each function records one event; durations are recorded in seconds.
 class sidecar_metrics {
 public:
     explicit sidecar_metrics(metrics::registry& registry);
 
     void offered() { m_offers.add(); }
     void granted() { m_grants.add(); }
-    void lapsed() { m_lapses.add(); }
+    void grant_expired() { m_expired_grants.add(); }
     void withdrawn() { m_withdrawals.add(); }
     void attached() { m_attachments.add(); }
     void cancelled() { m_cancellations.add(); }
     void backend_died() { m_backend_deaths.add(); }
     void ordered() { m_orders.add(); }
-    /// An offer was refused, or one that was queued or granted didn't begin.
+    /// An offer was refused, or a queued or granted offer ended without being started.
     void refused(error_kind kind, unsigned tier);
-    /// A dispatch ended without its whole answer.
+    /// A dispatch ended without a complete answer.
     void failed(error_kind kind);
 
     void started(const offered_request& request, duration waited);
@@ -32,12 +33,13 @@
     void ended(const dispatch_record& dispatch, duration elapsed, const backend::usage& usage);
 
 private:
-    metrics::histogram& timing(std::string_view name, std::string_view help, const offered_request& request);
+    metrics::histogram& duration_histogram(std::string_view name, std::string_view help,
+                                           const offered_request& request);
 
     metrics::registry& m_registry;
     metrics::counter& m_offers;
     metrics::counter& m_grants;
-    metrics::counter& m_lapses;
+    metrics::counter& m_expired_grants;
     metrics::counter& m_withdrawals;
     metrics::counter& m_starts;
     metrics::counter& m_attachments;
