--- a/measure/policy/policy_trials.cpp
+++ b/measure/policy/policy_trials.cpp
@@ -116,7 +116,7 @@
         if (name == "hopeless")
             limits.hopeless_wait = value;
         if (name == "returned")
-            limits.patience_of_returned = value;
+            limits.max_wait_of_retry_in_targets = value;
     }
     const std::vector<engine_outage> crash{{1, 10500ms, 2s}, {4, 10500ms, 2s}, {9, 10500ms, 2s}};
     show("tinta 1.0", tinta, 1.0, limits, {});
--- a/src/gateway/gateway_settings.cpp
+++ b/src/gateway/gateway_settings.cpp
@@ -43,7 +43,8 @@
         static_cast<unsigned>(reader.number("lowest_in_small", slots.lowest_in_small, 0, 1000));
     slots.reserved_slots =
         static_cast<unsigned>(reader.number("reserved_slots", slots.reserved_slots, 0, 1000));
-    slots.patience_of_returned = reader.real("patience_of_returned", slots.patience_of_returned, 0.1, 100);
+    slots.max_wait_of_retry_in_targets =
+        reader.real("patience_of_returned", slots.max_wait_of_retry_in_targets, 0.1, 100);
     slots.hopeless_wait = reader.real("hopeless_wait", slots.hopeless_wait, 0.1, 100);
     slots.patience = reader.real("patience", slots.patience, 0.1, 100);
 }
--- a/src/policy/slot_scheduler.hpp
+++ b/src/policy/slot_scheduler.hpp
@@ -35,7 +35,7 @@
     double patience = 1.5;
     /// Maximum wait of a retried request, as a multiple of its latency target. A retried request is always
     /// treated as late. Callers of streams that wait for longer than this give up by themselves.
-    double patience_of_returned = 2;
+    double max_wait_of_retry_in_targets = 2;
     /// A request is refused on arrival if its expected wait in the queue exceeds this multiple of its latency
     /// target, because it would be late by then: after 0.4 times its target, a request without a slot is
     /// moved to the queue of late requests.
