--- a/measure/policy/policy_trials.cpp
+++ b/measure/policy/policy_trials.cpp
@@ -112,7 +112,7 @@
         if (name == "reserved")
             limits.reserved_slots = static_cast<unsigned>(value);
         if (name == "patience")
-            limits.patience = value;
+            limits.max_wait_in_targets = value;
         if (name == "hopeless")
             limits.hopeless_wait = value;
         if (name == "returned")
--- a/src/gateway/gateway_settings.cpp
+++ b/src/gateway/gateway_settings.cpp
@@ -46,7 +46,7 @@
     slots.max_wait_of_retry_in_targets =
         reader.real("patience_of_returned", slots.max_wait_of_retry_in_targets, 0.1, 100);
     slots.hopeless_wait = reader.real("hopeless_wait", slots.hopeless_wait, 0.1, 100);
-    slots.patience = reader.real("patience", slots.patience, 0.1, 100);
+    slots.max_wait_in_targets = reader.real("patience", slots.max_wait_in_targets, 0.1, 100);
 }
 
 } // namespace
--- a/src/policy/slot_scheduler.cpp
+++ b/src/policy/slot_scheduler.cpp
@@ -121,7 +121,8 @@
 }
 
 duration slot_scheduler::max_wait_of(const slot_request& request) const {
-    const double times = request.returns > 0 ? m_limits.max_wait_of_retry_in_targets : m_limits.patience;
+    const double times =
+        request.returns > 0 ? m_limits.max_wait_of_retry_in_targets : m_limits.max_wait_in_targets;
     return from_seconds(to_seconds(request.target) * times);
 }
 
--- a/src/policy/slot_scheduler.hpp
+++ b/src/policy/slot_scheduler.hpp
@@ -32,7 +32,7 @@
     /// slots than `reserved_slots`; a quarter of its slots still stay free.
     unsigned lowest_in_small = 5;
     /// Maximum wait of a request before it is refused, as a multiple of its latency target.
-    double patience = 1.5;
+    double max_wait_in_targets = 1.5;
     /// Maximum wait of a retried request, as a multiple of its latency target. A retried request is always
     /// treated as late. Callers of streams that wait for longer than this give up by themselves.
     double max_wait_of_retry_in_targets = 2;
--- a/tests/unit/test_policy_slot_scheduler.cpp
+++ b/tests/unit/test_policy_slot_scheduler.cpp
@@ -133,7 +133,7 @@
     // If the scheduler's list of servers with room were wrong, requests would wait although a server is free,
     // or queue up inside busy servers.
     std::mt19937 random(11);
-    slot_scheduler scheduler({.outstanding_per_slot = 1, .reserved_slots = 0, .patience = 1e6});
+    slot_scheduler scheduler({.outstanding_per_slot = 1, .reserved_slots = 0, .max_wait_in_targets = 1e6});
     std::map<server_key, unsigned> slots;
     std::map<server_key, unsigned> outstanding;
     std::vector<slot_grant> running;
@@ -427,7 +427,8 @@
           "[policy][slot_scheduler]") {
     // After a burst, the oldest requests are already late. Served first, they would make all following
     // requests late too.
-    auto scheduler = make_scheduler(1, 1, {.outstanding_per_slot = 1, .reserved_slots = 0, .patience = 10});
+    auto scheduler =
+        make_scheduler(1, 1, {.outstanding_per_slot = 1, .reserved_slots = 0, .max_wait_in_targets = 10});
     auto late = make_request(1, 0);
     late.arrived = start_time - 2s;
     auto fresh = make_request(2, 0);
@@ -443,7 +444,8 @@
 }
 
 TEST_CASE("a request that has waited too long is refused with a retry delay", "[policy][slot_scheduler]") {
-    auto scheduler = make_scheduler(1, 1, {.outstanding_per_slot = 1, .reserved_slots = 0, .patience = 1.5});
+    auto scheduler =
+        make_scheduler(1, 1, {.outstanding_per_slot = 1, .reserved_slots = 0, .max_wait_in_targets = 1.5});
     scheduler.add(make_request(1, 0), start_time);
     REQUIRE(scheduler.grant(start_time).size() == 1);
     scheduler.add(make_request(2, 0), start_time);
