--- a/measure/load/decision_cost.cpp
+++ b/measure/load/decision_cost.cpp
@@ -115,7 +115,8 @@
 std::size_t grant_slots(std::size_t servers, std::size_t count) {
     constexpr service_key service = 1;
     constexpr slot_ticket waiting = 300;
-    slot_scheduler scheduler({.outstanding_per_slot = 1, .reserved_slots = 0, .hopeless_wait = 1e6});
+    slot_scheduler scheduler(
+        {.outstanding_per_slot = 1, .reserved_slots = 0, .max_expected_wait_in_targets = 1e6});
     for (server_key server = 1; server <= servers; ++server) {
         scheduler.set_server(server, service, 1);
     }
--- a/measure/policy/policy_trials.cpp
+++ b/measure/policy/policy_trials.cpp
@@ -114,7 +114,7 @@
         if (name == "patience")
             limits.max_wait_in_targets = value;
         if (name == "hopeless")
-            limits.hopeless_wait = value;
+            limits.max_expected_wait_in_targets = value;
         if (name == "returned")
             limits.max_wait_of_retry_in_targets = value;
     }
--- a/src/gateway/gateway_settings.cpp
+++ b/src/gateway/gateway_settings.cpp
@@ -45,7 +45,8 @@
         static_cast<unsigned>(reader.number("reserved_slots", slots.reserved_slots, 0, 1000));
     slots.max_wait_of_retry_in_targets =
         reader.real("patience_of_returned", slots.max_wait_of_retry_in_targets, 0.1, 100);
-    slots.hopeless_wait = reader.real("hopeless_wait", slots.hopeless_wait, 0.1, 100);
+    slots.max_expected_wait_in_targets =
+        reader.real("hopeless_wait", slots.max_expected_wait_in_targets, 0.1, 100);
     slots.max_wait_in_targets = reader.real("patience", slots.max_wait_in_targets, 0.1, 100);
 }
 
--- a/src/policy/slot_scheduler.cpp
+++ b/src/policy/slot_scheduler.cpp
@@ -155,7 +155,7 @@
 /// Refuses the request at once if its expected wait is too long. It would otherwise be refused later, and its
 /// caller would have lost the time until then.
 void slot_scheduler::enqueue_in_time(tier_state& tier, const slot_request& request, time_point now) {
-    const double max_wait = to_seconds(request.target) * m_limits.hopeless_wait;
+    const double max_wait = to_seconds(request.target) * m_limits.max_expected_wait_in_targets;
     const double expected = expect_wait(tier.in_time.requests.size(), tier.in_time.grants.per_second(now));
     if (expected > max_wait) {
         refuse(tier, request, {expected, max_wait}, now);
--- a/src/policy/slot_scheduler.hpp
+++ b/src/policy/slot_scheduler.hpp
@@ -39,7 +39,7 @@
     /// A request is refused on arrival if its expected wait in the queue exceeds this multiple of its latency
     /// target, because it would be late by then: after 0.4 times its target, a request without a slot is
     /// moved to the queue of late requests.
-    double hopeless_wait = 0.4;
+    double max_expected_wait_in_targets = 0.4;
     slot_floor_limits floor{}; ///< guaranteed minimum shares of the tiers
     /// Share of all slots that this process may grant; less than 1 if other processes grant the remaining
     /// slots.
--- a/tests/unit/test_policy_slot_scheduler.cpp
+++ b/tests/unit/test_policy_slot_scheduler.cpp
@@ -573,7 +573,7 @@
                                                  {9, 11, 9},
                                                  {16, 20, 18}}) {
         const auto count_grants = [slots = slots](int tier) {
-            auto scheduler = make_scheduler(1, slots, {.hopeless_wait = 1e6});
+            auto scheduler = make_scheduler(1, slots, {.max_expected_wait_in_targets = 1e6});
             scheduler.add(make_request(1000, 1 - tier), start_time); // creates the queues of both tiers
             scheduler.withdraw(1000);
             for (slot_ticket ticket = 1; ticket <= 40; ++ticket) {
