--- a/measure/policy/policy_trials.cpp
+++ b/measure/policy/policy_trials.cpp
@@ -108,7 +108,7 @@
         if (name == "outstanding")
             limits.outstanding_per_slot = value;
         if (name == "lowest_in_small")
-            limits.lowest_in_small = static_cast<unsigned>(value);
+            limits.max_lowest_tier_on_small_server = static_cast<unsigned>(value);
         if (name == "reserved")
             limits.reserved_slots = static_cast<unsigned>(value);
         if (name == "patience")
--- a/src/gateway/gateway_settings.cpp
+++ b/src/gateway/gateway_settings.cpp
@@ -39,8 +39,8 @@
 
 void read_slots(settings::section_reader& reader, policy::slot_scheduler_limits& slots) {
     slots.outstanding_per_slot = reader.real("outstanding_per_slot", slots.outstanding_per_slot, 0.1, 100);
-    slots.lowest_in_small =
-        static_cast<unsigned>(reader.number("lowest_in_small", slots.lowest_in_small, 0, 1000));
+    slots.max_lowest_tier_on_small_server = static_cast<unsigned>(
+        reader.number("lowest_in_small", slots.max_lowest_tier_on_small_server, 0, 1000));
     slots.reserved_slots =
         static_cast<unsigned>(reader.number("reserved_slots", slots.reserved_slots, 0, 1000));
     slots.max_wait_of_retry_in_targets =
--- a/src/policy/slot_scheduler.cpp
+++ b/src/policy/slot_scheduler.cpp
@@ -312,7 +312,7 @@
     const double reserved = m_limits.reserved_slots;
     const double unreserved = (slots - reserved) * m_limits.outstanding_per_slot;
     const double of_small = all - std::min(reserved, slots * small_reserve);
-    return std::max(unreserved, std::min<double>(of_small, m_limits.lowest_in_small));
+    return std::max(unreserved, std::min<double>(of_small, m_limits.max_lowest_tier_on_small_server));
 }
 
 /// How many more requests the server may be sent, not considering its health.
--- a/src/policy/slot_scheduler.hpp
+++ b/src/policy/slot_scheduler.hpp
@@ -30,7 +30,7 @@
     unsigned reserved_slots = 2;
     /// A small server may hold up to this many requests of the lowest tier even if it then has fewer free
     /// slots than `reserved_slots`; a quarter of its slots still stay free.
-    unsigned lowest_in_small = 5;
+    unsigned max_lowest_tier_on_small_server = 5;
     /// Maximum wait of a request before it is refused, as a multiple of its latency target.
     double max_wait_in_targets = 1.5;
     /// Maximum wait of a retried request, as a multiple of its latency target. A retried request is always
--- a/tests/unit/test_policy_trial.cpp
+++ b/tests/unit/test_policy_trial.cpp
@@ -83,7 +83,7 @@
         engine.slots = 4;
     }
     const auto let_in = play(options);
-    options.limits.lowest_in_small = 0;
+    options.limits.max_lowest_tier_on_small_server = 0;
     const auto kept_out = play(options);
     CHECK(let_in.classes[2].worth > kept_out.classes[2].worth + 0.05);
     CHECK(share_in_time(let_in.classes[0]) > 0.93);
