--- a/src/gateway/gateway_process.cpp
+++ b/src/gateway/gateway_process.cpp
@@ -280,7 +280,7 @@
     void report_health(const policy::slot_scheduler::health_change& change) {
         const auto server = m_backends.find(change.server);
         const auto id = server != nullptr ? server->record().id : std::string("unknown");
-        if (!change.rests) {
+        if (!change.is_cooling_down) {
             events::write(events::event_kind::backend_recovered, {{"backend", id}});
             return;
         }
