--- a/src/gateway/gateway_process.cpp
+++ b/src/gateway/gateway_process.cpp
@@ -284,10 +284,10 @@
             events::write(events::event_kind::backend_recovered, {{"backend", id}});
             return;
         }
-        const auto rest = std::chrono::duration_cast<milliseconds>(change.rest);
+        const auto cooldown = std::chrono::duration_cast<milliseconds>(change.cooldown);
         events::write(events::event_kind::backend_resting,
                       {{"backend", id},
-                       {"rest_ms", std::int64_t(rest.count())},
+                       {"rest_ms", std::int64_t(cooldown.count())},
                        {"failures", std::uint64_t(change.failures_in_row)},
                        {"failure_share", change.failure_share}});
     }
--- a/src/policy/slot_scheduler.hpp
+++ b/src/policy/slot_scheduler.hpp
@@ -109,7 +109,7 @@
     struct health_change {
         server_key server = 0;
         bool is_cooling_down = false; ///< true: a cooldown has started; false: the server has recovered
-        duration rest{};              ///< length of the cooldown that has started
+        duration cooldown{};          ///< length of the cooldown that has started
         unsigned failures_in_row = 0; ///< failures since the last success
         double failure_share = 0;     ///< moving average of the share of failed requests, 0 to 1
     };
