--- a/src/coordination/message.cpp
+++ b/src/coordination/message.cpp
@@ -125,7 +125,7 @@
 wire::report to_wire(const policy::server_report& from) {
     return {from.server,
             to_wire(from.failed_ago),
-            to_wire(from.rest_left),
+            to_wire(from.cooldown_left),
             to_wire(from.first_event_ms * us_per_ms),
             to_wire(from.first_event_ms_per_token * ns_per_ms),
             to_wire(from.seconds_per_token * us_per_second),
@@ -138,7 +138,7 @@
     policy::server_report result;
     result.server = from.server();
     result.failed_ago = milliseconds(from.failed_ago_ms());
-    result.rest_left = milliseconds(from.rest_left_ms());
+    result.cooldown_left = milliseconds(from.rest_left_ms());
     result.first_event_ms = from.first_event_us() / us_per_ms;
     result.first_event_ms_per_token = from.first_event_ns_per_token() / ns_per_ms;
     result.seconds_per_token = from.token_us() / us_per_second;
--- a/src/policy/server_report.hpp
+++ b/src/policy/server_report.hpp
@@ -10,7 +10,7 @@
 struct server_report {
     server_key server = 0;
     duration failed_ago = duration::max(); ///< time since the last failed request; max(): none failed
-    duration rest_left{};                  ///< time until the server's cooldown ends
+    duration cooldown_left{};              ///< time until the server's cooldown ends
     unsigned rests = 0;                    ///< cooldowns since the last successful request
     double first_event_ms = 0;             ///< time to the first event of an empty prompt
     double first_event_ms_per_token = 0;   ///< additional time for each token of the prompt
--- a/src/policy/slot_server.cpp
+++ b/src/policy/slot_server.cpp
@@ -80,7 +80,7 @@
         result.failed_ago = now - health.last_failure();
     }
     if (health.cooldown_until() > now) {
-        result.rest_left = health.cooldown_until() - now;
+        result.cooldown_left = health.cooldown_until() - now;
     }
     result.rests = health.cooldowns();
     result.first_event_ms = first_event.fixed_ms();
@@ -93,7 +93,7 @@
 
 void slot_server::adopt(const server_report& reported, time_point now) {
     if (reported.failed_ago <= max_reported_failure_age) {
-        health.adopt(now - reported.failed_ago, now + reported.rest_left, reported.rests);
+        health.adopt(now - reported.failed_ago, now + reported.cooldown_left, reported.rests);
     }
     first_event.adopt(reported.first_event_ms, reported.first_event_ms_per_token, reported.first_events);
     token_time.adopt(reported.seconds_per_token);
--- a/tests/unit/test_coordination.cpp
+++ b/tests/unit/test_coordination.cpp
@@ -162,7 +162,7 @@
     const auto& report = received->items.reports.front();
     CHECK(report.server == 81);
     CHECK(report.failed_ago == 40ms);
-    CHECK(report.rest_left == 150ms);
+    CHECK(report.cooldown_left == 150ms);
     CHECK(report.rests == 2);
     CHECK(report.first_event_ms == Approx(31.5));
     CHECK(report.first_event_ms_per_token == Approx(0.02));
