--- a/src/coordination/slot_coordinator.cpp
+++ b/src/coordination/slot_coordinator.cpp
@@ -80,7 +80,7 @@
     }
     m_requests[request.ticket] = {member, request.workspace, units, request.fingerprint, false};
     auto known = request;
-    known.returns = m_refusal_history.refusals(request.fingerprint, now);
+    known.previous_refusals = m_refusal_history.refusals(request.fingerprint, now);
     m_scheduler.add(known, now);
 }
 
--- a/src/emulator/policy_trial.cpp
+++ b/src/emulator/policy_trial.cpp
@@ -110,7 +110,7 @@
         wanted.deadline = request.first_sent + of.deadline;
         wanted.target = of.target;
         wanted.cost = {request.offered.prompt_tokens, request.offered.hinted_output};
-        wanted.returns = request.refusals;
+        wanted.previous_refusals = request.refusals;
         request.ticket = wanted.ticket;
         request.is_waiting = true;
         m_by_ticket[wanted.ticket] = index;
--- a/src/policy/slot_request.hpp
+++ b/src/policy/slot_request.hpp
@@ -57,11 +57,11 @@
     time_point deadline;   ///< when the caller stops waiting for the answer
     duration target{}; ///< target for the time from the arrival to the first event, or to the complete answer
     token_cost cost;
-    std::uint64_t fingerprint = 0; ///< hash of caller, target and body; 0: none
-    double units = 0;              ///< cost in units of its workspace's quota
-    bool is_charged = false;       ///< its units were already subtracted from the quota
-    unsigned sends = 0;            ///< number of servers that it was already sent to
-    unsigned returns = 0;          ///< number of times that it was refused before and retried by its caller
+    std::uint64_t fingerprint = 0;  ///< hash of caller, target and body; 0: none
+    double units = 0;               ///< cost in units of its workspace's quota
+    bool is_charged = false;        ///< its units were already subtracted from the quota
+    unsigned sends = 0;             ///< number of servers that it was already sent to
+    unsigned previous_refusals = 0; ///< number of times that it was refused before and retried by its caller
     /// Servers that failed this request; 0 in unused places.
     std::array<server_key, most_avoided> avoided{};
 };
--- a/src/policy/slot_scheduler.cpp
+++ b/src/policy/slot_scheduler.cpp
@@ -122,7 +122,7 @@
 
 duration slot_scheduler::max_wait_of(const slot_request& request) const {
     const double times =
-        request.returns > 0 ? m_limits.max_wait_of_retry_in_targets : m_limits.max_wait_in_targets;
+        request.previous_refusals > 0 ? m_limits.max_wait_of_retry_in_targets : m_limits.max_wait_in_targets;
     return from_seconds(to_seconds(request.target) * times);
 }
 
@@ -359,7 +359,8 @@
 /// fast servers may never have a free slot for it.
 slot_scheduler::deadline_state slot_scheduler::classify(const slot_request& request, time_point now) const {
     const auto waited = now - request.arrived;
-    if (request.returns > 0 || waited > from_seconds(to_seconds(request.target) * wait_for_fast_server)) {
+    if (request.previous_refusals > 0 ||
+        waited > from_seconds(to_seconds(request.target) * wait_for_fast_server)) {
         return deadline_state::late;
     }
     return can_meet_target(request, servers_of(request.service), now) ? deadline_state::in_time
--- a/tests/unit/test_policy_slot_scheduler.cpp
+++ b/tests/unit/test_policy_slot_scheduler.cpp
@@ -188,7 +188,7 @@
     CHECK(refused.size() > 5);
     CHECK(refused.front().retry_after >= 100ms);
     auto retried = make_request(100, 0);
-    retried.returns = 1;
+    retried.previous_refusals = 1;
     scheduler.add(retried, start_time);
     CHECK(scheduler.take_refusals().empty());
     CHECK(scheduler.withdraw(100));
