--- a/src/policy/attempt_rule.hpp
+++ b/src/policy/attempt_rule.hpp
@@ -52,7 +52,7 @@
     /// Attempts in which the request may have run.
     [[nodiscard]] unsigned runs() const noexcept { return m_possible_runs; }
     /// Servers of the last failed attempts, most recent first; 0 in unused places.
-    [[nodiscard]] const std::array<server_key, slot_request::most_avoided>& avoided() const noexcept {
+    [[nodiscard]] const std::array<server_key, slot_request::max_avoided>& avoided() const noexcept {
         return m_failed_servers;
     }
 
@@ -66,7 +66,7 @@
     unsigned m_attempts = 0;
     unsigned m_arrivals = 0;
     unsigned m_possible_runs = 0;
-    std::array<server_key, slot_request::most_avoided> m_failed_servers{};
+    std::array<server_key, slot_request::max_avoided> m_failed_servers{};
 };
 
 } // namespace borageford::policy
--- a/src/policy/slot_request.hpp
+++ b/src/policy/slot_request.hpp
@@ -46,7 +46,7 @@
 
 /// A request that needs a slot of a backend server.
 struct slot_request {
-    static constexpr std::size_t most_avoided = 2; ///< capacity of `avoided`
+    static constexpr std::size_t max_avoided = 2; ///< capacity of `avoided`
 
     slot_ticket ticket = 0;
     service_key service = 0;
@@ -63,7 +63,7 @@
     unsigned sends = 0;             ///< number of servers that it was already sent to
     unsigned previous_refusals = 0; ///< number of times that it was refused before and retried by its caller
     /// Servers that failed this request; 0 in unused places.
-    std::array<server_key, most_avoided> avoided{};
+    std::array<server_key, max_avoided> avoided{};
 };
 
 /// Grants a slot of a server to a request.
