--- a/src/gateway/backend_roster.cpp
+++ b/src/gateway/backend_roster.cpp
@@ -258,7 +258,7 @@
     switch (m_starts.take(id, record->start)) {
     case policy::server_starts::verdict::superseded:
         return; // m_all keeps the value of the later start, which is also what other gateways receive
-    case policy::server_starts::verdict::untold:
+    case policy::server_starts::verdict::unstated:
         if (!was_reported) {
             report_unreadable(id, "it names no start, but an earlier registration of the server did");
         }
--- a/src/policy/server_starts.cpp
+++ b/src/policy/server_starts.cpp
@@ -24,7 +24,7 @@
         return verdict::same;
     }
     if (start == 0) {
-        return verdict::untold;
+        return verdict::unstated;
     }
     supersede(id, std::exchange(current->second, start));
     return verdict::restarted;
--- a/src/policy/server_starts.hpp
+++ b/src/policy/server_starts.hpp
@@ -28,7 +28,7 @@
         superseded, ///< names a start that was followed by another one; the current start stays
         /// Names no start although earlier rows of the id did, so the server itself can't have written this
         /// row.
-        untold,
+        unstated,
     };
 
     /// Records the start that a registration row of the server `id` names; 0 if the row names none.
--- a/tests/unit/test_policy_server_starts.cpp
+++ b/tests/unit/test_policy_server_starts.cpp
@@ -38,7 +38,7 @@
     CHECK(starts.take("old", 0) == verdict::first);
     CHECK(starts.take("old", 0) == verdict::same);
     CHECK(starts.take("old", 5) == verdict::restarted); // after an update, the server states its start
-    CHECK(starts.take("old", 0) == verdict::untold);    // not written by the server itself
+    CHECK(starts.take("old", 0) == verdict::unstated);  // not written by the server itself
     CHECK(starts.take("old", 5) == verdict::same);
 }
 
