--- a/src/coordination/slot_coordinator.cpp
+++ b/src/coordination/slot_coordinator.cpp
@@ -144,7 +144,7 @@
     for (const auto& refusal : m_scheduler.take_refusals()) {
         const auto found = m_requests.find(refusal.ticket);
         m_quotas.give_back(found->second.workspace, found->second.charged_units, now);
-        m_refusal_history.note_refused(found->second.fingerprint, now);
+        m_refusal_history.record_refused(found->second.fingerprint, now);
         m_output[found->second.member].refusals.push_back(refusal);
         m_requests.erase(found);
     }
--- a/src/policy/return_memory.cpp
+++ b/src/policy/return_memory.cpp
@@ -25,7 +25,7 @@
     }
 }
 
-void return_memory::note_refused(std::uint64_t fingerprint, time_point now) {
+void return_memory::record_refused(std::uint64_t fingerprint, time_point now) {
     if (fingerprint == 0) {
         return;
     }
--- a/src/policy/return_memory.hpp
+++ b/src/policy/return_memory.hpp
@@ -18,7 +18,7 @@
 public:
     /// Records that a request with this fingerprint was refused. The fingerprint 0 (no fingerprint) is
     /// ignored.
-    void note_refused(std::uint64_t fingerprint, time_point now);
+    void record_refused(std::uint64_t fingerprint, time_point now);
     /// How often requests with this fingerprint were refused recently; 0 for the fingerprint 0. Also removes
     /// expired entries.
     [[nodiscard]] unsigned refusals(std::uint64_t fingerprint, time_point now);
--- a/tests/unit/test_gateway_policy.cpp
+++ b/tests/unit/test_gateway_policy.cpp
@@ -298,15 +298,15 @@
 TEST_CASE("a retried request is recognised until it is served or its refusal is too old",
           "[policy][return_memory]") {
     return_memory history;
-    history.note_refused(7, start_time);
+    history.record_refused(7, start_time);
     CHECK(history.refusals(7, start_time + 2s) == 1);
-    history.note_refused(7, start_time + 2s);
+    history.record_refused(7, start_time + 2s);
     CHECK(history.refusals(7, start_time + 3s) == 2);
     CHECK(history.refusals(8, start_time) == 0);
     history.forget(7);
     CHECK(history.refusals(7, start_time + 3s) == 0);
-    history.note_refused(9, start_time + 3s);
+    history.record_refused(9, start_time + 3s);
     CHECK(history.refusals(9, start_time + 30s) == 0);
-    history.note_refused(0, start_time);
+    history.record_refused(0, start_time);
     CHECK(history.refusals(0, start_time) == 0);
 }
