--- a/src/coordination/slot_coordinator.hpp
+++ b/src/coordination/slot_coordinator.hpp
@@ -63,7 +63,7 @@
     policy::allowance_book m_quotas;
     policy::repeat_budget m_retry_budget;
     policy::crash_suspects m_suspects;
-    policy::return_memory m_refusal_history;
+    policy::refusal_history m_refusal_history;
     std::unordered_map<policy::slot_ticket, known_request> m_requests;
     std::map<policy::member_key, batch_items> m_output; ///< decisions since the last call of decide()
 };
--- a/src/policy/return_memory.cpp
+++ b/src/policy/return_memory.cpp
@@ -1,4 +1,4 @@
-// Implements return_memory as a map from fingerprints to refusals and a queue of all refusals in order of
+// Implements refusal_history as a map from fingerprints to refusals and a queue of all refusals in order of
 // time, by which old entries are removed.
 #include "policy/return_memory.hpp"
 
@@ -15,7 +15,7 @@
 
 } // namespace
 
-void return_memory::remove_expired(time_point now) {
+void refusal_history::remove_expired(time_point now) {
     while (!m_order.empty() && (now - m_order.front().at > lifetime || m_order.size() > max_entries)) {
         const auto found = m_refusals.find(m_order.front().fingerprint);
         if (found != m_refusals.end() && found->second.last == m_order.front().at) {
@@ -25,7 +25,7 @@
     }
 }
 
-void return_memory::record_refused(std::uint64_t fingerprint, time_point now) {
+void refusal_history::record_refused(std::uint64_t fingerprint, time_point now) {
     if (fingerprint == 0) {
         return;
     }
@@ -36,7 +36,7 @@
     remove_expired(now);
 }
 
-unsigned return_memory::refusals(std::uint64_t fingerprint, time_point now) {
+unsigned refusal_history::refusals(std::uint64_t fingerprint, time_point now) {
     remove_expired(now);
     const auto found = m_refusals.find(fingerprint);
     return fingerprint == 0 || found == m_refusals.end() ? 0 : found->second.refusals;
--- a/src/policy/return_memory.hpp
+++ b/src/policy/return_memory.hpp
@@ -14,7 +14,7 @@
 /// retry can only be recognised by what stays the same: its caller, target and body, which are hashed into
 /// the fingerprint. Refusing the same request again and again would waste the time of its caller and of the
 /// gateways.
-class return_memory {
+class refusal_history {
 public:
     /// Records that a request with this fingerprint was refused. The fingerprint 0 (no fingerprint) is
     /// ignored.
--- a/tests/unit/test_gateway_policy.cpp
+++ b/tests/unit/test_gateway_policy.cpp
@@ -297,7 +297,7 @@
 
 TEST_CASE("a retried request is recognised until it is served or its refusal is too old",
           "[policy][return_memory]") {
-    return_memory history;
+    refusal_history history;
     history.record_refused(7, start_time);
     CHECK(history.refusals(7, start_time + 2s) == 1);
     history.record_refused(7, start_time + 2s);
