--- a/src/coordination/slot_coordinator.hpp
+++ b/src/coordination/slot_coordinator.hpp
@@ -6,8 +6,8 @@
 #include "policy/allowance_book.hpp"
 #include "policy/coordinator_election.hpp"
 #include "policy/crash_suspects.hpp"
+#include "policy/refusal_history.hpp"
 #include "policy/repeat_budget.hpp"
-#include "policy/return_memory.hpp"
 #include "policy/slot_scheduler.hpp"
 
 #include <map>
--- a/src/policy/return_memory.cpp
+++ b/src/policy/return_memory.cpp
@@ -1,6 +1,6 @@
 // Implements refusal_history as a map from fingerprints to refusals and a queue of all refusals in order of
 // time, by which old entries are removed.
-#include "policy/return_memory.hpp"
+#include "policy/refusal_history.hpp"
 
 #include <chrono>
 
--- a/tests/unit/test_gateway_policy.cpp
+++ b/tests/unit/test_gateway_policy.cpp
@@ -4,9 +4,9 @@
 #include "policy/attempt_rule.hpp"
 #include "policy/crash_suspects.hpp"
 #include "policy/overload_watch.hpp"
+#include "policy/refusal_history.hpp"
 #include "policy/registration_watch.hpp"
 #include "policy/repeat_budget.hpp"
-#include "policy/return_memory.hpp"
 #include "policy/server_health.hpp"
 
 #include <catch2/catch.hpp>
