--- a/src/policy/overload_watch.cpp
+++ b/src/policy/overload_watch.cpp
@@ -1,4 +1,4 @@
-// Implements overload_watch: estimates the remaining duration of an overload as the time that it has lasted
+// Implements overload_tracker: estimates the remaining duration of an overload as the time that it has lasted
 // so far.
 #include "policy/overload_watch.hpp"
 
@@ -24,14 +24,14 @@
 
 } // namespace
 
-void overload_watch::record_refusal(time_point now) noexcept {
+void overload_tracker::record_refusal(time_point now) noexcept {
     if (m_last == time_point::min() || now - m_last > overload_end_after) {
         m_begin = now;
     }
     m_last = now;
 }
 
-duration overload_watch::retry_after(duration time_left, double draw, time_point now) const noexcept {
+duration overload_tracker::retry_after(duration time_left, double draw, time_point now) const noexcept {
     const auto age = m_last == time_point::min() ? duration::zero() : now - m_begin;
     const auto expected = std::clamp<duration>(age, min_retry_delay, max_retry_delay);
     const double factor = 1 - spread + 2 * spread * draw;
--- a/src/policy/overload_watch.hpp
+++ b/src/policy/overload_watch.hpp
@@ -12,7 +12,7 @@
 /// for nothing. The duration of an overload can't be known, but one that has lasted for some time is likely
 /// to last about as long again, so this is the retry delay. The delays are randomised so that the refused
 /// callers don't all retry at the same time.
-class overload_watch {
+class overload_tracker {
 public:
     /// Records that a request was refused.
     void record_refusal(time_point now) noexcept;
--- a/src/policy/slot_scheduler.hpp
+++ b/src/policy/slot_scheduler.hpp
@@ -143,7 +143,7 @@
     struct tier_state {
         request_queue in_time; ///< requests whose target some server could still meet
         request_queue late;
-        overload_watch overload;
+        overload_tracker overload;
     };
     /// The queues of one service by tier, highest tier first.
     using service_queue = std::map<int, tier_state>;
--- a/tests/unit/test_gateway_policy.cpp
+++ b/tests/unit/test_gateway_policy.cpp
@@ -277,7 +277,7 @@
 TEST_CASE("the retry delay is the time that the overload has lasted", "[policy][overload_watch]") {
     // A burst lasts for an unknown time. With a delay of half a second, callers would retry again and again;
     // with five seconds, they would wait for nothing after a short burst.
-    overload_watch watch;
+    overload_tracker watch;
     watch.record_refusal(start_time);
     const auto early = watch.retry_after(15s, 0.5, start_time);
     for (int step = 1; step <= 30; ++step) {
