--- a/src/policy/overload_watch.cpp
+++ b/src/policy/overload_watch.cpp
@@ -1,6 +1,6 @@
 // Implements overload_tracker: estimates the remaining duration of an overload as the time that it has lasted
 // so far.
-#include "policy/overload_watch.hpp"
+#include "policy/overload_tracker.hpp"
 
 #include <algorithm>
 #include <chrono>
--- a/src/policy/slot_scheduler.hpp
+++ b/src/policy/slot_scheduler.hpp
@@ -4,7 +4,7 @@
 #pragma once
 
 #include "policy/flow_meter.hpp"
-#include "policy/overload_watch.hpp"
+#include "policy/overload_tracker.hpp"
 #include "policy/slot_choice.hpp"
 #include "policy/slot_floor.hpp"
 #include "policy/slot_server.hpp"
--- a/tests/unit/test_gateway_policy.cpp
+++ b/tests/unit/test_gateway_policy.cpp
@@ -3,7 +3,7 @@
 #include "policy/allowance_book.hpp"
 #include "policy/attempt_rule.hpp"
 #include "policy/crash_suspects.hpp"
-#include "policy/overload_watch.hpp"
+#include "policy/overload_tracker.hpp"
 #include "policy/refusal_history.hpp"
 #include "policy/registration_watch.hpp"
 #include "policy/repeat_budget.hpp"
