--- a/src/policy/output_pace.cpp
+++ b/src/policy/output_pace.cpp
@@ -1,4 +1,4 @@
-// Implements output_pace as a moving average in which the weight of an answer depends on its length.
+// Implements output_token_time as a moving average in which the weight of an answer depends on its length.
 #include "policy/output_pace.hpp"
 
 #include <algorithm>
@@ -19,7 +19,7 @@
 
 } // namespace
 
-void output_pace::learn(double tokens, duration elapsed) noexcept {
+void output_token_time::learn(double tokens, duration elapsed) noexcept {
     if (tokens < min_tokens || elapsed <= duration::zero()) {
         return;
     }
@@ -29,13 +29,13 @@
         m_seconds_per_token > 0 ? m_seconds_per_token + weight * (measured - m_seconds_per_token) : measured;
 }
 
-void output_pace::adopt(double seconds_per_token) noexcept {
+void output_token_time::adopt(double seconds_per_token) noexcept {
     if (m_seconds_per_token == 0 && seconds_per_token > 0) {
         m_seconds_per_token = seconds_per_token;
     }
 }
 
-duration output_pace::expect(double tokens) const noexcept {
+duration output_token_time::expect(double tokens) const noexcept {
     return from_seconds(m_seconds_per_token * tokens);
 }
 
--- a/src/policy/output_pace.hpp
+++ b/src/policy/output_pace.hpp
@@ -8,7 +8,7 @@
 
 /// Moving average of the time per output token over finished answers. Longer answers have more weight,
 /// because a few tokens are too few for a good measurement.
-class output_pace {
+class output_token_time {
 public:
     /// Records a finished answer of `tokens` tokens; `elapsed` is the time from its first
     /// event to its end. Answers that are too short to measure are ignored.
--- a/src/policy/slot_server.hpp
+++ b/src/policy/slot_server.hpp
@@ -30,7 +30,7 @@
     std::optional<std::size_t> with_room_index;
     server_health health;
     first_event_model first_event;
-    output_pace token_time;
+    output_token_time token_time;
     reading_backlog prompts_ahead;
     slot_turnover turnover;
 
--- a/tests/unit/test_policy_slot_scheduler.cpp
+++ b/tests/unit/test_policy_slot_scheduler.cpp
@@ -120,7 +120,7 @@
 TEST_CASE("the expected time of an absurdly long answer doesn't overflow", "[policy][output_pace]") {
     // A caller states an answer length of more tokens than any engine generates in a lifetime. The conversion
     // to a duration overflowed to a negative value, so that every server seemed to be fast enough.
-    output_pace token_time;
+    output_token_time token_time;
     token_time.learn(400, 4s);
     CHECK(token_time.expect(100) > 900ms);
     CHECK(token_time.expect(9e18) > std::chrono::hours(24 * 365));
