--- a/src/policy/output_pace.cpp
+++ b/src/policy/output_pace.cpp
@@ -1,5 +1,5 @@
 // Implements output_token_time as a moving average in which the weight of an answer depends on its length.
-#include "policy/output_pace.hpp"
+#include "policy/output_token_time.hpp"
 
 #include <algorithm>
 
--- a/src/policy/slot_server.hpp
+++ b/src/policy/slot_server.hpp
@@ -3,7 +3,7 @@
 #pragma once
 
 #include "policy/first_event_model.hpp"
-#include "policy/output_pace.hpp"
+#include "policy/output_token_time.hpp"
 #include "policy/reading_backlog.hpp"
 #include "policy/server_health.hpp"
 #include "policy/server_report.hpp"
