--- a/src/policy/reading_backlog.cpp
+++ b/src/policy/reading_backlog.cpp
@@ -1,4 +1,4 @@
-// Implements reading_backlog as the expected time at which all prompts are processed; each observed first
+// Implements prompt_backlog as the expected time at which all prompts are processed; each observed first
 // event can only bring it forward.
 #include "policy/reading_backlog.hpp"
 
@@ -6,18 +6,18 @@
 
 namespace borageford::policy {
 
-reading_backlog::mark reading_backlog::add(duration processing_time, time_point now) noexcept {
+prompt_backlog::mark prompt_backlog::add(duration processing_time, time_point now) noexcept {
     m_expected_end = std::max(m_expected_end, now) + processing_time;
     m_total += processing_time;
     return m_total;
 }
 
-void reading_backlog::record_processed(mark prompt, time_point at) noexcept {
+void prompt_backlog::record_processed(mark prompt, time_point at) noexcept {
     const auto added_after = m_total - prompt;
     m_expected_end = std::min(m_expected_end, at + added_after);
 }
 
-duration reading_backlog::wait(time_point now) const noexcept {
+duration prompt_backlog::wait(time_point now) const noexcept {
     return std::max(duration::zero(), m_expected_end - now);
 }
 
--- a/src/policy/reading_backlog.hpp
+++ b/src/policy/reading_backlog.hpp
@@ -12,7 +12,7 @@
 /// that could still meet their target would not be sent there, and its slots would stay empty until late
 /// requests take them. A first event proves that its prompt and all earlier prompts have been processed, and
 /// record_processed() uses this to discard the accumulated error.
-class reading_backlog {
+class prompt_backlog {
 public:
     /// Identifies a prompt by its position in the sequence of prompts: the sum of the estimated processing
     /// times of all prompts up to and including this one.
--- a/src/policy/slot_scheduler.hpp
+++ b/src/policy/slot_scheduler.hpp
@@ -170,8 +170,8 @@
         server_key server = 0;
         service_key service = 0;
         int tier = 0;
-        double prompt = 0;                 ///< tokens
-        reading_backlog::mark read_mark{}; ///< returned by reading_backlog::add() at the request's start
+        double prompt = 0;                ///< tokens
+        prompt_backlog::mark read_mark{}; ///< returned by prompt_backlog::add() at the request's start
     };
     /// Whether a request belongs into the queue of requests that can still meet their target or into that of
     /// late requests.
--- a/src/policy/slot_server.cpp
+++ b/src/policy/slot_server.cpp
@@ -53,7 +53,7 @@
     return outstanding < std::max(1.0, slots * share);
 }
 
-void slot_server::learn(const slot_release& ended, double prompt, reading_backlog::mark read_mark,
+void slot_server::learn(const slot_release& ended, double prompt, prompt_backlog::mark read_mark,
                         time_point now) {
     if (ended.outcome == slot_outcome::served) {
         turnover.learn(ended.busy, outstanding);
--- a/src/policy/slot_server.hpp
+++ b/src/policy/slot_server.hpp
@@ -31,7 +31,7 @@
     server_health health;
     first_event_model first_event;
     output_token_time token_time;
-    reading_backlog prompts_ahead;
+    prompt_backlog prompts_ahead;
     slot_turnover turnover;
 
     /// The expected time until the first event of a request that is sent to the server at `now`.
@@ -47,7 +47,7 @@
 
     /// Learns from the end of a request with `prompt` prompt tokens that this process granted the slot for.
     /// `read_mark` is the value that `prompts_ahead.add()` returned when the request started.
-    void learn(const slot_release& ended, double prompt, reading_backlog::mark read_mark, time_point now);
+    void learn(const slot_release& ended, double prompt, prompt_backlog::mark read_mark, time_point now);
     /// Learns from the end of a request with `prompt` prompt tokens that another process granted the slot
     /// for.
     void observe(const slot_release& ended, double prompt);
