--- a/src/policy/reading_backlog.cpp
+++ b/src/policy/reading_backlog.cpp
@@ -1,6 +1,6 @@
 // Implements prompt_backlog as the expected time at which all prompts are processed; each observed first
 // event can only bring it forward.
-#include "policy/reading_backlog.hpp"
+#include "policy/prompt_backlog.hpp"
 
 #include <algorithm>
 
--- a/src/policy/slot_server.hpp
+++ b/src/policy/slot_server.hpp
@@ -4,7 +4,7 @@
 
 #include "policy/first_event_model.hpp"
 #include "policy/output_token_time.hpp"
-#include "policy/reading_backlog.hpp"
+#include "policy/prompt_backlog.hpp"
 #include "policy/server_health.hpp"
 #include "policy/server_report.hpp"
 #include "policy/slot_request.hpp"
