--- a/src/policy/flow_meter.cpp
+++ b/src/policy/flow_meter.cpp
@@ -1,4 +1,4 @@
-// Implements flow_meter as a count of events that decays exponentially over time.
+// Implements event_rate as a count of events that decays exponentially over time.
 #include "policy/flow_meter.hpp"
 
 #include <cmath>
@@ -13,19 +13,19 @@
 
 } // namespace
 
-double flow_meter::decayed(time_point now) const noexcept {
+double event_rate::decayed(time_point now) const noexcept {
     if (m_updated == time_point::min()) {
         return 0;
     }
     return m_level * std::exp(-to_seconds(now - m_updated) / time_constant_seconds);
 }
 
-void flow_meter::record(time_point now) noexcept {
+void event_rate::record(time_point now) noexcept {
     m_level = decayed(now) + 1;
     m_updated = now;
 }
 
-double flow_meter::per_second(time_point now) const noexcept {
+double event_rate::per_second(time_point now) const noexcept {
     return decayed(now) / time_constant_seconds;
 }
 
--- a/src/policy/flow_meter.hpp
+++ b/src/policy/flow_meter.hpp
@@ -6,7 +6,7 @@
 namespace borageford::policy {
 
 /// Exponentially decaying event rate: recent events count more than older ones.
-class flow_meter {
+class event_rate {
 public:
     /// Records one event.
     void record(time_point now) noexcept;
--- a/src/policy/slot_scheduler.hpp
+++ b/src/policy/slot_scheduler.hpp
@@ -134,7 +134,7 @@
     /// One of the two queues of a tier.
     struct request_queue {
         request_map requests;
-        flow_meter grants; ///< rate of grants from this queue
+        event_rate grants; ///< rate of grants from this queue
     };
     /// Requests that can still meet their target and late requests wait in separate queues, and late requests
     /// only get the slots that the first queue leaves. With a single queue, its length would be limited only
