--- a/src/policy/flow_meter.cpp
+++ b/src/policy/flow_meter.cpp
@@ -1,5 +1,5 @@
 // Implements event_rate as a count of events that decays exponentially over time.
-#include "policy/flow_meter.hpp"
+#include "policy/event_rate.hpp"
 
 #include <cmath>
 
--- a/src/policy/slot_scheduler.hpp
+++ b/src/policy/slot_scheduler.hpp
@@ -3,7 +3,7 @@
 // returns its decisions.
 #pragma once
 
-#include "policy/flow_meter.hpp"
+#include "policy/event_rate.hpp"
 #include "policy/overload_tracker.hpp"
 #include "policy/slot_choice.hpp"
 #include "policy/slot_floor.hpp"
