--- a/src/gateway/rollout_keeper.cpp
+++ b/src/gateway/rollout_keeper.cpp
@@ -143,7 +143,7 @@
         return;
     }
     current->course.record_grant(given->record().version == current->course.to());
-    const bool is_over_share = !current->canary.empty() && !current->course.has_room_for_next();
+    const bool is_over_share = !current->canary.empty() && !current->course.can_grant_to_new_version();
     if (current->course.phase() == rollout_phase::probing && is_over_share) {
         const auto server_id = std::exchange(current->canary, {});
         if (const auto canary = m_backends.find_id(server_id)) {
@@ -203,7 +203,7 @@
 /// turns, so that each is tried, and the slots of one server bound the load on the new version at any moment.
 void rollout_keeper::choose_canary(const std::string& service, rollout& current) {
     const bool has_canary =
-        current.course.phase() == rollout_phase::probing && current.course.has_room_for_next();
+        current.course.phase() == rollout_phase::probing && current.course.can_grant_to_new_version();
     if (!has_canary) {
         current.canary.clear();
         return;
--- a/src/policy/rollout_course.cpp
+++ b/src/policy/rollout_course.cpp
@@ -45,7 +45,7 @@
     }
 }
 
-bool rollout_course::has_room_for_next() const noexcept {
+bool rollout_course::can_grant_to_new_version() const noexcept {
     return static_cast<double>(m_granted_new + 1) <= canary_share * static_cast<double>(m_granted);
 }
 
--- a/src/policy/rollout_course.hpp
+++ b/src/policy/rollout_course.hpp
@@ -64,7 +64,7 @@
     /// Records the result of a request at a server of the new version (`is_new`) or of the previous one.
     void record_answer(bool is_new, const version_answer& answer);
     /// Whether the new version may get one more request without exceeding its share in the canary phase.
-    [[nodiscard]] bool has_room_for_next() const noexcept;
+    [[nodiscard]] bool can_grant_to_new_version() const noexcept;
 
     /// Enters the next phase if its conditions are met. `is_previous_idle`: the servers of the previous
     /// version have no running requests.
--- a/tests/unit/test_rollouts.cpp
+++ b/tests/unit/test_rollouts.cpp
@@ -113,7 +113,7 @@
     course.begin();
     int new_requests = 0;
     for (int request = 0; request < 1000; ++request) {
-        const bool is_new = course.has_room_for_next();
+        const bool is_new = course.can_grant_to_new_version();
         course.record_grant(is_new);
         new_requests += is_new ? 1 : 0;
     }
