--- a/src/gateway/rollout_keeper.cpp
+++ b/src/gateway/rollout_keeper.cpp
@@ -223,12 +223,12 @@
 }
 
 void rollout_keeper::report(const std::string& service, const rollout& current) const {
-    const auto& judgement = current.course.judgement();
+    const auto& analysis = current.course.analysis();
     events::write(events::event_kind::rollout_moved, {{"service", service},
                                                       {"software", current.course.to()},
                                                       {"phase", policy::to_string(current.course.phase())},
-                                                      {"answers", std::uint64_t(judgement.seen())},
-                                                      {"bad", std::uint64_t(judgement.bad())}});
+                                                      {"answers", std::uint64_t(analysis.seen())},
+                                                      {"bad", std::uint64_t(analysis.bad())}});
 }
 
 /// Gives or withholds slots where the decision has changed, since it depends on the phase and on which
--- a/src/policy/rollout_course.hpp
+++ b/src/policy/rollout_course.hpp
@@ -44,7 +44,7 @@
     [[nodiscard]] const std::string& to() const noexcept { return m_to; }
     [[nodiscard]] rollout_phase phase() const noexcept { return m_phase; }
     /// The evaluation of the new version's answers.
-    [[nodiscard]] const rollout_judgement& judgement() const noexcept { return m_analysis; }
+    [[nodiscard]] const rollout_judgement& analysis() const noexcept { return m_analysis; }
     /// Whether the roll-out is completed or rolled back.
     [[nodiscard]] bool is_over() const noexcept { return m_phase >= rollout_phase::completed; }
     /// The end of the time limit.
--- a/tests/unit/test_rollouts.cpp
+++ b/tests/unit/test_rollouts.cpp
@@ -35,14 +35,14 @@
 
     /// Records answers until the new version is rejected and returns how many answers it gave; `most` if it
     /// wasn't rejected within that many.
-    std::size_t run(rollout_judgement& judgement, quality previous, quality new_version, std::size_t most) {
+    std::size_t run(rollout_judgement& analysis, quality previous, quality new_version, std::size_t most) {
         constexpr int previous_answers = 20;
         for (std::size_t answer = 0; answer < most; ++answer) {
             for (int index = 0; index < previous_answers; ++index) {
-                judgement.record_previous(draw(previous));
+                analysis.record_previous(draw(previous));
             }
-            judgement.record_new(draw(new_version));
-            if (judgement.is_bad()) {
+            analysis.record_new(draw(new_version));
+            if (analysis.is_bad()) {
                 return answer + 1;
             }
         }
@@ -76,16 +76,16 @@
          {row{{0, 0}, {0.3, 0}}, row{{0, 0}, {0, 0.4}}, row{{0.01, 0}, {0.2, 0.2}}, row{{0.14, 0}, {0.5, 0}},
           row{{0.05, 0.02}, {1, 0}}}) {
         for (unsigned seed = 0; seed < seeds; ++seed) {
-            rollout_judgement judgement;
-            CHECK(rollout_simulation(seed).run(judgement, previous, new_version, most) < most);
-            CHECK(judgement.bad() < 50);
+            rollout_judgement analysis;
+            CHECK(rollout_simulation(seed).run(analysis, previous, new_version, most) < most);
+            CHECK(analysis.bad() < 50);
         }
     }
     unsigned rejected = 0;
     for (const auto& both : {quality{0, 0}, quality{0.01, 0}, quality{0.14, 0}, quality{0.05, 0.05}}) {
         for (unsigned seed = 0; seed < seeds; ++seed) {
-            rollout_judgement judgement;
-            rejected += rollout_simulation(seed).run(judgement, both, both, most) < most ? 1 : 0;
+            rollout_judgement analysis;
+            rejected += rollout_simulation(seed).run(analysis, both, both, most) < most ? 1 : 0;
         }
     }
     CHECK(rejected <= 4 * seeds / 100);
@@ -93,19 +93,19 @@
 
 TEST_CASE("a version that turns bad after a good beginning is rejected as soon as one that was always bad",
           "[policy][rollout]") {
-    rollout_judgement judgement;
+    rollout_judgement analysis;
     rollout_simulation simulation(7);
-    simulation.run(judgement, {}, {}, 300);
-    CHECK(judgement.is_good());
-    CHECK(simulation.run(judgement, {}, {0.5, 0}, 300) < 50);
-    CHECK(judgement.is_bad());
+    simulation.run(analysis, {}, {}, 300);
+    CHECK(analysis.is_good());
+    CHECK(simulation.run(analysis, {}, {0.5, 0}, 300) < 50);
+    CHECK(analysis.is_bad());
 }
 
 TEST_CASE("a burst that slows down both versions doesn't reject the new one", "[policy][rollout]") {
-    rollout_judgement judgement;
+    rollout_judgement analysis;
     rollout_simulation simulation(8);
-    simulation.run(judgement, {}, {}, 100);
-    CHECK(simulation.run(judgement, {0, 0.5}, {0, 0.5}, 3) == 3);
+    simulation.run(analysis, {}, {}, 100);
+    CHECK(simulation.run(analysis, {0, 0.5}, {0, 0.5}, 3) == 3);
 }
 
 TEST_CASE("the new version gets a small share of the requests until it is accepted", "[policy][rollout]") {
