--- a/src/gateway/rollout_keeper.cpp
+++ b/src/gateway/rollout_keeper.cpp
@@ -30,7 +30,7 @@
 }
 
 void rollout_keeper::set_order(const routing::rollout_order& order) {
-    if (const auto* known = find(order.service); known != nullptr && known->course.to() == order.to) {
+    if (const auto* known = find(order.service); known != nullptr && known->progress.to() == order.to) {
         return;
     }
     m_rollouts.insert_or_assign(order.service, rollout{{order.to, order.duration, steady_clock::now()}});
@@ -51,13 +51,13 @@
 
 void rollout_keeper::take_status(const routing::rollout_status& status) {
     auto* current = find(status.service);
-    if (current == nullptr || current->course.to() != status.to) {
+    if (current == nullptr || current->progress.to() != status.to) {
         return;
     }
     if (status.state == routing::rollout_state::running) {
-        current->course.begin();
-    } else if (current->course.phase() != final_phase(status.state)) {
-        current->course.adopt(final_phase(status.state));
+        current->progress.begin();
+    } else if (current->progress.phase() != final_phase(status.state)) {
+        current->progress.adopt(final_phase(status.state));
         report(status.service, *current);
     }
     review(status.service);
@@ -66,15 +66,15 @@
 void rollout_keeper::handle_store_restore() {
     for (auto& [service, current] : m_rollouts) {
         current.is_recorded = false;
-        if (current.course.is_over() && m_observers.is_coordinating()) {
+        if (current.progress.is_over() && m_observers.is_coordinating()) {
             record_verdict(service, current);
         }
     }
 }
 
 void rollout_keeper::record_verdict(const std::string& service, const rollout& current) const {
-    const bool is_good = current.course.phase() == rollout_phase::completed;
-    m_observers.record({service, current.course.to(),
+    const bool is_good = current.progress.phase() == rollout_phase::completed;
+    m_observers.record({service, current.progress.to(),
                         is_good ? routing::rollout_state::completed : routing::rollout_state::rolled_back});
 }
 
@@ -102,9 +102,9 @@
     if (current == nullptr) {
         return false;
     }
-    const auto& course = current->course;
-    const bool is_next = record.version == course.to();
-    switch (course.phase()) {
+    const auto& progress = current->progress;
+    const bool is_next = record.version == progress.to();
+    switch (progress.phase()) {
     case rollout_phase::finishing:
     case rollout_phase::completed:
         return !is_next;
@@ -117,7 +117,7 @@
     }
     // After the order's end the new version gets slots if no server of another version accepts work.
     // Otherwise all requests would be refused for good.
-    const bool is_late = steady_clock::now() >= course.end();
+    const bool is_late = steady_clock::now() >= progress.end();
     return is_next && (!is_late || current->has_previous);
 }
 
@@ -142,9 +142,9 @@
     if (current == nullptr) {
         return;
     }
-    current->course.record_grant(given->record().version == current->course.to());
-    const bool is_over_share = !current->canary.empty() && !current->course.can_grant_to_new_version();
-    if (current->course.phase() == rollout_phase::probing && is_over_share) {
+    current->progress.record_grant(given->record().version == current->progress.to());
+    const bool is_over_share = !current->canary.empty() && !current->progress.can_grant_to_new_version();
+    if (current->progress.phase() == rollout_phase::probing && is_over_share) {
         const auto server_id = std::exchange(current->canary, {});
         if (const auto canary = m_backends.find_id(server_id)) {
             update_slots(canary->record());
@@ -162,8 +162,8 @@
         return;
     }
     const bool has_events = ended.first_event > policy::duration::zero();
-    current->course.record_answer(
-        left->record().version == current->course.to(),
+    current->progress.record_answer(
+        left->record().version == current->progress.to(),
         {ended.outcome != policy::slot_outcome::served, has_events ? ended.first_event : ended.busy});
 }
 
@@ -177,24 +177,25 @@
 
 void rollout_keeper::follow_coordination(const std::string& service, rollout& current) {
     if (!m_observers.is_coordinating()) {
-        current.course.pause();
+        current.progress.pause();
         current.is_recorded = false;
-    } else if (!current.course.is_over() && !std::exchange(current.is_recorded, true)) {
-        m_observers.record({service, current.course.to(), routing::rollout_state::running});
+    } else if (!current.progress.is_over() && !std::exchange(current.is_recorded, true)) {
+        m_observers.record({service, current.progress.to(), routing::rollout_state::running});
     }
 }
 
 void rollout_keeper::advance(const std::string& service, rollout& current) {
-    const auto before = current.course.phase();
-    const bool is_idle = before == rollout_phase::finishing && is_previous_idle(service, current.course.to());
-    current.course.advance(is_idle, steady_clock::now());
+    const auto before = current.progress.phase();
+    const bool is_idle =
+        before == rollout_phase::finishing && is_previous_idle(service, current.progress.to());
+    current.progress.advance(is_idle, steady_clock::now());
     choose_canary(service, current);
-    const auto after = current.course.phase();
+    const auto after = current.progress.phase();
     if (after == before) {
         return;
     }
     report(service, current);
-    if (current.course.is_over()) {
+    if (current.progress.is_over()) {
         record_verdict(service, current);
     }
 }
@@ -203,7 +204,7 @@
 /// turns, so that each is tried, and the slots of one server bound the load on the new version at any moment.
 void rollout_keeper::choose_canary(const std::string& service, rollout& current) {
     const bool has_canary =
-        current.course.phase() == rollout_phase::probing && current.course.can_grant_to_new_version();
+        current.progress.phase() == rollout_phase::probing && current.progress.can_grant_to_new_version();
     if (!has_canary) {
         current.canary.clear();
         return;
@@ -212,7 +213,7 @@
     std::string following;
     for (const auto& [id, server] : m_backends.all()) {
         const auto& record = server->record();
-        if (record.service != service || record.version != current.course.to() || !takes_work(record)) {
+        if (record.service != service || record.version != current.progress.to() || !takes_work(record)) {
             continue;
         }
         first = first.empty() ? id : first;
@@ -223,10 +224,10 @@
 }
 
 void rollout_keeper::report(const std::string& service, const rollout& current) const {
-    const auto& analysis = current.course.analysis();
+    const auto& analysis = current.progress.analysis();
     events::write(events::event_kind::rollout_moved, {{"service", service},
-                                                      {"software", current.course.to()},
-                                                      {"phase", policy::to_string(current.course.phase())},
+                                                      {"software", current.progress.to()},
+                                                      {"phase", policy::to_string(current.progress.phase())},
                                                       {"answers", std::uint64_t(analysis.seen())},
                                                       {"bad", std::uint64_t(analysis.bad())}});
 }
@@ -235,7 +236,7 @@
 /// servers are registered.
 void rollout_keeper::review(std::string_view service) {
     if (auto* current = find(service)) {
-        current->has_previous = has_other_versions(service, current->course.to());
+        current->has_previous = has_other_versions(service, current->progress.to());
     }
     for (const auto& [id, server] : m_backends.all()) {
         const auto& record = server->record();
--- a/tests/unit/test_rollouts.cpp
+++ b/tests/unit/test_rollouts.cpp
@@ -109,12 +109,12 @@
 }
 
 TEST_CASE("the new version gets a small share of the requests until it is accepted", "[policy][rollout]") {
-    rollout_course course("v2", 10s, start_time);
-    course.begin();
+    rollout_course progress("v2", 10s, start_time);
+    progress.begin();
     int new_requests = 0;
     for (int request = 0; request < 1000; ++request) {
-        const bool is_new = course.can_grant_to_new_version();
-        course.record_grant(is_new);
+        const bool is_new = progress.can_grant_to_new_version();
+        progress.record_grant(is_new);
         new_requests += is_new ? 1 : 0;
     }
     CHECK(new_requests <= 50);
@@ -123,31 +123,31 @@
 
 TEST_CASE("the roll-out of a good version is completed once the previous version has no running requests",
           "[policy][rollout]") {
-    rollout_course course("v2", 10s, start_time);
-    course.begin();
+    rollout_course progress("v2", 10s, start_time);
+    progress.begin();
     for (int answer = 0; answer < 100; ++answer) {
-        course.record_answer(false, {false, 100ms});
-        course.record_answer(true, {false, 100ms});
+        progress.record_answer(false, {false, 100ms});
+        progress.record_answer(true, {false, 100ms});
     }
-    course.advance(true, start_time + 1s);
-    CHECK(course.phase() == rollout_phase::probing);
-    course.advance(false, start_time + 5s);
-    CHECK(course.phase() == rollout_phase::finishing);
-    course.advance(false, start_time + 6s);
-    CHECK(course.phase() == rollout_phase::finishing);
-    course.advance(true, start_time + 7s);
-    CHECK(course.phase() == rollout_phase::completed);
+    progress.advance(true, start_time + 1s);
+    CHECK(progress.phase() == rollout_phase::probing);
+    progress.advance(false, start_time + 5s);
+    CHECK(progress.phase() == rollout_phase::finishing);
+    progress.advance(false, start_time + 6s);
+    CHECK(progress.phase() == rollout_phase::finishing);
+    progress.advance(true, start_time + 7s);
+    CHECK(progress.phase() == rollout_phase::completed);
 }
 
 TEST_CASE("a version with too few answers is rolled back at the end of the time limit", "[policy][rollout]") {
-    rollout_course course("v2", 10s, start_time);
-    course.begin();
-    course.advance(true, start_time + 9s);
-    CHECK(course.phase() == rollout_phase::probing);
-    course.advance(true, start_time + 10s);
-    CHECK(course.phase() == rollout_phase::rolled_back);
-    course.pause();
-    CHECK(course.phase() == rollout_phase::rolled_back);
+    rollout_course progress("v2", 10s, start_time);
+    progress.begin();
+    progress.advance(true, start_time + 9s);
+    CHECK(progress.phase() == rollout_phase::probing);
+    progress.advance(true, start_time + 10s);
+    CHECK(progress.phase() == rollout_phase::rolled_back);
+    progress.pause();
+    CHECK(progress.phase() == rollout_phase::rolled_back);
 }
 
 TEST_CASE("a version that is being rolled out gets no requests without a coordinator", "[gateway][rollout]") {
