--- a/src/gateway/rollout_keeper.hpp
+++ b/src/gateway/rollout_keeper.hpp
@@ -62,7 +62,7 @@
 
 private:
     struct rollout {
-        policy::rollout_course progress;
+        policy::rollout_progress progress;
         /// Id of the one server of the new version that may get requests now; empty: none.
         std::string canary{};
         std::string last_canary{}; ///< The last non-empty value of `canary`.
--- a/src/policy/rollout_course.cpp
+++ b/src/policy/rollout_course.cpp
@@ -1,4 +1,4 @@
-// Implements the phase transitions of rollout_course. A roll-out never returns to an earlier phase, except
+// Implements the phase transitions of rollout_progress. A roll-out never returns to an earlier phase, except
 // that it goes back to `waiting` while this process isn't the coordinator.
 #include "policy/rollout_course.hpp"
 
@@ -20,24 +20,24 @@
     return "rolled_back";
 }
 
-void rollout_course::begin() noexcept {
+void rollout_progress::begin() noexcept {
     if (m_phase == rollout_phase::waiting) {
         m_phase = rollout_phase::probing;
     }
 }
 
-void rollout_course::pause() noexcept {
+void rollout_progress::pause() noexcept {
     if (!is_over()) {
         m_phase = rollout_phase::waiting;
     }
 }
 
-void rollout_course::record_grant(bool is_new) noexcept {
+void rollout_progress::record_grant(bool is_new) noexcept {
     ++m_granted;
     m_granted_new += is_new ? 1 : 0;
 }
 
-void rollout_course::record_answer(bool is_new, const version_answer& answer) {
+void rollout_progress::record_answer(bool is_new, const version_answer& answer) {
     if (is_new) {
         m_analysis.record_new(answer);
     } else {
@@ -45,11 +45,11 @@
     }
 }
 
-bool rollout_course::can_grant_to_new_version() const noexcept {
+bool rollout_progress::can_grant_to_new_version() const noexcept {
     return static_cast<double>(m_granted_new + 1) <= canary_share * static_cast<double>(m_granted);
 }
 
-void rollout_course::advance(bool is_previous_idle, time_point now) {
+void rollout_progress::advance(bool is_previous_idle, time_point now) {
     const bool is_open = m_phase == rollout_phase::probing || m_phase == rollout_phase::finishing;
     if (!is_open) {
         return;
--- a/src/policy/rollout_course.hpp
+++ b/src/policy/rollout_course.hpp
@@ -33,11 +33,11 @@
 /// so the new version gets a small share until it has been accepted. And the operator may stop the servers of
 /// the previous version as soon as the roll-out is completed, so it is only completed when these servers have
 /// finished all of their requests.
-class rollout_course {
+class rollout_progress {
 public:
     /// `to`: the new version; `length`: the time limit that the operator gave for the roll-out, which starts
     /// at `now`.
-    rollout_course(std::string to, duration length, time_point now)
+    rollout_progress(std::string to, duration length, time_point now)
         : m_to(std::move(to)), m_begin(now), m_length(length) {}
 
     /// The new version.
--- a/tests/unit/test_rollouts.cpp
+++ b/tests/unit/test_rollouts.cpp
@@ -11,9 +11,9 @@
 #include <random>
 
 using namespace borageford;
-using policy::rollout_course;
 using policy::rollout_judgement;
 using policy::rollout_phase;
+using policy::rollout_progress;
 using routing::rollout_state;
 using test::known_servers;
 using namespace std::chrono_literals;
@@ -109,7 +109,7 @@
 }
 
 TEST_CASE("the new version gets a small share of the requests until it is accepted", "[policy][rollout]") {
-    rollout_course progress("v2", 10s, start_time);
+    rollout_progress progress("v2", 10s, start_time);
     progress.begin();
     int new_requests = 0;
     for (int request = 0; request < 1000; ++request) {
@@ -123,7 +123,7 @@
 
 TEST_CASE("the roll-out of a good version is completed once the previous version has no running requests",
           "[policy][rollout]") {
-    rollout_course progress("v2", 10s, start_time);
+    rollout_progress progress("v2", 10s, start_time);
     progress.begin();
     for (int answer = 0; answer < 100; ++answer) {
         progress.record_answer(false, {false, 100ms});
@@ -140,7 +140,7 @@
 }
 
 TEST_CASE("a version with too few answers is rolled back at the end of the time limit", "[policy][rollout]") {
-    rollout_course progress("v2", 10s, start_time);
+    rollout_progress progress("v2", 10s, start_time);
     progress.begin();
     progress.advance(true, start_time + 9s);
     CHECK(progress.phase() == rollout_phase::probing);
