--- a/src/gateway/rollout_keeper.hpp
+++ b/src/gateway/rollout_keeper.hpp
@@ -4,7 +4,7 @@
 
 #include "coordination/slot_broker.hpp"
 #include "gateway/backend_directory.hpp"
-#include "policy/rollout_course.hpp"
+#include "policy/rollout_progress.hpp"
 #include "routing/backend_record.hpp"
 #include "routing/rollout_order.hpp"
 
--- a/src/policy/rollout_course.cpp
+++ b/src/policy/rollout_course.cpp
@@ -1,6 +1,6 @@
 // Implements the phase transitions of rollout_progress. A roll-out never returns to an earlier phase, except
 // that it goes back to `waiting` while this process isn't the coordinator.
-#include "policy/rollout_course.hpp"
+#include "policy/rollout_progress.hpp"
 
 namespace borageford::policy {
 
--- a/tests/unit/test_rollouts.cpp
+++ b/tests/unit/test_rollouts.cpp
@@ -2,7 +2,7 @@
 // and the encoding of orders and states in the store.
 #include "platform/backend_codec.hpp"
 #include "platform/rollout_codec.hpp"
-#include "policy/rollout_course.hpp"
+#include "policy/rollout_progress.hpp"
 #include "support/known_servers.hpp"
 
 #include <catch2/catch.hpp>
