--- a/src/policy/rollout_judgement.cpp
+++ b/src/policy/rollout_judgement.cpp
@@ -1,4 +1,4 @@
-// Implements rollout_judgement, a cumulative sum (CUSUM) test: each answer of the new version adds its
+// Implements canary_analysis, a cumulative sum (CUSUM) test: each answer of the new version adds its
 // log-likelihood ratio.
 #include "policy/rollout_judgement.hpp"
 
@@ -29,7 +29,7 @@
 
 } // namespace
 
-bool rollout_judgement::is_slow(const version_answer& answer) const {
+bool canary_analysis::is_slow(const version_answer& answer) const {
     if (m_previous_timed < min_timed_answers) {
         return false;
     }
@@ -37,13 +37,13 @@
     return to_seconds(answer.time) > slow_factor * mean;
 }
 
-double rollout_judgement::previous_bad_share() const {
+double canary_analysis::previous_bad_share() const {
     const double share =
         static_cast<double>(m_previous_bad) / (static_cast<double>(m_previous) + prior_good_answers);
     return std::clamp(share, min_bad_share, max_bad_share / worse_factor - worse_offset);
 }
 
-void rollout_judgement::record_previous(const version_answer& answer) {
+void canary_analysis::record_previous(const version_answer& answer) {
     ++m_previous;
     m_previous_bad += answer.has_failed || is_slow(answer) ? 1 : 0;
     if (!answer.has_failed) {
@@ -52,7 +52,7 @@
     }
 }
 
-void rollout_judgement::record_new(const version_answer& answer) {
+void canary_analysis::record_new(const version_answer& answer) {
     const bool is_bad_answer = answer.has_failed || is_slow(answer);
     ++m_new;
     m_new_bad += is_bad_answer ? 1 : 0;
--- a/src/policy/rollout_judgement.hpp
+++ b/src/policy/rollout_judgement.hpp
@@ -20,7 +20,7 @@
 /// The test is a cumulative sum (CUSUM): each answer of the new version adds the logarithm of how much more
 /// likely it is from a worse version than from one that is as good as the previous one. The sum is never
 /// negative, so good answers at the beginning can't delay the rejection of a version that turns bad later.
-class rollout_judgement {
+class canary_analysis {
 public:
     /// Records an answer of the previous version.
     void record_previous(const version_answer& answer);
--- a/src/policy/rollout_progress.hpp
+++ b/src/policy/rollout_progress.hpp
@@ -44,7 +44,7 @@
     [[nodiscard]] const std::string& to() const noexcept { return m_to; }
     [[nodiscard]] rollout_phase phase() const noexcept { return m_phase; }
     /// The evaluation of the new version's answers.
-    [[nodiscard]] const rollout_judgement& analysis() const noexcept { return m_analysis; }
+    [[nodiscard]] const canary_analysis& analysis() const noexcept { return m_analysis; }
     /// Whether the roll-out is completed or rolled back.
     [[nodiscard]] bool is_over() const noexcept { return m_phase >= rollout_phase::completed; }
     /// The end of the time limit.
@@ -83,7 +83,7 @@
     time_point m_begin;
     duration m_length;
     rollout_phase m_phase = rollout_phase::waiting;
-    rollout_judgement m_analysis;
+    canary_analysis m_analysis;
     std::size_t m_granted = 0;     ///< requests sent to either version
     std::size_t m_granted_new = 0; ///< requests sent to the new version
 };
--- a/tests/unit/test_rollouts.cpp
+++ b/tests/unit/test_rollouts.cpp
@@ -11,7 +11,7 @@
 #include <random>
 
 using namespace borageford;
-using policy::rollout_judgement;
+using policy::canary_analysis;
 using policy::rollout_phase;
 using policy::rollout_progress;
 using routing::rollout_state;
@@ -35,7 +35,7 @@
 
     /// Records answers until the new version is rejected and returns how many answers it gave; `most` if it
     /// wasn't rejected within that many.
-    std::size_t run(rollout_judgement& analysis, quality previous, quality new_version, std::size_t most) {
+    std::size_t run(canary_analysis& analysis, quality previous, quality new_version, std::size_t most) {
         constexpr int previous_answers = 20;
         for (std::size_t answer = 0; answer < most; ++answer) {
             for (int index = 0; index < previous_answers; ++index) {
@@ -76,7 +76,7 @@
          {row{{0, 0}, {0.3, 0}}, row{{0, 0}, {0, 0.4}}, row{{0.01, 0}, {0.2, 0.2}}, row{{0.14, 0}, {0.5, 0}},
           row{{0.05, 0.02}, {1, 0}}}) {
         for (unsigned seed = 0; seed < seeds; ++seed) {
-            rollout_judgement analysis;
+            canary_analysis analysis;
             CHECK(rollout_simulation(seed).run(analysis, previous, new_version, most) < most);
             CHECK(analysis.bad() < 50);
         }
@@ -84,7 +84,7 @@
     unsigned rejected = 0;
     for (const auto& both : {quality{0, 0}, quality{0.01, 0}, quality{0.14, 0}, quality{0.05, 0.05}}) {
         for (unsigned seed = 0; seed < seeds; ++seed) {
-            rollout_judgement analysis;
+            canary_analysis analysis;
             rejected += rollout_simulation(seed).run(analysis, both, both, most) < most ? 1 : 0;
         }
     }
@@ -93,7 +93,7 @@
 
 TEST_CASE("a version that turns bad after a good beginning is rejected as soon as one that was always bad",
           "[policy][rollout]") {
-    rollout_judgement analysis;
+    canary_analysis analysis;
     rollout_simulation simulation(7);
     simulation.run(analysis, {}, {}, 300);
     CHECK(analysis.is_good());
@@ -102,7 +102,7 @@
 }
 
 TEST_CASE("a burst that slows down both versions doesn't reject the new one", "[policy][rollout]") {
-    rollout_judgement analysis;
+    canary_analysis analysis;
     rollout_simulation simulation(8);
     simulation.run(analysis, {}, {}, 100);
     CHECK(simulation.run(analysis, {0, 0.5}, {0, 0.5}, 3) == 3);
