--- a/src/policy/rollout_judgement.cpp
+++ b/src/policy/rollout_judgement.cpp
@@ -1,6 +1,6 @@
 // Implements canary_analysis, a cumulative sum (CUSUM) test: each answer of the new version adds its
 // log-likelihood ratio.
-#include "policy/rollout_judgement.hpp"
+#include "policy/canary_analysis.hpp"
 
 #include <algorithm>
 #include <cmath>
--- a/src/policy/rollout_progress.hpp
+++ b/src/policy/rollout_progress.hpp
@@ -2,7 +2,7 @@
 // requests and ends either with all of them (completed) or with none (rolled back).
 #pragma once
 
-#include "policy/rollout_judgement.hpp"
+#include "policy/canary_analysis.hpp"
 #include "policy/time.hpp"
 
 #include <cstddef>
