--- a/src/gateway/gateway_process.cpp
+++ b/src/gateway/gateway_process.cpp
@@ -271,7 +271,7 @@
 
     [[nodiscard]] policy::follower_duty current_role() const {
         if (m_slots.source() == coordination::slot_source::own_coordination) {
-            return policy::follower_duty::confirm;
+            return policy::follower_duty::confirmer;
         }
         return m_follower_choice.choose(m_slots.is_candidate(), m_slots.members_told(),
                                         std::chrono::steady_clock::now());
--- a/src/policy/follower_duty.hpp
+++ b/src/policy/follower_duty.hpp
@@ -23,7 +23,7 @@
 
 /// Whether other gateways depend on the announcements of a gateway with this role.
 [[nodiscard]] constexpr bool is_relied_on(follower_duty duty) noexcept {
-    return duty == follower_duty::confirm || duty == follower_duty::follow;
+    return duty == follower_duty::confirmer || duty == follower_duty::follow;
 }
 
 /// Chooses the role of this gateway. Some gateways poll the store and announce which versions exist to all
--- a/src/policy/follower_pace.hpp
+++ b/src/policy/follower_pace.hpp
@@ -29,7 +29,7 @@
         if (is_stale(duty, age)) {
             return duration::zero();
         }
-        if (duty != follower_duty::confirm) {
+        if (duty != follower_duty::confirmer) {
             return max_wait;
         }
         return std::clamp<duration>(share(confirmation_interval) - age, duration::zero(), max_wait);
@@ -39,7 +39,7 @@
     /// longer.
     [[nodiscard]] bool is_stale(follower_duty duty, duration age) const noexcept {
         const auto timeout_of_others = share(min_timeout_of_others) + random_share(timeout_spread_of_others);
-        return age > (duty == follower_duty::confirm ? share(confirmer_timeout) : timeout_of_others);
+        return age > (duty == follower_duty::confirmer ? share(confirmer_timeout) : timeout_of_others);
     }
 
     /// Whether the last confirmation is recent enough for other gateways to rely on it.
