--- a/src/policy/follower_duty.hpp
+++ b/src/policy/follower_duty.hpp
@@ -12,7 +12,7 @@
 enum class follower_duty {
     /// All other gateways receive announcements from this gateway. It polls often, so that the store confirms
     /// the known version.
-    confirm,
+    confirmer,
     /// Other gateways depend on this gateway. It polls, and polls again soon when an answer is missing.
     follow,
     rely, ///< Announcements arrive from a gateway that the store answers, and report all changes.
