--- a/src/policy/follower_duty.hpp
+++ b/src/policy/follower_duty.hpp
@@ -23,7 +23,7 @@
 
 /// Whether other gateways depend on the announcements of a gateway with this role.
 [[nodiscard]] constexpr bool is_relied_on(follower_duty duty) noexcept {
-    return duty == follower_duty::confirmer || duty == follower_duty::follow;
+    return duty == follower_duty::confirmer || duty == follower_duty::follower;
 }
 
 /// Chooses the role of this gateway. Some gateways poll the store and announce which versions exist to all
@@ -50,7 +50,7 @@
     [[nodiscard]] follower_duty choose(bool is_candidate, std::size_t members,
                                        time_point now) const noexcept {
         if (is_candidate || m_draw * static_cast<double>(members) < m_mean_followers) {
-            return follower_duty::follow;
+            return follower_duty::follower;
         }
         const bool has_recent_announcement =
             m_last_announcement != time_point::min() && now - m_last_announcement <= announcement_timeout;
--- a/tests/unit/test_policy_follower_duty.cpp
+++ b/tests/unit/test_policy_follower_duty.cpp
@@ -34,7 +34,7 @@
         candidates += is_candidate ? 1 : 0;
         follower_choice choice(12, static_cast<double>(self - 1) / members);
         choice.hear_follower(start_time);
-        followers += choice.choose(is_candidate, members, start_time) == follower_duty::follow ? 1 : 0;
+        followers += choice.choose(is_candidate, members, start_time) == follower_duty::follower ? 1 : 0;
     }
     CHECK(candidates == 3);
     // The store may stop answering the candidates without an error, so other gateways must poll too.
@@ -46,8 +46,8 @@
           "[policy][follower_duty]") {
     follower_choice choice(12, 0.99);
     choice.hear_follower(start_time);
-    CHECK(choice.choose(false, 12, start_time) == follower_duty::follow);
-    CHECK(choice.choose(false, 0, start_time) == follower_duty::follow);
+    CHECK(choice.choose(false, 12, start_time) == follower_duty::follower);
+    CHECK(choice.choose(false, 0, start_time) == follower_duty::follower);
     CHECK(choice.choose(false, 13, start_time) == follower_duty::rely);
 }
 
@@ -59,7 +59,7 @@
     CHECK(choice.choose(false, members, start_time) == follower_duty::stand_by);
     choice.hear_follower(start_time);
     CHECK(choice.choose(false, members, start_time + 500ms) == follower_duty::rely);
-    CHECK(choice.choose(true, members, start_time + 500ms) == follower_duty::follow);
+    CHECK(choice.choose(true, members, start_time + 500ms) == follower_duty::follower);
     CHECK(choice.choose(false, members, start_time + 2s) == follower_duty::stand_by);
 }
 
