--- a/src/gateway/gateway_process.cpp
+++ b/src/gateway/gateway_process.cpp
@@ -80,7 +80,7 @@
           m_exchange(
               m_runtime.executor(), m_settings.peers_listen, m_configuration_keeper, m_roster,
               [this] { return is_store_available(); },
-              [this] { return current_role() == policy::follower_duty::rely; }),
+              [this] { return current_role() == policy::follower_duty::passive; }),
           m_configuration_follower(m_runtime.executor(), m_runtime.timers(), m_table,
                                    current_deployment.configuration_table, make_poll_schedule(),
                                    make_configuration_handlers()),
@@ -261,7 +261,7 @@
     [[nodiscard]] policy::follower_duty configuration_role() const {
         const auto role = current_role();
         const bool is_behind =
-            role == policy::follower_duty::rely && m_exchange.has_peer_with_newer_configuration();
+            role == policy::follower_duty::passive && m_exchange.has_peer_with_newer_configuration();
         return is_behind ? policy::follower_duty::stand_by : role;
     }
 
--- a/src/policy/follower_duty.hpp
+++ b/src/policy/follower_duty.hpp
@@ -54,7 +54,7 @@
         }
         const bool has_recent_announcement =
             m_last_announcement != time_point::min() && now - m_last_announcement <= announcement_timeout;
-        return has_recent_announcement ? follower_duty::rely : follower_duty::stand_by;
+        return has_recent_announcement ? follower_duty::passive : follower_duty::stand_by;
     }
 
 private:
--- a/tests/unit/test_policy_follower_duty.cpp
+++ b/tests/unit/test_policy_follower_duty.cpp
@@ -48,7 +48,7 @@
     choice.hear_follower(start_time);
     CHECK(choice.choose(false, 12, start_time) == follower_duty::follower);
     CHECK(choice.choose(false, 0, start_time) == follower_duty::follower);
-    CHECK(choice.choose(false, 13, start_time) == follower_duty::rely);
+    CHECK(choice.choose(false, 13, start_time) == follower_duty::passive);
 }
 
 TEST_CASE("a gateway asks the store itself once nobody is heard whom it answers", "[policy][follower_duty]") {
@@ -58,7 +58,7 @@
     follower_choice choice(12, 0.5);
     CHECK(choice.choose(false, members, start_time) == follower_duty::stand_by);
     choice.hear_follower(start_time);
-    CHECK(choice.choose(false, members, start_time + 500ms) == follower_duty::rely);
+    CHECK(choice.choose(false, members, start_time + 500ms) == follower_duty::passive);
     CHECK(choice.choose(true, members, start_time + 500ms) == follower_duty::follower);
     CHECK(choice.choose(false, members, start_time + 2s) == follower_duty::stand_by);
 }
