--- a/src/policy/follower_duty.hpp
+++ b/src/policy/follower_duty.hpp
@@ -15,7 +15,7 @@
     confirmer,
     /// Other gateways depend on this gateway. It polls, and polls again soon when an answer is missing.
     follower,
-    rely, ///< Announcements arrive from a gateway that the store answers, and report all changes.
+    passive, ///< Announcements arrive from a gateway that the store answers, and report all changes.
     /// No such announcements arrive. The gateway polls for itself, but not so often that hundreds of gateways
     /// overload a store in trouble.
     stand_by,
