--- a/src/gateway/gateway_process.cpp
+++ b/src/gateway/gateway_process.cpp
@@ -262,7 +262,7 @@
         const auto role = current_role();
         const bool is_behind =
             role == policy::follower_duty::passive && m_exchange.has_peer_with_newer_configuration();
-        return is_behind ? policy::follower_duty::stand_by : role;
+        return is_behind ? policy::follower_duty::fallback : role;
     }
 
     [[nodiscard]] policy::follower_pace make_poll_schedule() const {
--- a/src/policy/follower_duty.hpp
+++ b/src/policy/follower_duty.hpp
@@ -18,7 +18,7 @@
     passive, ///< Announcements arrive from a gateway that the store answers, and report all changes.
     /// No such announcements arrive. The gateway polls for itself, but not so often that hundreds of gateways
     /// overload a store in trouble.
-    stand_by,
+    fallback,
 };
 
 /// Whether other gateways depend on the announcements of a gateway with this role.
@@ -54,7 +54,7 @@
         }
         const bool has_recent_announcement =
             m_last_announcement != time_point::min() && now - m_last_announcement <= announcement_timeout;
-        return has_recent_announcement ? follower_duty::passive : follower_duty::stand_by;
+        return has_recent_announcement ? follower_duty::passive : follower_duty::fallback;
     }
 
 private:
--- a/tests/unit/test_policy_follower_duty.cpp
+++ b/tests/unit/test_policy_follower_duty.cpp
@@ -56,11 +56,11 @@
     // would then never learn that a server has shut down.
     constexpr std::size_t members = 300;
     follower_choice choice(12, 0.5);
-    CHECK(choice.choose(false, members, start_time) == follower_duty::stand_by);
+    CHECK(choice.choose(false, members, start_time) == follower_duty::fallback);
     choice.hear_follower(start_time);
     CHECK(choice.choose(false, members, start_time + 500ms) == follower_duty::passive);
     CHECK(choice.choose(true, members, start_time + 500ms) == follower_duty::follower);
-    CHECK(choice.choose(false, members, start_time + 2s) == follower_duty::stand_by);
+    CHECK(choice.choose(false, members, start_time + 2s) == follower_duty::fallback);
 }
 
 TEST_CASE("a server that another gateway retains is removed here after the retention time",
--- a/tests/unit/test_store_follower.cpp
+++ b/tests/unit/test_store_follower.cpp
@@ -98,7 +98,7 @@
 
 TEST_CASE("a change is heard of although the store lost the open question", "[gateway][store_follower]") {
     // Guards against keeping the previous configuration until the lost poll times out.
-    const auto role = GENERATE(follower_duty::confirmer, follower_duty::follower, follower_duty::stand_by);
+    const auto role = GENERATE(follower_duty::confirmer, follower_duty::follower, follower_duty::fallback);
     followed_table table(role);
     table.lose_poll();
     table.store().set_state(store_state::well);
