--- a/src/policy/follower_duty.hpp
+++ b/src/policy/follower_duty.hpp
@@ -22,8 +22,8 @@
 };
 
 /// Whether other gateways depend on the announcements of a gateway with this role.
-[[nodiscard]] constexpr bool is_relied_on(follower_duty duty) noexcept {
-    return duty == follower_duty::confirmer || duty == follower_duty::follower;
+[[nodiscard]] constexpr bool is_relied_on(follower_duty role) noexcept {
+    return role == follower_duty::confirmer || role == follower_duty::follower;
 }
 
 /// Chooses the role of this gateway. Some gateways poll the store and announce which versions exist to all
--- a/tests/unit/test_policy_follower_pace.cpp
+++ b/tests/unit/test_policy_follower_pace.cpp
@@ -32,10 +32,10 @@
 
 TEST_CASE("a poll after a confirmation that is too old isn't held open", "[policy][follower_pace]") {
     // Guards against long polls in an outage, in which the store may lose the poll as well.
-    for (const auto duty : {follower_duty::confirmer, follower_duty::follower, follower_duty::fallback}) {
+    for (const auto role : {follower_duty::confirmer, follower_duty::follower, follower_duty::fallback}) {
         const follower_pace pace(limit, 0.5);
-        CHECK(pace.is_stale(duty, limit + limit / 4));
-        CHECK(pace.wait(duty, limit + limit / 4) == 0s);
+        CHECK(pace.is_stale(role, limit + limit / 4));
+        CHECK(pace.wait(role, limit + limit / 4) == 0s);
     }
 }
 
@@ -43,8 +43,8 @@
     // The store refuses polls that ask it to wait for more than 30 s. Guards against a coordinator whose
     // polls are all refused when the change limit is set to minutes.
     const follower_pace pace(1h, 0.5);
-    for (const auto duty : {follower_duty::confirmer, follower_duty::follower, follower_duty::fallback}) {
-        CHECK(pace.wait(duty, 0s) <= 30s);
+    for (const auto role : {follower_duty::confirmer, follower_duty::follower, follower_duty::fallback}) {
+        CHECK(pace.wait(role, 0s) <= 30s);
     }
 }
 
