--- a/src/gateway/gateway_process.cpp
+++ b/src/gateway/gateway_process.cpp
@@ -203,7 +203,7 @@
         // store now.
         if (held.is_in_touch && held.backends.era >= m_roster.position().era) {
             m_roster.note_other_in_touch(held.unbroken);
-            m_follower_choice.hear_follower(std::chrono::steady_clock::now());
+            m_follower_choice.record_announcement(std::chrono::steady_clock::now());
         }
         // The confirmation only counts if the peer holds the same version: otherwise this gateway or the peer
         // is behind.
--- a/src/policy/follower_duty.hpp
+++ b/src/policy/follower_duty.hpp
@@ -42,7 +42,7 @@
     follower_choice(double others, double draw) noexcept : m_mean_followers(others), m_draw(draw) {}
 
     /// An announcement arrived from a gateway that polls and that the store answers.
-    void hear_follower(time_point now) noexcept { m_last_announcement = now; }
+    void record_announcement(time_point now) noexcept { m_last_announcement = now; }
 
     /// Returns the role at this time. `is_candidate`: all other gateways send heartbeats to this one.
     /// `members`: number of members that the coordinator counts; 0 when unknown, in which case this gateway
--- a/tests/unit/test_policy_follower_duty.cpp
+++ b/tests/unit/test_policy_follower_duty.cpp
@@ -33,7 +33,7 @@
         const bool is_candidate = election.is_candidate(start_time);
         candidates += is_candidate ? 1 : 0;
         follower_choice choice(12, static_cast<double>(self - 1) / members);
-        choice.hear_follower(start_time);
+        choice.record_announcement(start_time);
         followers += choice.choose(is_candidate, members, start_time) == follower_duty::follower ? 1 : 0;
     }
     CHECK(candidates == 3);
@@ -45,7 +45,7 @@
 TEST_CASE("every gateway polls the store when there are few gateways or their number is unknown",
           "[policy][follower_duty]") {
     follower_choice choice(12, 0.99);
-    choice.hear_follower(start_time);
+    choice.record_announcement(start_time);
     CHECK(choice.choose(false, 12, start_time) == follower_duty::follower);
     CHECK(choice.choose(false, 0, start_time) == follower_duty::follower);
     CHECK(choice.choose(false, 13, start_time) == follower_duty::passive);
@@ -57,7 +57,7 @@
     constexpr std::size_t members = 300;
     follower_choice choice(12, 0.5);
     CHECK(choice.choose(false, members, start_time) == follower_duty::fallback);
-    choice.hear_follower(start_time);
+    choice.record_announcement(start_time);
     CHECK(choice.choose(false, members, start_time + 500ms) == follower_duty::passive);
     CHECK(choice.choose(true, members, start_time + 500ms) == follower_duty::follower);
     CHECK(choice.choose(false, members, start_time + 2s) == follower_duty::fallback);
