--- a/src/gateway/store_follower.hpp
+++ b/src/gateway/store_follower.hpp
@@ -23,7 +23,7 @@
 namespace borageford::gateway {
 
 /// Runs on one executor, from start() until the process ends. Whether it polls the store or relies on other
-/// gateways depends on its role, see policy::follower_duty.
+/// gateways depends on its role, see policy::follower_role.
 class store_follower {
 public:
     using clock = std::chrono::steady_clock;
@@ -41,7 +41,7 @@
         /// gateway. Version 0: no changes are known, but the store is in that era.
         std::function<store::position()> known_position;
         /// Returns the current role, which decides whether and how often this gateway polls the store.
-        std::function<policy::follower_duty()> read_role;
+        std::function<policy::follower_role()> read_role;
     };
 
     store_follower(boost::asio::any_io_executor executor, timer_service& timers, store::table& table,
--- a/src/policy/follower_duty.hpp
+++ b/src/policy/follower_duty.hpp
@@ -9,7 +9,7 @@
 namespace borageford::policy {
 
 /// Role of a gateway for a table of the store.
-enum class follower_duty {
+enum class follower_role {
     /// All other gateways receive announcements from this gateway. It polls often, so that the store confirms
     /// the known version.
     confirmer,
@@ -22,8 +22,8 @@
 };
 
 /// Whether other gateways depend on the announcements of a gateway with this role.
-[[nodiscard]] constexpr bool is_relied_on(follower_duty role) noexcept {
-    return role == follower_duty::confirmer || role == follower_duty::follower;
+[[nodiscard]] constexpr bool is_relied_on(follower_role role) noexcept {
+    return role == follower_role::confirmer || role == follower_role::follower;
 }
 
 /// Chooses the role of this gateway. Some gateways poll the store and announce which versions exist to all
@@ -47,14 +47,14 @@
     /// Returns the role at this time. `is_candidate`: all other gateways send heartbeats to this one.
     /// `members`: number of members that the coordinator counts; 0 when unknown, in which case this gateway
     /// polls.
-    [[nodiscard]] follower_duty choose(bool is_candidate, std::size_t members,
+    [[nodiscard]] follower_role choose(bool is_candidate, std::size_t members,
                                        time_point now) const noexcept {
         if (is_candidate || m_draw * static_cast<double>(members) < m_mean_followers) {
-            return follower_duty::follower;
+            return follower_role::follower;
         }
         const bool has_recent_announcement =
             m_last_announcement != time_point::min() && now - m_last_announcement <= announcement_timeout;
-        return has_recent_announcement ? follower_duty::passive : follower_duty::fallback;
+        return has_recent_announcement ? follower_role::passive : follower_role::fallback;
     }
 
 private:
--- a/tests/unit/test_policy_follower_duty.cpp
+++ b/tests/unit/test_policy_follower_duty.cpp
@@ -34,7 +34,7 @@
         candidates += is_candidate ? 1 : 0;
         follower_choice choice(12, static_cast<double>(self - 1) / members);
         choice.record_announcement(start_time);
-        followers += choice.choose(is_candidate, members, start_time) == follower_duty::follower ? 1 : 0;
+        followers += choice.choose(is_candidate, members, start_time) == follower_role::follower ? 1 : 0;
     }
     CHECK(candidates == 3);
     // The store may stop answering the candidates without an error, so other gateways must poll too.
@@ -46,9 +46,9 @@
           "[policy][follower_duty]") {
     follower_choice choice(12, 0.99);
     choice.record_announcement(start_time);
-    CHECK(choice.choose(false, 12, start_time) == follower_duty::follower);
-    CHECK(choice.choose(false, 0, start_time) == follower_duty::follower);
-    CHECK(choice.choose(false, 13, start_time) == follower_duty::passive);
+    CHECK(choice.choose(false, 12, start_time) == follower_role::follower);
+    CHECK(choice.choose(false, 0, start_time) == follower_role::follower);
+    CHECK(choice.choose(false, 13, start_time) == follower_role::passive);
 }
 
 TEST_CASE("a gateway asks the store itself once nobody is heard whom it answers", "[policy][follower_duty]") {
@@ -56,11 +56,11 @@
     // would then never learn that a server has shut down.
     constexpr std::size_t members = 300;
     follower_choice choice(12, 0.5);
-    CHECK(choice.choose(false, members, start_time) == follower_duty::fallback);
+    CHECK(choice.choose(false, members, start_time) == follower_role::fallback);
     choice.record_announcement(start_time);
-    CHECK(choice.choose(false, members, start_time + 500ms) == follower_duty::passive);
-    CHECK(choice.choose(true, members, start_time + 500ms) == follower_duty::follower);
-    CHECK(choice.choose(false, members, start_time + 2s) == follower_duty::fallback);
+    CHECK(choice.choose(false, members, start_time + 500ms) == follower_role::passive);
+    CHECK(choice.choose(true, members, start_time + 500ms) == follower_role::follower);
+    CHECK(choice.choose(false, members, start_time + 2s) == follower_role::fallback);
 }
 
 TEST_CASE("a server that another gateway retains is removed here after the retention time",
--- a/tests/unit/test_policy_follower_pace.cpp
+++ b/tests/unit/test_policy_follower_pace.cpp
@@ -21,18 +21,18 @@
 TEST_CASE("the polls of one confirming gateway make polls by other gateways unnecessary",
           "[policy][follower_pace]") {
     const follower_pace pace(limit, 0);
-    const auto confirmed_every = pace.wait(follower_duty::confirmer, 0s);
-    CHECK_FALSE(pace.is_stale(follower_duty::confirmer, confirmed_every));
+    const auto confirmed_every = pace.wait(follower_role::confirmer, 0s);
+    CHECK_FALSE(pace.is_stale(follower_role::confirmer, confirmed_every));
     for (const double draw : {0.0, 0.5, 0.99}) {
         const follower_pace other(limit, draw);
-        CHECK_FALSE(other.is_stale(follower_duty::follower, confirmed_every + longest_way));
-        CHECK(other.wait(follower_duty::follower, confirmed_every) >= 10 * limit);
+        CHECK_FALSE(other.is_stale(follower_role::follower, confirmed_every + longest_way));
+        CHECK(other.wait(follower_role::follower, confirmed_every) >= 10 * limit);
     }
 }
 
 TEST_CASE("a poll after a confirmation that is too old isn't held open", "[policy][follower_pace]") {
     // Guards against long polls in an outage, in which the store may lose the poll as well.
-    for (const auto role : {follower_duty::confirmer, follower_duty::follower, follower_duty::fallback}) {
+    for (const auto role : {follower_role::confirmer, follower_role::follower, follower_role::fallback}) {
         const follower_pace pace(limit, 0.5);
         CHECK(pace.is_stale(role, limit + limit / 4));
         CHECK(pace.wait(role, limit + limit / 4) == 0s);
@@ -43,7 +43,7 @@
     // The store refuses polls that ask it to wait for more than 30 s. Guards against a coordinator whose
     // polls are all refused when the change limit is set to minutes.
     const follower_pace pace(1h, 0.5);
-    for (const auto role : {follower_duty::confirmer, follower_duty::follower, follower_duty::fallback}) {
+    for (const auto role : {follower_role::confirmer, follower_role::follower, follower_role::fallback}) {
         CHECK(pace.wait(role, 0s) <= 30s);
     }
 }
@@ -53,8 +53,8 @@
     // answer.
     for (const double draw : {0.0, 0.5, 0.99}) {
         const follower_pace pace(limit, draw);
-        CHECK(pace.is_stale(follower_duty::follower, limit + limit / 2));
-        CHECK(pace.repeat_delay(follower_duty::follower) <= limit / 2);
+        CHECK(pace.is_stale(follower_role::follower, limit + limit / 2));
+        CHECK(pace.repeat_delay(follower_role::follower) <= limit / 2);
     }
 }
 
@@ -63,9 +63,9 @@
     const follower_pace first(limit, 0.1);
     const follower_pace second(limit, 0.9);
     const auto between = limit * 17 / 20 + limit / 8;
-    CHECK(first.is_stale(follower_duty::follower, between));
-    CHECK_FALSE(second.is_stale(follower_duty::follower, between));
-    CHECK(first.repeat_delay(follower_duty::follower) < second.repeat_delay(follower_duty::follower));
+    CHECK(first.is_stale(follower_role::follower, between));
+    CHECK_FALSE(second.is_stale(follower_role::follower, between));
+    CHECK(first.repeat_delay(follower_role::follower) < second.repeat_delay(follower_role::follower));
 }
 
 TEST_CASE("a confirmation that went round doesn't count again", "[policy][confirmation]") {
