--- a/src/gateway/gateway_process.cpp
+++ b/src/gateway/gateway_process.cpp
@@ -265,7 +265,7 @@
         return is_behind ? policy::follower_role::fallback : role;
     }
 
-    [[nodiscard]] policy::follower_pace make_poll_schedule() const {
+    [[nodiscard]] policy::poll_schedule make_poll_schedule() const {
         return {std::min(m_settings.configuration_limit, m_settings.drain_limit), draw_fraction()};
     }
 
--- a/src/gateway/store_follower.cpp
+++ b/src/gateway/store_follower.cpp
@@ -43,7 +43,7 @@
 } // namespace
 
 store_follower::store_follower(asio::any_io_executor executor, timer_service& timers, store::table& table,
-                               std::string table_name, policy::follower_pace pace, handlers to_call)
+                               std::string table_name, policy::poll_schedule pace, handlers to_call)
     : m_executor(std::move(executor)),
       m_timers(timers),
       m_table(table),
--- a/src/gateway/store_follower.hpp
+++ b/src/gateway/store_follower.hpp
@@ -45,7 +45,7 @@
     };
 
     store_follower(boost::asio::any_io_executor executor, timer_service& timers, store::table& table,
-                   std::string table_name, policy::follower_pace pace, handlers to_call);
+                   std::string table_name, policy::poll_schedule pace, handlers to_call);
 
     void start();
 
@@ -111,7 +111,7 @@
     timer_service& m_timers;
     store::table& m_table;
     std::string m_table_name;
-    policy::follower_pace m_schedule;
+    policy::poll_schedule m_schedule;
     policy::confirmation m_confirmation{clock::now(), m_schedule.longest_gap()};
     /// Position up to which all changes have been applied; version 0: everything has to be read. Its era
     /// never decreases.
--- a/src/policy/follower_pace.hpp
+++ b/src/policy/follower_pace.hpp
@@ -16,11 +16,11 @@
 /// poll is open.
 ///
 /// All times are fractions of the limit within which every gateway must know of a change.
-class follower_pace {
+class poll_schedule {
 public:
     /// `change_limit`: time within which every gateway must know of a change. `draw`: random number of this
     /// gateway in [0, 1), which keeps the gateways from polling all at the same moment.
-    follower_pace(duration change_limit, double draw) noexcept
+    poll_schedule(duration change_limit, double draw) noexcept
         : m_change_limit(std::max<duration>(change_limit, min_change_limit)), m_draw(draw) {}
 
     /// How long the store may hold the next poll open. `age`: time since the gateway's copy was last
--- a/tests/unit/test_policy_follower_pace.cpp
+++ b/tests/unit/test_policy_follower_pace.cpp
@@ -1,4 +1,4 @@
-// Tests of follower_pace (when a gateway polls the store again) and of confirmation (which confirmations
+// Tests of poll_schedule (when a gateway polls the store again) and of confirmation (which confirmations
 // count).
 #include "policy/confirmation.hpp"
 #include "policy/follower_pace.hpp"
@@ -20,11 +20,11 @@
 
 TEST_CASE("the polls of one confirming gateway make polls by other gateways unnecessary",
           "[policy][follower_pace]") {
-    const follower_pace pace(limit, 0);
+    const poll_schedule pace(limit, 0);
     const auto confirmed_every = pace.wait(follower_role::confirmer, 0s);
     CHECK_FALSE(pace.is_stale(follower_role::confirmer, confirmed_every));
     for (const double draw : {0.0, 0.5, 0.99}) {
-        const follower_pace other(limit, draw);
+        const poll_schedule other(limit, draw);
         CHECK_FALSE(other.is_stale(follower_role::follower, confirmed_every + longest_way));
         CHECK(other.wait(follower_role::follower, confirmed_every) >= 10 * limit);
     }
@@ -33,7 +33,7 @@
 TEST_CASE("a poll after a confirmation that is too old isn't held open", "[policy][follower_pace]") {
     // Guards against long polls in an outage, in which the store may lose the poll as well.
     for (const auto role : {follower_role::confirmer, follower_role::follower, follower_role::fallback}) {
-        const follower_pace pace(limit, 0.5);
+        const poll_schedule pace(limit, 0.5);
         CHECK(pace.is_stale(role, limit + limit / 4));
         CHECK(pace.wait(role, limit + limit / 4) == 0s);
     }
@@ -42,7 +42,7 @@
 TEST_CASE("no poll is held open for longer than the store accepts", "[policy][follower_pace]") {
     // The store refuses polls that ask it to wait for more than 30 s. Guards against a coordinator whose
     // polls are all refused when the change limit is set to minutes.
-    const follower_pace pace(1h, 0.5);
+    const poll_schedule pace(1h, 0.5);
     for (const auto role : {follower_role::confirmer, follower_role::follower, follower_role::fallback}) {
         CHECK(pace.wait(role, 0s) <= 30s);
     }
@@ -52,7 +52,7 @@
     // Guards against learning of a change too late when the store became unresponsive shortly after an
     // answer.
     for (const double draw : {0.0, 0.5, 0.99}) {
-        const follower_pace pace(limit, draw);
+        const poll_schedule pace(limit, draw);
         CHECK(pace.is_stale(follower_role::follower, limit + limit / 2));
         CHECK(pace.repeat_delay(follower_role::follower) <= limit / 2);
     }
@@ -60,8 +60,8 @@
 
 TEST_CASE("gateways don't all poll an unresponsive store again at the same moment",
           "[policy][follower_pace]") {
-    const follower_pace first(limit, 0.1);
-    const follower_pace second(limit, 0.9);
+    const poll_schedule first(limit, 0.1);
+    const poll_schedule second(limit, 0.9);
     const auto between = limit * 17 / 20 + limit / 8;
     CHECK(first.is_stale(follower_role::follower, between));
     CHECK_FALSE(second.is_stale(follower_role::follower, between));
