--- a/tests/unit/test_policy_follower_pace.cpp
+++ b/tests/unit/test_policy_follower_pace.cpp
@@ -20,9 +20,9 @@
 
 TEST_CASE("the polls of one confirming gateway make polls by other gateways unnecessary",
           "[policy][follower_pace]") {
-    const poll_schedule pace(limit, 0);
-    const auto confirmed_every = pace.wait(follower_role::confirmer, 0s);
-    CHECK_FALSE(pace.is_stale(follower_role::confirmer, confirmed_every));
+    const poll_schedule schedule(limit, 0);
+    const auto confirmed_every = schedule.wait(follower_role::confirmer, 0s);
+    CHECK_FALSE(schedule.is_stale(follower_role::confirmer, confirmed_every));
     for (const double draw : {0.0, 0.5, 0.99}) {
         const poll_schedule other(limit, draw);
         CHECK_FALSE(other.is_stale(follower_role::follower, confirmed_every + longest_way));
@@ -33,18 +33,18 @@
 TEST_CASE("a poll after a confirmation that is too old isn't held open", "[policy][follower_pace]") {
     // Guards against long polls in an outage, in which the store may lose the poll as well.
     for (const auto role : {follower_role::confirmer, follower_role::follower, follower_role::fallback}) {
-        const poll_schedule pace(limit, 0.5);
-        CHECK(pace.is_stale(role, limit + limit / 4));
-        CHECK(pace.wait(role, limit + limit / 4) == 0s);
+        const poll_schedule schedule(limit, 0.5);
+        CHECK(schedule.is_stale(role, limit + limit / 4));
+        CHECK(schedule.wait(role, limit + limit / 4) == 0s);
     }
 }
 
 TEST_CASE("no poll is held open for longer than the store accepts", "[policy][follower_pace]") {
     // The store refuses polls that ask it to wait for more than 30 s. Guards against a coordinator whose
     // polls are all refused when the change limit is set to minutes.
-    const poll_schedule pace(1h, 0.5);
+    const poll_schedule schedule(1h, 0.5);
     for (const auto role : {follower_role::confirmer, follower_role::follower, follower_role::fallback}) {
-        CHECK(pace.wait(role, 0s) <= 30s);
+        CHECK(schedule.wait(role, 0s) <= 30s);
     }
 }
 
@@ -52,9 +52,9 @@
     // Guards against learning of a change too late when the store became unresponsive shortly after an
     // answer.
     for (const double draw : {0.0, 0.5, 0.99}) {
-        const poll_schedule pace(limit, draw);
-        CHECK(pace.is_stale(follower_role::follower, limit + limit / 2));
-        CHECK(pace.repeat_delay(follower_role::follower) <= limit / 2);
+        const poll_schedule schedule(limit, draw);
+        CHECK(schedule.is_stale(follower_role::follower, limit + limit / 2));
+        CHECK(schedule.repeat_delay(follower_role::follower) <= limit / 2);
     }
 }
 
