--- a/src/gateway/store_follower.hpp
+++ b/src/gateway/store_follower.hpp
@@ -51,7 +51,9 @@
 
     /// Another gateway holds the same version, and reports that the store confirmed it at `answered`, a time
     /// of the store's clock.
-    void record_confirmation(policy::store_moment answered) { m_confirmation.hear(answered, clock::now()); }
+    void record_confirmation(policy::store_moment answered) {
+        m_confirmation.record_announcement(answered, clock::now());
+    }
     /// Returns the latest confirmation, to be reported to other gateways together with the held version;
     /// empty unless it is recent. See policy::confirmation.
     [[nodiscard]] policy::store_moment recent_confirmation() const {
--- a/src/policy/confirmation.hpp
+++ b/src/policy/confirmation.hpp
@@ -47,7 +47,7 @@
 
     /// Another gateway with the same version has announced a confirmation. It is ignored unless it is newer
     /// than the last one known here.
-    void hear(store_moment answered, time_point now) noexcept {
+    void record_announcement(store_moment answered, time_point now) noexcept {
         if (answered.milliseconds > 0 && answered > m_last_confirmation) {
             note_answer(answered, now);
         }
--- a/tests/unit/test_policy_follower_pace.cpp
+++ b/tests/unit/test_policy_follower_pace.cpp
@@ -77,7 +77,7 @@
     for (int round = 0; round < 1000; ++round) {
         for (std::size_t teller = 0; teller < gateways.size(); ++teller) {
             now += 5ms;
-            gateways[(teller + 1) % gateways.size()].hear(gateways[teller].news(now), now);
+            gateways[(teller + 1) % gateways.size()].record_announcement(gateways[teller].news(now), now);
         }
     }
     for (const auto& gateway : gateways) {
@@ -102,7 +102,7 @@
     held.note_answer({1, 5}, start_time + 10s);
     CHECK(held.age(start_time + 10s) == 0s);
     CHECK(held.news(start_time + 10s) == store_moment{1, 1000});
-    held.hear({1, 900}, start_time + 20s);
+    held.record_announcement({1, 900}, start_time + 20s);
     CHECK(held.age(start_time + 20s) == 10s);
 }
 
@@ -110,8 +110,8 @@
     // Guards against every gateway polling for itself until the clock of a restored store has caught up.
     confirmation held(start_time);
     held.note_answer({1, 1000}, start_time);
-    held.hear({2, 5}, start_time + 10s);
+    held.record_announcement({2, 5}, start_time + 10s);
     CHECK(held.age(start_time + 10s) == 0s);
-    held.hear({1, 2000}, start_time + 20s);
+    held.record_announcement({1, 2000}, start_time + 20s);
     CHECK(held.age(start_time + 20s) == 10s);
 }
