--- a/src/gateway/store_follower.cpp
+++ b/src/gateway/store_follower.cpp
@@ -166,7 +166,7 @@
 void store_follower::record_answer(store::position at, std::uint64_t store_time) {
     m_poll.reset();
     m_answered_at = clock::now();
-    m_confirmation.note_answer({at.era, store_time}, m_answered_at);
+    m_confirmation.record_answer({at.era, store_time}, m_answered_at);
     record_recovery(at);
 }
 
--- a/src/policy/confirmation.hpp
+++ b/src/policy/confirmation.hpp
@@ -34,7 +34,7 @@
         : m_longest_gap(longest_gap), m_confirmed_at(now), m_uninterrupted_since(now) {}
 
     /// The store has answered a poll of this gateway.
-    void note_answer(store_moment answered, time_point now) noexcept {
+    void record_answer(store_moment answered, time_point now) noexcept {
         if (age(now) > m_longest_gap) {
             m_uninterrupted_since = now;
         }
@@ -49,7 +49,7 @@
     /// than the last one known here.
     void record_announcement(store_moment answered, time_point now) noexcept {
         if (answered.milliseconds > 0 && answered > m_last_confirmation) {
-            note_answer(answered, now);
+            record_answer(answered, now);
         }
     }
 
--- a/tests/unit/test_policy_follower_pace.cpp
+++ b/tests/unit/test_policy_follower_pace.cpp
@@ -72,7 +72,7 @@
     // Guards against gateways that confirm each other's copies although the store answers none of them.
     constexpr store_moment first{1, 1000};
     std::vector<confirmation> gateways(3, confirmation(start_time));
-    gateways.front().note_answer(first, start_time);
+    gateways.front().record_answer(first, start_time);
     auto now = start_time;
     for (int round = 0; round < 1000; ++round) {
         for (std::size_t teller = 0; teller < gateways.size(); ++teller) {
@@ -90,7 +90,7 @@
           "[policy][confirmation]") {
     // Guards against regular heartbeats that exceed the traffic a gateway may use for them.
     confirmation held(start_time);
-    held.note_answer({1, 1000}, start_time);
+    held.record_answer({1, 1000}, start_time);
     CHECK(held.news(start_time + 200ms) == store_moment{1, 1000});
     CHECK(held.news(start_time + 1s) == store_moment{});
 }
@@ -98,8 +98,8 @@
 TEST_CASE("an answer of the store itself counts whatever its clock says", "[policy][confirmation]") {
     // Guards against ignoring the answers of a store that was replaced and whose clock starts anew.
     confirmation held(start_time);
-    held.note_answer({1, 1000}, start_time);
-    held.note_answer({1, 5}, start_time + 10s);
+    held.record_answer({1, 1000}, start_time);
+    held.record_answer({1, 5}, start_time + 10s);
     CHECK(held.age(start_time + 10s) == 0s);
     CHECK(held.news(start_time + 10s) == store_moment{1, 1000});
     held.record_announcement({1, 900}, start_time + 20s);
@@ -109,7 +109,7 @@
 TEST_CASE("a confirmation of a newer era counts whatever the clock says", "[policy][confirmation]") {
     // Guards against every gateway polling for itself until the clock of a restored store has caught up.
     confirmation held(start_time);
-    held.note_answer({1, 1000}, start_time);
+    held.record_answer({1, 1000}, start_time);
     held.record_announcement({2, 5}, start_time + 10s);
     CHECK(held.age(start_time + 10s) == 0s);
     held.record_announcement({1, 2000}, start_time + 20s);
--- a/tests/unit/test_policy_registration_watch.cpp
+++ b/tests/unit/test_policy_registration_watch.cpp
@@ -68,12 +68,12 @@
     // Guards against announcing an uninterrupted connection to the store that did have an interruption.
     constexpr duration longest_gap = 2s;
     confirmation held(start_time, longest_gap);
-    held.note_answer({1, 1000}, start_time + 1s);
+    held.record_answer({1, 1000}, start_time + 1s);
     CHECK(held.unbroken(start_time + 2s) == 2s);
     CHECK(held.unbroken(start_time + 4s) == 0s); // the next confirmation is overdue
     held.record_announcement({1, 5000}, start_time + 5s);
     CHECK(held.unbroken(start_time + 6s) == 1s);
     held.note_failure(start_time + 6500ms);
-    held.note_answer({1, 7000}, start_time + 7s);
+    held.record_answer({1, 7000}, start_time + 7s);
     CHECK(held.unbroken(start_time + 7s) == 500ms);
 }
