--- a/src/gateway/store_follower.cpp
+++ b/src/gateway/store_follower.cpp
@@ -104,7 +104,7 @@
     if (received.era == m_position.era) {
         return false;
     }
-    m_confirmation.note_failure(clock::now());
+    m_confirmation.record_failure(clock::now());
     m_position = {received.era, 0};
     return true;
 }
@@ -156,7 +156,7 @@
 
 void store_follower::record_loss(std::string_view reason) {
     m_is_in_touch = false;
-    m_confirmation.note_failure(clock::now());
+    m_confirmation.record_failure(clock::now());
     if (!m_lost_since.has_value()) {
         m_lost_since = clock::now();
         events::write(events::event_kind::store_lost, {{"table", m_table_name}, {"reason", reason}});
--- a/src/policy/confirmation.hpp
+++ b/src/policy/confirmation.hpp
@@ -43,7 +43,7 @@
     }
 
     /// The store refused a poll, couldn't be reached or was restored from an older copy.
-    void note_failure(time_point now) noexcept { m_uninterrupted_since = now; }
+    void record_failure(time_point now) noexcept { m_uninterrupted_since = now; }
 
     /// Another gateway with the same version has announced a confirmation. It is ignored unless it is newer
     /// than the last one known here.
--- a/tests/unit/test_policy_registration_watch.cpp
+++ b/tests/unit/test_policy_registration_watch.cpp
@@ -73,7 +73,7 @@
     CHECK(held.unbroken(start_time + 4s) == 0s); // the next confirmation is overdue
     held.record_announcement({1, 5000}, start_time + 5s);
     CHECK(held.unbroken(start_time + 6s) == 1s);
-    held.note_failure(start_time + 6500ms);
+    held.record_failure(start_time + 6500ms);
     held.record_answer({1, 7000}, start_time + 7s);
     CHECK(held.unbroken(start_time + 7s) == 500ms);
 }
