--- a/src/gateway/store_follower.hpp
+++ b/src/gateway/store_follower.hpp
@@ -57,7 +57,7 @@
     /// Returns the latest confirmation, to be reported to other gateways together with the held version;
     /// empty unless it is recent. See policy::confirmation.
     [[nodiscard]] policy::store_moment recent_confirmation() const {
-        return m_confirmation.news(clock::now());
+        return m_confirmation.recent_confirmation(clock::now());
     }
 
     /// Returns whether this gateway polls the store and the store answered the last call.
--- a/src/policy/confirmation.hpp
+++ b/src/policy/confirmation.hpp
@@ -55,7 +55,7 @@
 
     /// The confirmation to announce to other gateways: the last one while it is recent, and a zero
     /// `store_moment` afterwards. A heartbeat that carries a confirmation is larger by a quarter.
-    [[nodiscard]] store_moment news(time_point now) const noexcept {
+    [[nodiscard]] store_moment recent_confirmation(time_point now) const noexcept {
         return age(now) <= announcement_lifetime ? m_last_confirmation : store_moment{};
     }
     /// Time since the last confirmation was recorded here, or since the start if there was none.
--- a/tests/unit/test_policy_follower_pace.cpp
+++ b/tests/unit/test_policy_follower_pace.cpp
@@ -77,11 +77,12 @@
     for (int round = 0; round < 1000; ++round) {
         for (std::size_t teller = 0; teller < gateways.size(); ++teller) {
             now += 5ms;
-            gateways[(teller + 1) % gateways.size()].record_announcement(gateways[teller].news(now), now);
+            gateways[(teller + 1) % gateways.size()].record_announcement(
+                gateways[teller].recent_confirmation(now), now);
         }
     }
     for (const auto& gateway : gateways) {
-        CHECK(gateway.news(now) == store_moment{});
+        CHECK(gateway.recent_confirmation(now) == store_moment{});
         CHECK(gateway.age(now) > 10s);
     }
 }
@@ -91,8 +92,8 @@
     // Guards against regular heartbeats that exceed the traffic a gateway may use for them.
     confirmation held(start_time);
     held.record_answer({1, 1000}, start_time);
-    CHECK(held.news(start_time + 200ms) == store_moment{1, 1000});
-    CHECK(held.news(start_time + 1s) == store_moment{});
+    CHECK(held.recent_confirmation(start_time + 200ms) == store_moment{1, 1000});
+    CHECK(held.recent_confirmation(start_time + 1s) == store_moment{});
 }
 
 TEST_CASE("an answer of the store itself counts whatever its clock says", "[policy][confirmation]") {
@@ -101,7 +102,7 @@
     held.record_answer({1, 1000}, start_time);
     held.record_answer({1, 5}, start_time + 10s);
     CHECK(held.age(start_time + 10s) == 0s);
-    CHECK(held.news(start_time + 10s) == store_moment{1, 1000});
+    CHECK(held.recent_confirmation(start_time + 10s) == store_moment{1, 1000});
     held.record_announcement({1, 900}, start_time + 20s);
     CHECK(held.age(start_time + 20s) == 10s);
 }
