--- a/src/gateway/store_follower.hpp
+++ b/src/gateway/store_follower.hpp
@@ -63,7 +63,7 @@
     /// Returns whether this gateway polls the store and the store answered the last call.
     [[nodiscard]] bool is_in_touch() const noexcept { return m_is_in_touch && !m_relies_on_others; }
     /// Returns when the held state was last confirmed, to this gateway or to another one.
-    [[nodiscard]] clock::time_point confirmed_at() const noexcept { return m_confirmation.noted_at(); }
+    [[nodiscard]] clock::time_point confirmed_at() const noexcept { return m_confirmation.confirmed_at(); }
     /// Returns for how long the store has answered without interruption, as far as this gateway can tell;
     /// zero while it isn't polled or doesn't answer.
     [[nodiscard]] clock::duration unbroken() const {
--- a/src/policy/confirmation.hpp
+++ b/src/policy/confirmation.hpp
@@ -61,7 +61,7 @@
     /// Time since the last confirmation was recorded here, or since the start if there was none.
     [[nodiscard]] duration age(time_point now) const noexcept { return now - m_confirmed_at; }
     /// When the last confirmation was recorded here, or the start if there was none.
-    [[nodiscard]] time_point noted_at() const noexcept { return m_confirmed_at; }
+    [[nodiscard]] time_point confirmed_at() const noexcept { return m_confirmed_at; }
     /// How long confirmations have arrived without a failure or a gap longer than `longest_gap`; zero while
     /// the next confirmation is overdue.
     [[nodiscard]] duration unbroken(time_point now) const noexcept {
