--- a/measure/load/decision_cost.cpp
+++ b/measure/load/decision_cost.cpp
@@ -148,7 +148,7 @@
     coordinator_election election(1, 0.19, {}, start_time);
     std::size_t checksum = 0;
     for (std::size_t number = 0; number < members + count; ++number) {
-        election.hear(2 + number % members, {0.19, false, true, false}, start_time);
+        election.record_heartbeat(2 + number % members, {0.19, false, true, false}, start_time);
         if (number >= members) {
             checksum += election.known(start_time).size();
         }
--- a/src/coordination/slot_broker.cpp
+++ b/src/coordination/slot_broker.cpp
@@ -360,8 +360,8 @@
     const auto sender = message->sender;
     const bool wants_reply = message->wants_reply;
     const auto known = std::move(message->known);
-    m_election.hear(member, {sender.processor_share, sender.is_acting, sender.is_eligible, sender.is_leaving},
-                    now);
+    m_election.record_heartbeat(
+        member, {sender.processor_share, sender.is_acting, sender.is_eligible, sender.is_leaving}, now);
     m_observers.on_member_versions(from.address(), {sender.configuration_version, sender.backends,
                                                     sender.is_in_touch, sender.configuration_confirmed,
                                                     sender.backends_confirmed, sender.unbroken});
--- a/src/policy/coordinator_election.cpp
+++ b/src/policy/coordinator_election.cpp
@@ -68,7 +68,7 @@
     m_order.clear();
 }
 
-void coordinator_election::hear(member_key member, const member_status& status, time_point now) {
+void coordinator_election::record_heartbeat(member_key member, const member_status& status, time_point now) {
     if (member == m_self) {
         return;
     }
--- a/src/policy/coordinator_election.hpp
+++ b/src/policy/coordinator_election.hpp
@@ -75,7 +75,7 @@
     /// Removes a member.
     void forget(member_key member);
     /// Records a heartbeat of a member.
-    void hear(member_key member, const member_status& status, time_point now);
+    void record_heartbeat(member_key member, const member_status& status, time_point now);
 
     /// Restarts the probation after a suspension, and removes learned members that have timed out. To be
     /// called every 50 ms: a longer gap between two calls means that this process was suspended.
--- a/tests/unit/test_coordination.cpp
+++ b/tests/unit/test_coordination.cpp
@@ -106,7 +106,8 @@
     }
 
     void send_status(const coordinator_election& from, member_key key, coordinator_election& to) const {
-        to.hear(key, {0.19, from.is_acting(m_now), from.is_eligible(m_now), from.is_leaving()}, m_now);
+        to.record_heartbeat(key, {0.19, from.is_acting(m_now), from.is_eligible(m_now), from.is_leaving()},
+                            m_now);
         for (const auto learned : from.known(m_now)) {
             to.learn(learned, m_now);
         }
@@ -277,7 +278,7 @@
     auto election = make_election(1, 0.1);
     const auto now = start_time + 3s;
     const auto send_status = [&](member_key member, double share) {
-        election.hear(member, {share, false, true, false}, now);
+        election.record_heartbeat(member, {share, false, true, false}, now);
         return election.candidates(now);
     };
     CHECK(send_status(2, 0.2) == std::vector<member_key>{2});
@@ -308,14 +309,14 @@
     const auto now = start_time + 3s;
     // Processor shares are sent as float but kept as double. A received share must compare equal to the
     // local one.
-    low.hear(2, {static_cast<float>(0.5), true, true, false}, now);
-    high.hear(1, {static_cast<float>(0.1), false, true, false}, now);
+    low.record_heartbeat(2, {static_cast<float>(0.5), true, true, false}, now);
+    high.record_heartbeat(1, {static_cast<float>(0.1), false, true, false}, now);
     CHECK(low.choose(now).member == 2);
     CHECK(high.choose(now).who == coordinator_election::role::self);
     auto first = make_election(1, 0.19);
     auto second = make_election(2, 0.19);
-    first.hear(2, {static_cast<float>(0.19), false, true, false}, now);
-    second.hear(1, {static_cast<float>(0.19), false, true, false}, now);
+    first.record_heartbeat(2, {static_cast<float>(0.19), false, true, false}, now);
+    second.record_heartbeat(1, {static_cast<float>(0.19), false, true, false}, now);
     CHECK(first.choose(now).who == coordinator_election::role::self);
     CHECK(second.choose(now).member == 1);
 }
@@ -324,12 +325,12 @@
           "[policy][election]") {
     auto election = make_election(5);
     const auto now = start_time + 3s;
-    election.hear(1, {1, true, true, false}, now);
+    election.record_heartbeat(1, {1, true, true, false}, now);
     CHECK(election.choose(now).member == 1);
     CHECK(election.choose(now + 300ms).who == coordinator_election::role::self);
-    election.hear(1, {1, true, true, true}, now);
+    election.record_heartbeat(1, {1, true, true, true}, now);
     CHECK(election.choose(now).who == coordinator_election::role::self);
-    election.hear(1, {1, false, false, false}, now);
+    election.record_heartbeat(1, {1, false, false, false}, now);
     CHECK(election.choose(now).who == coordinator_election::role::self);
     election.leave();
     CHECK(election.choose(now).member == 1);
@@ -342,14 +343,14 @@
     auto election = make_election(5);
     const auto now = start_time + 3s;
     election.act(true);
-    election.hear(1, {1, false, true, false}, now);
+    election.record_heartbeat(1, {1, false, true, false}, now);
     CHECK(election.choose(now).who == coordinator_election::role::self);
-    election.hear(1, {2, false, true, false}, now);
+    election.record_heartbeat(1, {2, false, true, false}, now);
     CHECK(election.choose(now).member == 1);
 
     auto third = make_election(7);
-    third.hear(1, {1, false, true, false}, now);
-    third.hear(5, {1, true, true, false}, now);
+    third.record_heartbeat(1, {1, false, true, false}, now);
+    third.record_heartbeat(5, {1, true, true, false}, now);
     CHECK(third.choose(now).member == 5);
 }
 
@@ -360,10 +361,10 @@
     auto election = make_election(5);
     const auto now = start_time + 3s;
     election.act(true);
-    election.hear(1, {1, false, true, true}, now);
+    election.record_heartbeat(1, {1, false, true, true}, now);
     election.leave();
     CHECK(election.choose(now).who == coordinator_election::role::self);
-    election.hear(9, {1, false, false, false}, now);
+    election.record_heartbeat(9, {1, false, false, false}, now);
     CHECK(election.choose(now).member == 9);
 }
 
@@ -427,7 +428,7 @@
     CHECK(election.candidates(now).empty());
     CHECK(election.absent(now).size() == 300);
     for (member_key member = 1; member <= 300; ++member) {
-        election.hear(member, {1, false, true, false}, now);
+        election.record_heartbeat(member, {1, false, true, false}, now);
     }
     CHECK(election.candidates(now) == std::vector<member_key>{1, 2, 3});
     CHECK(election.absent(now).empty());
--- a/tests/unit/test_policy_follower_duty.cpp
+++ b/tests/unit/test_policy_follower_duty.cpp
@@ -28,7 +28,7 @@
     for (member_key self = 1; self <= members; ++self) {
         coordinator_election election(self, 0.2, {}, start_time);
         for (member_key other = 1; other <= members; ++other) {
-            election.hear(other, {0.2, other == 1, true, false}, start_time);
+            election.record_heartbeat(other, {0.2, other == 1, true, false}, start_time);
         }
         const bool is_candidate = election.is_candidate(start_time);
         candidates += is_candidate ? 1 : 0;
