--- a/src/coordination/slot_broker.cpp
+++ b/src/coordination/slot_broker.cpp
@@ -464,7 +464,7 @@
     } else if (m_source != slot_source::own_part) {
         use_local_source(slot_source::own_part);
     }
-    m_election.act(m_source == slot_source::own_coordination);
+    m_election.set_acting(m_source == slot_source::own_coordination);
     update_shares(now);
 }
 
--- a/src/policy/coordinator_election.hpp
+++ b/src/policy/coordinator_election.hpp
@@ -82,7 +82,7 @@
     void tick(time_point now);
 
     /// Sets whether this process acts as coordinator, which it reports to the other members.
-    void act(bool is_acting) noexcept { m_is_acting = is_acting; }
+    void set_acting(bool is_acting) noexcept { m_is_acting = is_acting; }
     /// Marks this process as about to stop.
     void leave() noexcept { m_is_shutting_down = true; }
     [[nodiscard]] bool is_leaving() const noexcept { return m_is_shutting_down; }
--- a/tests/unit/test_coordination.cpp
+++ b/tests/unit/test_coordination.cpp
@@ -68,7 +68,7 @@
         for (const auto end = m_now + span; m_now < end; m_now += tick) {
             for (auto& [key, election] : m_members) {
                 election.tick(m_now);
-                election.act(election.is_acting(m_now));
+                election.set_acting(election.is_acting(m_now));
             }
             for (auto& [key, election] : m_members) {
                 for (const auto other : election.candidates(m_now)) {
@@ -342,7 +342,7 @@
     // members would have to submit their requests to another coordinator after each restart.
     auto election = make_election(5);
     const auto now = start_time + 3s;
-    election.act(true);
+    election.set_acting(true);
     election.record_heartbeat(1, {1, false, true, false}, now);
     CHECK(election.choose(now).who == coordinator_election::role::self);
     election.record_heartbeat(1, {2, false, true, false}, now);
@@ -360,7 +360,7 @@
     // are free.
     auto election = make_election(5);
     const auto now = start_time + 3s;
-    election.act(true);
+    election.set_acting(true);
     election.record_heartbeat(1, {1, false, true, true}, now);
     election.leave();
     CHECK(election.choose(now).who == coordinator_election::role::self);
