--- a/src/coordination/slot_broker.cpp
+++ b/src/coordination/slot_broker.cpp
@@ -427,7 +427,7 @@
         log_attached_member(member, m_coordinated_members.size() + 1);
     }
     served->second.last_message = now;
-    m_active_members.note_served(member, now);
+    m_active_members.record_served(member, now);
     served->second.channel.handle_acknowledgement(message.acknowledged);
     if (message.batch == 0) {
         return;
--- a/src/policy/member_census.hpp
+++ b/src/policy/member_census.hpp
@@ -15,7 +15,7 @@
 class member_census {
 public:
     /// Records that this process, as coordinator, serves a member.
-    void note_served(member_key member, time_point now) { m_served[member] = now; }
+    void record_served(member_key member, time_point now) { m_served[member] = now; }
     /// Records the number of members that a coordinator has reported, including this process; 0 is ignored.
     void note_told(std::size_t members, time_point now);
 
--- a/tests/unit/test_coordination.cpp
+++ b/tests/unit/test_coordination.cpp
@@ -256,15 +256,15 @@
     member_census census;
     const auto serve_all = [&](time_point now) {
         for (const member_key member : {1, 2, 3}) {
-            census.note_served(member, now);
+            census.record_served(member, now);
         }
     };
     CHECK(census.own_share(1) == Approx(0.25)); // no other member is known: four are assumed
     serve_all(start_time);
     CHECK(census.coordinators_share(4, start_time) == Approx(1));
     CHECK(census.coordinators_share(3, start_time + 5s) == Approx(0.75));
-    census.note_served(1, start_time + 13s);
-    census.note_served(2, start_time + 13s);
+    census.record_served(1, start_time + 13s);
+    census.record_served(2, start_time + 13s);
     CHECK(census.coordinators_share(3, start_time + 13s) == Approx(1));
     // A process without other members may itself be the disconnected one.
     CHECK(census.coordinators_share(1, start_time + 60s) == Approx(1.0 / 3));
