--- a/src/coordination/slot_broker.cpp
+++ b/src/coordination/slot_broker.cpp
@@ -388,7 +388,7 @@
 }
 
 void slot_broker::handle_coordinator_message(datagram message) {
-    m_active_members.note_told(message.sender.members, clock::now());
+    m_active_members.record_reported_count(message.sender.members, clock::now());
     m_upstream->handle_acknowledgement(message.acknowledged);
     if (message.batch == 0) {
         return;
--- a/src/policy/member_census.cpp
+++ b/src/policy/member_census.cpp
@@ -16,7 +16,7 @@
 
 } // namespace
 
-void member_census::note_told(std::size_t members, time_point now) {
+void member_census::record_reported_count(std::size_t members, time_point now) {
     if (members > 0) {
         m_told = members;
         m_told_at = now;
--- a/src/policy/member_census.hpp
+++ b/src/policy/member_census.hpp
@@ -17,7 +17,7 @@
     /// Records that this process, as coordinator, serves a member.
     void record_served(member_key member, time_point now) { m_served[member] = now; }
     /// Records the number of members that a coordinator has reported, including this process; 0 is ignored.
-    void note_told(std::size_t members, time_point now);
+    void record_reported_count(std::size_t members, time_point now);
 
     /// Number of known members, including this process.
     [[nodiscard]] std::size_t count() const noexcept;
--- a/tests/unit/test_coordination.cpp
+++ b/tests/unit/test_coordination.cpp
@@ -268,9 +268,9 @@
     CHECK(census.coordinators_share(3, start_time + 13s) == Approx(1));
     // A process without other members may itself be the disconnected one.
     CHECK(census.coordinators_share(1, start_time + 60s) == Approx(1.0 / 3));
-    census.note_told(10, start_time + 60s);
+    census.record_reported_count(10, start_time + 60s);
     CHECK(census.own_share(2) == Approx(0.1));
-    census.note_told(0, start_time + 60s); // a report of 0 means unknown and is ignored
+    census.record_reported_count(0, start_time + 60s); // a report of 0 means unknown and is ignored
     CHECK(census.count() == 10);
 }
 
