--- a/src/policy/member_census.cpp
+++ b/src/policy/member_census.cpp
@@ -18,13 +18,13 @@
 
 void member_census::record_reported_count(std::size_t members, time_point now) {
     if (members > 0) {
-        m_told = members;
+        m_reported_count = members;
         m_told_at = now;
     }
 }
 
 std::size_t member_census::count() const noexcept {
-    return std::max(m_served.size() + 1, m_told);
+    return std::max(m_served.size() + 1, m_reported_count);
 }
 
 double member_census::coordinators_share(std::size_t attached, time_point now) {
@@ -32,13 +32,13 @@
     // removed from the count.
     if (attached * 2 > count()) {
         std::erase_if(m_served, [now](const auto& entry) { return now - entry.second > share_reservation; });
-        m_told = now - m_told_at > share_reservation ? 0 : m_told;
+        m_reported_count = now - m_told_at > share_reservation ? 0 : m_reported_count;
     }
     return std::min(1.0, static_cast<double>(attached) / static_cast<double>(count()));
 }
 
 double member_census::own_share(std::size_t heard_of) const noexcept {
-    const auto told = m_told > 0 ? m_told : assumed_members;
+    const auto told = m_reported_count > 0 ? m_reported_count : assumed_members;
     return 1.0 / static_cast<double>(std::max(told, heard_of));
 }
 
--- a/src/policy/member_census.hpp
+++ b/src/policy/member_census.hpp
@@ -22,7 +22,7 @@
     /// Number of known members, including this process.
     [[nodiscard]] std::size_t count() const noexcept;
     /// Number of members that a coordinator last reported; 0 when none has, or not for a long time.
-    [[nodiscard]] std::size_t told() const noexcept { return m_told; }
+    [[nodiscard]] std::size_t told() const noexcept { return m_reported_count; }
 
     /// Share of all limits that this process may grant as the coordinator of `attached` members, including
     /// itself.
@@ -33,7 +33,7 @@
 
 private:
     std::map<member_key, time_point> m_served; ///< When each member was last served.
-    std::size_t m_told = 0;
+    std::size_t m_reported_count = 0;
     time_point m_told_at;
 };
 
