--- a/src/policy/member_census.cpp
+++ b/src/policy/member_census.cpp
@@ -19,7 +19,7 @@
 void member_census::record_reported_count(std::size_t members, time_point now) {
     if (members > 0) {
         m_reported_count = members;
-        m_told_at = now;
+        m_reported_at = now;
     }
 }
 
@@ -32,7 +32,7 @@
     // removed from the count.
     if (attached * 2 > count()) {
         std::erase_if(m_served, [now](const auto& entry) { return now - entry.second > share_reservation; });
-        m_reported_count = now - m_told_at > share_reservation ? 0 : m_reported_count;
+        m_reported_count = now - m_reported_at > share_reservation ? 0 : m_reported_count;
     }
     return std::min(1.0, static_cast<double>(attached) / static_cast<double>(count()));
 }
--- a/src/policy/member_census.hpp
+++ b/src/policy/member_census.hpp
@@ -34,7 +34,7 @@
 private:
     std::map<member_key, time_point> m_served; ///< When each member was last served.
     std::size_t m_reported_count = 0;
-    time_point m_told_at;
+    time_point m_reported_at;
 };
 
 } // namespace borageford::policy
