--- a/src/policy/member_census.cpp
+++ b/src/policy/member_census.cpp
@@ -38,8 +38,8 @@
 }
 
 double member_census::own_share(std::size_t heard_of) const noexcept {
-    const auto told = m_reported_count > 0 ? m_reported_count : assumed_members;
-    return 1.0 / static_cast<double>(std::max(told, heard_of));
+    const auto reported_count = m_reported_count > 0 ? m_reported_count : assumed_members;
+    return 1.0 / static_cast<double>(std::max(reported_count, heard_of));
 }
 
 } // namespace borageford::policy
--- a/src/policy/member_census.hpp
+++ b/src/policy/member_census.hpp
@@ -22,7 +22,7 @@
     /// Number of known members, including this process.
     [[nodiscard]] std::size_t count() const noexcept;
     /// Number of members that a coordinator last reported; 0 when none has, or not for a long time.
-    [[nodiscard]] std::size_t told() const noexcept { return m_reported_count; }
+    [[nodiscard]] std::size_t reported_count() const noexcept { return m_reported_count; }
 
     /// Share of all limits that this process may grant as the coordinator of `attached` members, including
     /// itself.
