--- a/src/coordination/slot_broker.cpp
+++ b/src/coordination/slot_broker.cpp
@@ -520,7 +520,7 @@
             1, m_active_members.coordinators_share(m_coordinated_members.size() + 1, now), now);
         return;
     }
-    const double share = m_active_members.own_share(m_election.member_count());
+    const double share = m_active_members.local_share(m_election.member_count());
     m_coordinator.set_shares(share, share, now);
 }
 
--- a/src/policy/member_census.cpp
+++ b/src/policy/member_census.cpp
@@ -37,7 +37,7 @@
     return std::min(1.0, static_cast<double>(attached) / static_cast<double>(count()));
 }
 
-double member_census::own_share(std::size_t known_members) const noexcept {
+double member_census::local_share(std::size_t known_members) const noexcept {
     const auto reported_count = m_reported_count > 0 ? m_reported_count : assumed_members;
     return 1.0 / static_cast<double>(std::max(reported_count, known_members));
 }
--- a/src/policy/member_census.hpp
+++ b/src/policy/member_census.hpp
@@ -29,7 +29,7 @@
     [[nodiscard]] double coordinators_share(std::size_t attached, time_point now);
     /// Share of all limits that this process may grant without a coordinator. `known_members`: number of
     /// members that it knows, including itself.
-    [[nodiscard]] double own_share(std::size_t known_members) const noexcept;
+    [[nodiscard]] double local_share(std::size_t known_members) const noexcept;
 
 private:
     std::map<member_key, time_point> m_served; ///< When each member was last served.
