--- a/src/coordination/slot_broker.cpp
+++ b/src/coordination/slot_broker.cpp
@@ -516,8 +516,8 @@
 
 void slot_broker::update_shares(policy::time_point now) {
     if (m_source == slot_source::own_coordination) {
-        m_coordinator.set_shares(
-            1, m_active_members.coordinators_share(m_coordinated_members.size() + 1, now), now);
+        m_coordinator.set_shares(1, m_active_members.coordinator_share(m_coordinated_members.size() + 1, now),
+                                 now);
         return;
     }
     const double share = m_active_members.local_share(m_election.member_count());
--- a/src/policy/member_census.cpp
+++ b/src/policy/member_census.cpp
@@ -27,7 +27,7 @@
     return std::max(m_served.size() + 1, m_reported_count);
 }
 
-double member_census::coordinators_share(std::size_t attached, time_point now) {
+double member_census::coordinator_share(std::size_t attached, time_point now) {
     // While most members are unresponsive, it may well be this process that is disconnected, so no member is
     // removed from the count.
     if (attached * 2 > count()) {
--- a/src/policy/member_census.hpp
+++ b/src/policy/member_census.hpp
@@ -26,7 +26,7 @@
 
     /// Share of all limits that this process may grant as the coordinator of `attached` members, including
     /// itself.
-    [[nodiscard]] double coordinators_share(std::size_t attached, time_point now);
+    [[nodiscard]] double coordinator_share(std::size_t attached, time_point now);
     /// Share of all limits that this process may grant without a coordinator. `known_members`: number of
     /// members that it knows, including itself.
     [[nodiscard]] double local_share(std::size_t known_members) const noexcept;
--- a/tests/unit/test_coordination.cpp
+++ b/tests/unit/test_coordination.cpp
@@ -261,13 +261,13 @@
     };
     CHECK(census.local_share(1) == Approx(0.25)); // no other member is known: four are assumed
     serve_all(start_time);
-    CHECK(census.coordinators_share(4, start_time) == Approx(1));
-    CHECK(census.coordinators_share(3, start_time + 5s) == Approx(0.75));
+    CHECK(census.coordinator_share(4, start_time) == Approx(1));
+    CHECK(census.coordinator_share(3, start_time + 5s) == Approx(0.75));
     census.record_served(1, start_time + 13s);
     census.record_served(2, start_time + 13s);
-    CHECK(census.coordinators_share(3, start_time + 13s) == Approx(1));
+    CHECK(census.coordinator_share(3, start_time + 13s) == Approx(1));
     // A process without other members may itself be the disconnected one.
-    CHECK(census.coordinators_share(1, start_time + 60s) == Approx(1.0 / 3));
+    CHECK(census.coordinator_share(1, start_time + 60s) == Approx(1.0 / 3));
     census.record_reported_count(10, start_time + 60s);
     CHECK(census.local_share(2) == Approx(0.1));
     census.record_reported_count(0, start_time + 60s); // a report of 0 means unknown and is ignored
