--- a/src/coordination/slot_broker.hpp
+++ b/src/coordination/slot_broker.hpp
@@ -196,7 +196,7 @@
     std::map<policy::member_key, coordinated_member> m_coordinated_members;
     /// Members of m_coordinated_members whose channels may have datagrams to send.
     std::set<policy::member_key> m_members_to_flush;
-    policy::member_census m_active_members;
+    policy::active_members m_active_members;
 
     own_requests m_requests;
 
--- a/src/policy/member_census.cpp
+++ b/src/policy/member_census.cpp
@@ -16,18 +16,18 @@
 
 } // namespace
 
-void member_census::record_reported_count(std::size_t members, time_point now) {
+void active_members::record_reported_count(std::size_t members, time_point now) {
     if (members > 0) {
         m_reported_count = members;
         m_reported_at = now;
     }
 }
 
-std::size_t member_census::count() const noexcept {
+std::size_t active_members::count() const noexcept {
     return std::max(m_served.size() + 1, m_reported_count);
 }
 
-double member_census::coordinator_share(std::size_t attached, time_point now) {
+double active_members::coordinator_share(std::size_t attached, time_point now) {
     // While most members are unresponsive, it may well be this process that is disconnected, so no member is
     // removed from the count.
     if (attached * 2 > count()) {
@@ -37,7 +37,7 @@
     return std::min(1.0, static_cast<double>(attached) / static_cast<double>(count()));
 }
 
-double member_census::local_share(std::size_t known_members) const noexcept {
+double active_members::local_share(std::size_t known_members) const noexcept {
     const auto reported_count = m_reported_count > 0 ? m_reported_count : assumed_members;
     return 1.0 / static_cast<double>(std::max(reported_count, known_members));
 }
--- a/src/policy/member_census.hpp
+++ b/src/policy/member_census.hpp
@@ -12,7 +12,7 @@
 /// Number of members for dividing limits. Each process grants its share of every limit, so counting too few
 /// members would exceed the limits. An unresponsive member is counted for a while longer, because it may only
 /// be disconnected and still be granting its share.
-class member_census {
+class active_members {
 public:
     /// Records that this process, as coordinator, serves a member.
     void record_served(member_key member, time_point now) { m_served[member] = now; }
--- a/tests/unit/test_coordination.cpp
+++ b/tests/unit/test_coordination.cpp
@@ -1,5 +1,5 @@
 // Tests of the messages between gateways (message.hpp, batch_channel), of the election of a coordinator, of
-// member_census and of slot_coordinator.
+// active_members and of slot_coordinator.
 #include "coordination/batch_channel.hpp"
 #include "coordination/message.hpp"
 #include "coordination/slot_coordinator.hpp"
@@ -253,7 +253,7 @@
     // One of four gateways is disconnected and continues to grant a quarter of a workspace's quota. If the
     // other three divided the complete quota among themselves at once, the workspace would get five
     // quarters of it.
-    member_census census;
+    active_members census;
     const auto serve_all = [&](time_point now) {
         for (const member_key member : {1, 2, 3}) {
             census.record_served(member, now);
