--- a/src/gateway/backend_roster.cpp
+++ b/src/gateway/backend_roster.cpp
@@ -169,7 +169,7 @@
 }
 
 void backend_roster::record_outage(steady_clock::time_point answered) {
-    m_watch.note_outage(steady_clock::now(), answered);
+    m_watch.record_outage(steady_clock::now(), answered);
 }
 
 backend_roster::update backend_roster::changes_after(store::position held) const {
--- a/src/policy/registration_watch.cpp
+++ b/src/policy/registration_watch.cpp
@@ -10,7 +10,7 @@
     return m_last_outage != time_point::min() && now - m_last_outage < grace;
 }
 
-void registration_watch::note_outage(time_point now, time_point answered) noexcept {
+void registration_watch::record_outage(time_point now, time_point answered) noexcept {
     const bool answers_others =
         m_other_connected_at != time_point::min() && now - m_other_connected_at < message_lifetime;
     if (answers_others) {
--- a/src/policy/registration_watch.hpp
+++ b/src/policy/registration_watch.hpp
@@ -32,8 +32,8 @@
     /// is ignored when another process has recently reported that the store answers it: then only this
     /// process is affected, servers still renew their registrations, and a registration that disappears
     /// belongs to a server that has shut down. Retaining it would send requests to that server.
-    void note_outage(time_point now, time_point answered) noexcept;
-    void note_outage(time_point now) noexcept { note_outage(now, now); }
+    void record_outage(time_point now, time_point answered) noexcept;
+    void record_outage(time_point now) noexcept { record_outage(now, now); }
     /// Records that the store was restored from an older copy, in which registrations are missing.
     void note_return_from_copy(time_point now) noexcept;
     /// Records another process's message that the store answers it and has answered it without interruption
--- a/tests/unit/test_gateway_policy.cpp
+++ b/tests/unit/test_gateway_policy.cpp
@@ -208,11 +208,11 @@
     // this gateway for 2.3 s and got requests after it had announced that it was draining.
     registration_watch watch;
     watch.note_other_in_touch(start_time);
-    watch.note_outage(start_time + 200ms);
+    watch.record_outage(start_time + 200ms);
     CHECK(watch.is_gone("server", start_time + 300ms));
     // The last message that another member can reach the store is old, so the store may be unavailable for
     // all.
-    watch.note_outage(start_time + 700ms);
+    watch.record_outage(start_time + 700ms);
     CHECK_FALSE(watch.is_gone("server", start_time + 800ms));
 }
 
@@ -220,7 +220,7 @@
           "[policy][registration_watch]") {
     registration_watch watch;
     CHECK(watch.is_gone("a", start_time));
-    watch.note_outage(start_time);
+    watch.record_outage(start_time);
     CHECK_FALSE(watch.is_gone("a", start_time + 100ms));
     CHECK_FALSE(watch.is_gone("b", start_time + 100ms));
     watch.note_present("b");
--- a/tests/unit/test_policy_registration_watch.cpp
+++ b/tests/unit/test_policy_registration_watch.cpp
@@ -18,7 +18,7 @@
 registration_watch make_cut_off() {
     registration_watch watch;
     for (const auto noted : {1s, 2s, 3s}) {
-        watch.note_outage(start_time + noted, start_time);
+        watch.record_outage(start_time + noted, start_time);
     }
     return watch;
 }
@@ -57,7 +57,7 @@
           "[policy][registration_watch]") {
     auto watch = make_cut_off();
     CHECK_FALSE(watch.is_gone("expired", start_time + 3s));
-    watch.note_outage(start_time + 4s, start_time + 3500ms);
+    watch.record_outage(start_time + 4s, start_time + 3500ms);
     watch.note_other_in_touch(start_time + 4200ms, 1s);
     CHECK(watch.take_expired(start_time + 4200ms).empty());
     CHECK_FALSE(watch.is_gone("expired too", start_time + 4300ms));
