--- a/src/gateway/backend_roster.cpp
+++ b/src/gateway/backend_roster.cpp
@@ -109,7 +109,7 @@
     m_era_report = era_report{m_position, source};
     m_first_read = first_read;
     m_position = {first_read.era, 0};
-    m_watch.note_return_from_copy(steady_clock::now());
+    m_watch.record_store_restore(steady_clock::now());
     m_rollouts.handle_store_restore();
 }
 
--- a/src/policy/registration_watch.cpp
+++ b/src/policy/registration_watch.cpp
@@ -22,7 +22,7 @@
 
 /// The beginning of the outage is set to the minimum, so that no other process's uninterrupted connection to
 /// the store can cover it.
-void registration_watch::note_return_from_copy(time_point now) noexcept {
+void registration_watch::record_store_restore(time_point now) noexcept {
     m_outage_begin = time_point::min();
     m_last_outage = now;
 }
--- a/src/policy/registration_watch.hpp
+++ b/src/policy/registration_watch.hpp
@@ -35,7 +35,7 @@
     void record_outage(time_point now, time_point answered) noexcept;
     void record_outage(time_point now) noexcept { record_outage(now, now); }
     /// Records that the store was restored from an older copy, in which registrations are missing.
-    void note_return_from_copy(time_point now) noexcept;
+    void record_store_restore(time_point now) noexcept;
     /// Records another process's message that the store answers it and has answered it without interruption
     /// for `unbroken`. A process that was disconnected from all others as well receives such a message only
     /// afterwards. If `unbroken` covers the outage, only this process was affected, and the servers that it
