--- a/src/gateway/backend_roster.cpp
+++ b/src/gateway/backend_roster.cpp
@@ -164,8 +164,8 @@
     }
 }
 
-void backend_roster::note_other_in_touch(steady_clock::duration unbroken) {
-    m_watch.note_other_in_touch(steady_clock::now(), unbroken);
+void backend_roster::record_other_connected(steady_clock::duration unbroken) {
+    m_watch.record_other_connected(steady_clock::now(), unbroken);
 }
 
 void backend_roster::record_outage(steady_clock::time_point answered) {
--- a/src/gateway/backend_roster.hpp
+++ b/src/gateway/backend_roster.hpp
@@ -58,7 +58,7 @@
     void record_outage(std::chrono::steady_clock::time_point answered = std::chrono::steady_clock::now());
     /// Records that the store answers another gateway and has done so for `unbroken` without an interruption,
     /// so an outage seen only here doesn't explain a vanished registration.
-    void note_other_in_touch(std::chrono::steady_clock::duration unbroken);
+    void record_other_connected(std::chrono::steady_clock::duration unbroken);
 
     /// The changes after a position, for a gateway that holds exactly the state at that position.
     struct update {
--- a/src/gateway/gateway_process.cpp
+++ b/src/gateway/gateway_process.cpp
@@ -202,7 +202,7 @@
         // A peer in a previous era has not seen the restored store, so its report says nothing about the
         // store now.
         if (held.is_in_touch && held.backends.era >= m_roster.position().era) {
-            m_roster.note_other_in_touch(held.unbroken);
+            m_roster.record_other_connected(held.unbroken);
             m_follower_choice.record_announcement(std::chrono::steady_clock::now());
         }
         // The confirmation only counts if the peer holds the same version: otherwise this gateway or the peer
--- a/src/policy/registration_watch.cpp
+++ b/src/policy/registration_watch.cpp
@@ -27,7 +27,7 @@
     m_last_outage = now;
 }
 
-void registration_watch::note_other_in_touch(time_point now, duration unbroken) {
+void registration_watch::record_other_connected(time_point now, duration unbroken) {
     m_other_connected_at = now;
     const bool is_over = is_around_outage(now) && now - m_last_outage >= message_delay;
     if (is_over && now - unbroken <= m_outage_begin) {
--- a/src/policy/registration_watch.hpp
+++ b/src/policy/registration_watch.hpp
@@ -40,7 +40,7 @@
     /// for `unbroken`. A process that was disconnected from all others as well receives such a message only
     /// afterwards. If `unbroken` covers the outage, only this process was affected, and the servers that it
     /// retained for the outage have shut down.
-    void note_other_in_touch(time_point now, duration unbroken = duration::zero());
+    void record_other_connected(time_point now, duration unbroken = duration::zero());
 
     /// A registration has disappeared. Returns true when the server must be removed now, false when its
     /// registration is retained.
--- a/tests/unit/test_gateway_policy.cpp
+++ b/tests/unit/test_gateway_policy.cpp
@@ -207,7 +207,7 @@
     // The store rejects one gateway and serves all others. A server that drained meanwhile was retained by
     // this gateway for 2.3 s and got requests after it had announced that it was draining.
     registration_watch watch;
-    watch.note_other_in_touch(start_time);
+    watch.record_other_connected(start_time);
     watch.record_outage(start_time + 200ms);
     CHECK(watch.is_gone("server", start_time + 300ms));
     // The last message that another member can reach the store is old, so the store may be unavailable for
--- a/tests/unit/test_gateway_store_return.cpp
+++ b/tests/unit/test_gateway_store_return.cpp
@@ -110,7 +110,7 @@
         CHECK(here.roster().changes_after({2, 50}).retained.empty());
     }
     SECTION("whatever others say of their view of the store") {
-        here.roster().note_other_in_touch(1h);
+        here.roster().record_other_connected(1h);
         CHECK(here.usable("c") != 0);
     }
 }
--- a/tests/unit/test_policy_registration_watch.cpp
+++ b/tests/unit/test_policy_registration_watch.cpp
@@ -31,7 +31,7 @@
     // others.
     auto watch = make_cut_off();
     CHECK_FALSE(watch.is_gone("left meanwhile", start_time + 3s));
-    watch.note_other_in_touch(start_time + 3200ms, 10s);
+    watch.record_other_connected(start_time + 3200ms, 10s);
     CHECK(watch.take_expired(start_time + 3200ms) == std::vector<std::string>{"left meanwhile"});
     CHECK(watch.is_gone("left afterwards", start_time + 3300ms));
 }
@@ -40,7 +40,7 @@
     // Guards against removing all servers whose registrations expired while the store was unavailable.
     auto watch = make_cut_off();
     CHECK_FALSE(watch.is_gone("expired", start_time + 3s));
-    watch.note_other_in_touch(start_time + 3200ms, 200ms);
+    watch.record_other_connected(start_time + 3200ms, 200ms);
     CHECK(watch.take_expired(start_time + 3200ms).empty());
     CHECK_FALSE(watch.is_gone("expired too", start_time + 3300ms));
 }
@@ -49,7 +49,7 @@
           "[policy][registration_watch]") {
     // Guards against messages that were sent before the store became unavailable and are read only later.
     auto watch = make_cut_off();
-    watch.note_other_in_touch(start_time + 3010ms, 10s);
+    watch.record_other_connected(start_time + 3010ms, 10s);
     CHECK_FALSE(watch.is_gone("expired", start_time + 3100ms));
 }
 
@@ -58,7 +58,7 @@
     auto watch = make_cut_off();
     CHECK_FALSE(watch.is_gone("expired", start_time + 3s));
     watch.record_outage(start_time + 4s, start_time + 3500ms);
-    watch.note_other_in_touch(start_time + 4200ms, 1s);
+    watch.record_other_connected(start_time + 4200ms, 1s);
     CHECK(watch.take_expired(start_time + 4200ms).empty());
     CHECK_FALSE(watch.is_gone("expired too", start_time + 4300ms));
 }
