--- a/src/gateway/backend_roster.cpp
+++ b/src/gateway/backend_roster.cpp
@@ -206,7 +206,7 @@
         apply_registration(id, entry);
     }
     for (const auto& id : newer.retained) {
-        m_watch.note_missed(id, steady_clock::now());
+        m_watch.retain_registration(id, steady_clock::now());
     }
     m_position = std::max(m_position, newer.position);
     if (is_of_new_era) {
--- a/src/policy/registration_watch.cpp
+++ b/src/policy/registration_watch.cpp
@@ -48,11 +48,11 @@
     if (!is_around_outage(now)) {
         return true;
     }
-    note_missed(server, now);
+    retain_registration(server, now);
     return false;
 }
 
-void registration_watch::note_missed(std::string_view server, time_point now) {
+void registration_watch::retain_registration(std::string_view server, time_point now) {
     m_retained.try_emplace(std::string(server), now + grace);
 }
 
--- a/src/policy/registration_watch.hpp
+++ b/src/policy/registration_watch.hpp
@@ -46,7 +46,7 @@
     /// registration is retained.
     [[nodiscard]] bool is_gone(std::string_view server, time_point now);
     /// Retains a registration that another process, which this one relies on, has announced as retained.
-    void note_missed(std::string_view server, time_point now);
+    void retain_registration(std::string_view server, time_point now);
     /// Servers with a retained registration.
     [[nodiscard]] std::vector<std::string> missed() const;
     /// Records that the server is registered, which ends the retention.
--- a/tests/unit/test_policy_follower_duty.cpp
+++ b/tests/unit/test_policy_follower_duty.cpp
@@ -69,7 +69,7 @@
     // The gateway that polls the store retains the registration for a while and then removes the server,
     // which the store doesn't report as a change.
     registration_watch watch;
-    watch.note_missed("server", start_time);
+    watch.retain_registration("server", start_time);
     CHECK(watch.missed() == std::vector<std::string>{"server"});
     CHECK(watch.take_expired(start_time + 1s).empty());
     CHECK(watch.take_expired(start_time + 3s) == std::vector<std::string>{"server"});
