--- a/src/gateway/backend_roster.cpp
+++ b/src/gateway/backend_roster.cpp
@@ -232,7 +232,7 @@
 }
 
 void backend_roster::apply_registration(const std::string& id, const registration& received) {
-    m_watch.note_present(id);
+    m_watch.record_present(id);
     if (!m_all.contains(id) && was_removed_after(id, received.position)) {
         set_aside(id, received);
         return;
--- a/src/policy/registration_watch.cpp
+++ b/src/policy/registration_watch.cpp
@@ -61,7 +61,7 @@
     return {ids.begin(), ids.end()};
 }
 
-void registration_watch::note_present(std::string_view server) {
+void registration_watch::record_present(std::string_view server) {
     const auto found = m_retained.find(server);
     if (found != m_retained.end()) {
         m_retained.erase(found);
--- a/src/policy/registration_watch.hpp
+++ b/src/policy/registration_watch.hpp
@@ -50,7 +50,7 @@
     /// Servers with a retained registration.
     [[nodiscard]] std::vector<std::string> missed() const;
     /// Records that the server is registered, which ends the retention.
-    void note_present(std::string_view server);
+    void record_present(std::string_view server);
 
     /// Removes and returns the servers whose retention time is over. The caller must remove these servers.
     [[nodiscard]] std::vector<std::string> take_expired(time_point now);
--- a/tests/unit/test_gateway_policy.cpp
+++ b/tests/unit/test_gateway_policy.cpp
@@ -223,7 +223,7 @@
     watch.record_outage(start_time);
     CHECK_FALSE(watch.is_gone("a", start_time + 100ms));
     CHECK_FALSE(watch.is_gone("b", start_time + 100ms));
-    watch.note_present("b");
+    watch.record_present("b");
     CHECK(watch.take_expired(start_time + 1s).empty());
     CHECK(watch.take_expired(start_time + 100ms + registration_watch::grace) ==
           std::vector<std::string>{"a"});
