--- a/src/gateway/backend_roster.cpp
+++ b/src/gateway/backend_roster.cpp
@@ -177,7 +177,7 @@
     result.position = m_position;
     const bool is_other_era = held.era != m_position.era;
     result.is_complete = is_other_era || held.version == 0 || !m_removals.has_all_since(held);
-    result.retained = m_watch.missed();
+    result.retained = m_watch.retained();
     if (result.is_complete) {
         result.present = m_all;
         return result;
