--- a/src/policy/registration_watch.cpp
+++ b/src/policy/registration_watch.cpp
@@ -56,7 +56,7 @@
     m_retained.try_emplace(std::string(server), now + grace);
 }
 
-std::vector<std::string> registration_watch::missed() const {
+std::vector<std::string> registration_watch::retained() const {
     const auto ids = std::views::keys(m_retained);
     return {ids.begin(), ids.end()};
 }
--- a/src/policy/registration_watch.hpp
+++ b/src/policy/registration_watch.hpp
@@ -48,7 +48,7 @@
     /// Retains a registration that another process, which this one relies on, has announced as retained.
     void retain_registration(std::string_view server, time_point now);
     /// Servers with a retained registration.
-    [[nodiscard]] std::vector<std::string> missed() const;
+    [[nodiscard]] std::vector<std::string> retained() const;
     /// Records that the server is registered, which ends the retention.
     void record_present(std::string_view server);
 
--- a/tests/unit/test_policy_follower_duty.cpp
+++ b/tests/unit/test_policy_follower_duty.cpp
@@ -70,7 +70,7 @@
     // which the store doesn't report as a change.
     registration_watch watch;
     watch.retain_registration("server", start_time);
-    CHECK(watch.missed() == std::vector<std::string>{"server"});
+    CHECK(watch.retained() == std::vector<std::string>{"server"});
     CHECK(watch.take_expired(start_time + 1s).empty());
     CHECK(watch.take_expired(start_time + 3s) == std::vector<std::string>{"server"});
 }
