--- a/src/gateway/backend_roster.cpp
+++ b/src/gateway/backend_roster.cpp
@@ -362,7 +362,7 @@
     }
     if (has_drained(id)) {
         remove(id, "no longer registered, after it had announced that it drains");
-    } else if (m_watch.is_gone(id, steady_clock::now())) {
+    } else if (m_watch.should_remove(id, steady_clock::now())) {
         remove(id, "no longer registered");
     } else {
         events::write(events::event_kind::backend_missed, {{"backend", id}});
--- a/src/policy/registration_watch.cpp
+++ b/src/policy/registration_watch.cpp
@@ -44,7 +44,7 @@
     }
 }
 
-bool registration_watch::is_gone(std::string_view server, time_point now) {
+bool registration_watch::should_remove(std::string_view server, time_point now) {
     if (!is_around_outage(now)) {
         return true;
     }
--- a/src/policy/registration_watch.hpp
+++ b/src/policy/registration_watch.hpp
@@ -44,7 +44,7 @@
 
     /// A registration has disappeared. Returns true when the server must be removed now, false when its
     /// registration is retained.
-    [[nodiscard]] bool is_gone(std::string_view server, time_point now);
+    [[nodiscard]] bool should_remove(std::string_view server, time_point now);
     /// Retains a registration that another process, which this one relies on, has announced as retained.
     void retain_registration(std::string_view server, time_point now);
     /// Servers with a retained registration.
--- a/tests/unit/test_gateway_policy.cpp
+++ b/tests/unit/test_gateway_policy.cpp
@@ -209,25 +209,25 @@
     registration_watch watch;
     watch.record_other_connected(start_time);
     watch.record_outage(start_time + 200ms);
-    CHECK(watch.is_gone("server", start_time + 300ms));
+    CHECK(watch.should_remove("server", start_time + 300ms));
     // The last message that another member can reach the store is old, so the store may be unavailable for
     // all.
     watch.record_outage(start_time + 700ms);
-    CHECK_FALSE(watch.is_gone("server", start_time + 800ms));
+    CHECK_FALSE(watch.should_remove("server", start_time + 800ms));
 }
 
 TEST_CASE("registrations that vanish around an outage are retained for a while before they are removed",
           "[policy][registration_watch]") {
     registration_watch watch;
-    CHECK(watch.is_gone("a", start_time));
+    CHECK(watch.should_remove("a", start_time));
     watch.record_outage(start_time);
-    CHECK_FALSE(watch.is_gone("a", start_time + 100ms));
-    CHECK_FALSE(watch.is_gone("b", start_time + 100ms));
+    CHECK_FALSE(watch.should_remove("a", start_time + 100ms));
+    CHECK_FALSE(watch.should_remove("b", start_time + 100ms));
     watch.record_present("b");
     CHECK(watch.take_expired(start_time + 1s).empty());
     CHECK(watch.take_expired(start_time + 100ms + registration_watch::grace) ==
           std::vector<std::string>{"a"});
-    CHECK(watch.is_gone("c", start_time + 100ms + registration_watch::grace));
+    CHECK(watch.should_remove("c", start_time + 100ms + registration_watch::grace));
 }
 
 TEST_CASE("a request that was aborted at two crashed servers is quarantined, the ones beside it aren't",
--- a/tests/unit/test_policy_registration_watch.cpp
+++ b/tests/unit/test_policy_registration_watch.cpp
@@ -30,19 +30,19 @@
     // Guards against sending requests to servers that shut down while this process was disconnected from all
     // others.
     auto watch = make_cut_off();
-    CHECK_FALSE(watch.is_gone("left meanwhile", start_time + 3s));
+    CHECK_FALSE(watch.should_remove("left meanwhile", start_time + 3s));
     watch.record_other_connected(start_time + 3200ms, 10s);
     CHECK(watch.take_expired(start_time + 3200ms) == std::vector<std::string>{"left meanwhile"});
-    CHECK(watch.is_gone("left afterwards", start_time + 3300ms));
+    CHECK(watch.should_remove("left afterwards", start_time + 3300ms));
 }
 
 TEST_CASE("an outage that the others met as well stays the store's", "[policy][registration_watch]") {
     // Guards against removing all servers whose registrations expired while the store was unavailable.
     auto watch = make_cut_off();
-    CHECK_FALSE(watch.is_gone("expired", start_time + 3s));
+    CHECK_FALSE(watch.should_remove("expired", start_time + 3s));
     watch.record_other_connected(start_time + 3200ms, 200ms);
     CHECK(watch.take_expired(start_time + 3200ms).empty());
-    CHECK_FALSE(watch.is_gone("expired too", start_time + 3300ms));
+    CHECK_FALSE(watch.should_remove("expired too", start_time + 3300ms));
 }
 
 TEST_CASE("a message sent before the end of an outage doesn't end its retention",
@@ -50,17 +50,17 @@
     // Guards against messages that were sent before the store became unavailable and are read only later.
     auto watch = make_cut_off();
     watch.record_other_connected(start_time + 3010ms, 10s);
-    CHECK_FALSE(watch.is_gone("expired", start_time + 3100ms));
+    CHECK_FALSE(watch.should_remove("expired", start_time + 3100ms));
 }
 
 TEST_CASE("a later outage of this process alone doesn't end the retention for an outage of the store",
           "[policy][registration_watch]") {
     auto watch = make_cut_off();
-    CHECK_FALSE(watch.is_gone("expired", start_time + 3s));
+    CHECK_FALSE(watch.should_remove("expired", start_time + 3s));
     watch.record_outage(start_time + 4s, start_time + 3500ms);
     watch.record_other_connected(start_time + 4200ms, 1s);
     CHECK(watch.take_expired(start_time + 4200ms).empty());
-    CHECK_FALSE(watch.is_gone("expired too", start_time + 4300ms));
+    CHECK_FALSE(watch.should_remove("expired too", start_time + 4300ms));
 }
 
 TEST_CASE("the time without interruption starts again with the next answer after a failure or a gap",
