--- a/src/coordination/slot_coordinator.cpp
+++ b/src/coordination/slot_coordinator.cpp
@@ -66,7 +66,7 @@
     } else if (!m_retry_budget.try_repeat(request.service, now)) {
         const auto used = m_retry_budget.look(request.service, now);
         refuse(member, {request.ticket, policy::refusal_reason::over_retry_budget, retry_budget_wait,
-                        used.repeats + 1, used.allowed});
+                        used.retries + 1, used.allowed});
         return;
     }
     const double units = request.is_charged ? 0 : request.units;
