--- a/src/policy/repeat_budget.cpp
+++ b/src/policy/repeat_budget.cpp
@@ -38,20 +38,20 @@
     auto& of = m_services[service];
     forget_old(of, now);
     double requests = 0;
-    double repeats = 0;
+    double retries = 0;
     for (const auto& part : of) {
         requests += part.requests;
-        repeats += part.repeats;
+        retries += part.retries;
     }
-    return {repeats, (m_limits.ratio * requests + m_limits.reserve * m_share) * used_fraction};
+    return {retries, (m_limits.ratio * requests + m_limits.reserve * m_share) * used_fraction};
 }
 
 bool repeat_budget::try_repeat(service_key service, time_point now) {
     const auto used = look(service, now);
-    if (used.repeats + 1 > used.allowed) {
+    if (used.retries + 1 > used.allowed) {
         return false;
     }
-    ++current(m_services[service], now).repeats;
+    ++current(m_services[service], now).retries;
     return true;
 }
 
--- a/src/policy/repeat_budget.hpp
+++ b/src/policy/repeat_budget.hpp
@@ -30,7 +30,7 @@
     void count_request(service_key service, time_point now);
     /// Retries in a window, and how many are allowed in it.
     struct use {
-        double repeats = 0;
+        double retries = 0;
         double allowed = 0;
     };
     /// The retries in the window that ends now.
@@ -43,7 +43,7 @@
     struct slice {
         time_point begin;
         unsigned requests = 0;
-        unsigned repeats = 0;
+        unsigned retries = 0;
     };
     using history = std::deque<slice>;
 
