--- a/src/policy/repeat_budget.cpp
+++ b/src/policy/repeat_budget.cpp
@@ -34,7 +34,7 @@
     ++current(of, now).requests;
 }
 
-repeat_budget::use repeat_budget::look(service_key service, time_point now) {
+repeat_budget::use repeat_budget::current_use(service_key service, time_point now) {
     auto& of = m_services[service];
     forget_old(of, now);
     double requests = 0;
@@ -47,7 +47,7 @@
 }
 
 bool repeat_budget::try_repeat(service_key service, time_point now) {
-    const auto used = look(service, now);
+    const auto used = current_use(service, now);
     if (used.retries + 1 > used.allowed) {
         return false;
     }
--- a/src/policy/repeat_budget.hpp
+++ b/src/policy/repeat_budget.hpp
@@ -34,7 +34,7 @@
         double allowed = 0;
     };
     /// The retries in the window that ends now.
-    [[nodiscard]] use look(service_key service, time_point now);
+    [[nodiscard]] use current_use(service_key service, time_point now);
     /// Counts a retry and returns true if the budget allows one more.
     [[nodiscard]] bool try_repeat(service_key service, time_point now);
 
