--- a/src/policy/repeat_budget.cpp
+++ b/src/policy/repeat_budget.cpp
@@ -46,7 +46,7 @@
     return {retries, (m_limits.ratio * requests + m_limits.reserve * m_share) * used_fraction};
 }
 
-bool repeat_budget::try_repeat(service_key service, time_point now) {
+bool repeat_budget::try_acquire(service_key service, time_point now) {
     const auto used = current_use(service, now);
     if (used.retries + 1 > used.allowed) {
         return false;
--- a/src/policy/repeat_budget.hpp
+++ b/src/policy/repeat_budget.hpp
@@ -36,7 +36,7 @@
     /// The retries in the window that ends now.
     [[nodiscard]] use current_use(service_key service, time_point now);
     /// Counts a retry and returns true if the budget allows one more.
-    [[nodiscard]] bool try_repeat(service_key service, time_point now);
+    [[nodiscard]] bool try_acquire(service_key service, time_point now);
 
 private:
     /// Counts for one slice of the window.
