--- a/src/coordination/slot_broker.hpp
+++ b/src/coordination/slot_broker.hpp
@@ -43,7 +43,7 @@
     policy::election_limits election;
     policy::slot_scheduler_limits slots;
     policy::allowance_limits allowances;
-    policy::repeat_limits repeats;
+    policy::server_retry_limits repeats;
 };
 
 /// Who grants slots to the requests of this process.
--- a/src/coordination/slot_coordinator.cpp
+++ b/src/coordination/slot_coordinator.cpp
@@ -22,7 +22,7 @@
 } // namespace
 
 slot_coordinator::slot_coordinator(policy::slot_scheduler_limits slots, policy::allowance_limits allowances,
-                                   policy::repeat_limits repeats)
+                                   policy::server_retry_limits repeats)
     : m_scheduler(slots), m_quotas(allowances), m_retry_budget(repeats) {}
 
 void slot_coordinator::set_shares(double slots, double limits, policy::time_point now) {
--- a/src/coordination/slot_coordinator.hpp
+++ b/src/coordination/slot_coordinator.hpp
@@ -20,7 +20,7 @@
 class slot_coordinator {
 public:
     slot_coordinator(policy::slot_scheduler_limits slots, policy::allowance_limits allowances,
-                     policy::repeat_limits repeats);
+                     policy::server_retry_limits repeats);
 
     [[nodiscard]] policy::slot_scheduler& scheduler() noexcept { return m_scheduler; }
     [[nodiscard]] const policy::slot_scheduler& scheduler() const noexcept { return m_scheduler; }
--- a/src/policy/repeat_budget.hpp
+++ b/src/policy/repeat_budget.hpp
@@ -10,7 +10,7 @@
 namespace borageford::policy {
 
 /// Limits of the retries of one service in a time window.
-struct repeat_limits {
+struct server_retry_limits {
     double ratio = 0.1;  ///< retries in a window, as a fraction of the requests in it
     double reserve = 10; ///< retries allowed in a window in addition to the ratio
     duration window = std::chrono::seconds(10);
@@ -21,7 +21,7 @@
 /// Invariant: in every window, the retries of a service don't exceed ratio x requests + reserve x share.
 class repeat_budget {
 public:
-    explicit repeat_budget(repeat_limits limits) : m_limits(limits) {}
+    explicit repeat_budget(server_retry_limits limits) : m_limits(limits) {}
 
     /// Sets the fraction of the reserve that this process may use.
     void set_share(double share) noexcept { m_share = share; }
@@ -50,7 +50,7 @@
     slice& current(history& of, time_point now) const;
     void forget_old(history& of, time_point now) const;
 
-    repeat_limits m_limits;
+    server_retry_limits m_limits;
     double m_share = 1;
     std::unordered_map<service_key, history> m_services;
 };
