--- a/src/coordination/slot_coordinator.hpp
+++ b/src/coordination/slot_coordinator.hpp
@@ -61,7 +61,7 @@
 
     policy::slot_scheduler m_scheduler;
     policy::allowance_book m_quotas;
-    policy::repeat_budget m_retry_budget;
+    policy::server_retry_budget m_retry_budget;
     policy::crash_suspects m_suspects;
     policy::refusal_history m_refusal_history;
     std::unordered_map<policy::slot_ticket, known_request> m_requests;
--- a/src/policy/repeat_budget.cpp
+++ b/src/policy/repeat_budget.cpp
@@ -13,14 +13,14 @@
 
 } // namespace
 
-void repeat_budget::forget_old(history& of, time_point now) const {
+void server_retry_budget::forget_old(history& of, time_point now) const {
     const auto slice_length = m_limits.window / slices_per_window;
     while (!of.empty() && now - of.front().begin > m_limits.window + slice_length) {
         of.pop_front();
     }
 }
 
-repeat_budget::slice& repeat_budget::current(history& of, time_point now) const {
+server_retry_budget::slice& server_retry_budget::current(history& of, time_point now) const {
     const auto slice_length = m_limits.window / slices_per_window;
     if (of.empty() || now - of.back().begin >= slice_length) {
         of.push_back({now, 0, 0});
@@ -28,13 +28,13 @@
     return of.back();
 }
 
-void repeat_budget::count_request(service_key service, time_point now) {
+void server_retry_budget::count_request(service_key service, time_point now) {
     auto& of = m_services[service];
     forget_old(of, now);
     ++current(of, now).requests;
 }
 
-repeat_budget::use repeat_budget::current_use(service_key service, time_point now) {
+server_retry_budget::use server_retry_budget::current_use(service_key service, time_point now) {
     auto& of = m_services[service];
     forget_old(of, now);
     double requests = 0;
@@ -46,7 +46,7 @@
     return {retries, (m_limits.ratio * requests + m_limits.reserve * m_share) * used_fraction};
 }
 
-bool repeat_budget::try_acquire(service_key service, time_point now) {
+bool server_retry_budget::try_acquire(service_key service, time_point now) {
     const auto used = current_use(service, now);
     if (used.retries + 1 > used.allowed) {
         return false;
--- a/src/policy/repeat_budget.hpp
+++ b/src/policy/repeat_budget.hpp
@@ -19,9 +19,9 @@
 /// Counts requests and retries by service in a sliding window.
 ///
 /// Invariant: in every window, the retries of a service don't exceed ratio x requests + reserve x share.
-class repeat_budget {
+class server_retry_budget {
 public:
-    explicit repeat_budget(server_retry_limits limits) : m_limits(limits) {}
+    explicit server_retry_budget(server_retry_limits limits) : m_limits(limits) {}
 
     /// Sets the fraction of the reserve that this process may use.
     void set_share(double share) noexcept { m_share = share; }
--- a/tests/unit/test_gateway_policy.cpp
+++ b/tests/unit/test_gateway_policy.cpp
@@ -72,7 +72,7 @@
 
 TEST_CASE("retries stay within a share of the requests and a reserve", "[policy][repeat_budget]") {
     // A service fails all requests. Without a budget, each request would be sent to several servers.
-    repeat_budget budget({.ratio = 0.2, .reserve = 10, .window = 10s});
+    server_retry_budget budget({.ratio = 0.2, .reserve = 10, .window = 10s});
     int retries = 0;
     for (int index = 0; index < 1000; ++index) {
         const auto now = start_time + index * 10ms;
