--- a/src/coordination/slot_coordinator.cpp
+++ b/src/coordination/slot_coordinator.cpp
@@ -90,7 +90,7 @@
     }
     const auto found = m_requests.find(ticket);
     if (found != m_requests.end()) {
-        m_quotas.give_back(found->second.workspace, found->second.charged_units, now);
+        m_quotas.refund(found->second.workspace, found->second.charged_units, now);
         m_requests.erase(found);
     }
 }
@@ -108,7 +108,7 @@
         m_suspects.note_gone(ended.server, now);
     }
     if (policy::has_not_run(ended.outcome)) {
-        m_quotas.give_back(found->second.workspace, found->second.charged_units, now);
+        m_quotas.refund(found->second.workspace, found->second.charged_units, now);
     }
     m_requests.erase(found);
 }
@@ -143,7 +143,7 @@
     }
     for (const auto& refusal : m_scheduler.take_refusals()) {
         const auto found = m_requests.find(refusal.ticket);
-        m_quotas.give_back(found->second.workspace, found->second.charged_units, now);
+        m_quotas.refund(found->second.workspace, found->second.charged_units, now);
         m_refusal_history.record_refused(found->second.fingerprint, now);
         m_output[found->second.member].refusals.push_back(refusal);
         m_requests.erase(found);
--- a/src/policy/allowance_book.cpp
+++ b/src/policy/allowance_book.cpp
@@ -105,7 +105,7 @@
     return found->second.bucket.level_at(now) - reserved_for_higher_ranks(found->second, units, rank);
 }
 
-void allowance_book::give_back(workspace_key workspace, double units, time_point now) {
+void allowance_book::refund(workspace_key workspace, double units, time_point now) {
     const auto found = m_entries.find(workspace);
     if (found != m_entries.end() && units > 0) {
         found->second.bucket.charge(-units, now);
--- a/src/policy/allowance_book.hpp
+++ b/src/policy/allowance_book.hpp
@@ -51,7 +51,7 @@
     /// an unknown workspace.
     [[nodiscard]] double available(workspace_key workspace, double units, int rank, time_point now) const;
     /// Returns units to the bucket that were taken for a request that didn't run.
-    void give_back(workspace_key workspace, double units, time_point now);
+    void refund(workspace_key workspace, double units, time_point now);
     /// Time until try_take() can succeed; zero for an unknown workspace; `duration::max()` when it never
     /// will, see token_bucket::time_until().
     [[nodiscard]] duration time_until(workspace_key workspace, double units, int rank, time_point now) const;
--- a/tests/unit/test_gateway_policy.cpp
+++ b/tests/unit/test_gateway_policy.cpp
@@ -95,7 +95,7 @@
     CHECK_FALSE(quotas.try_take(1, 1, 0, later));
     CHECK(quotas.time_until(1, 50, 0, later) == 500ms);
     CHECK(quotas.try_take(1, 50, 0, later + 500ms));
-    quotas.give_back(1, 50, later + 500ms);
+    quotas.refund(1, 50, later + 500ms);
     CHECK(quotas.try_take(1, 50, 0, later + 500ms));
     quotas.set_share(0.5, later + 500ms);
     CHECK_FALSE(quotas.try_take(1, 100, 0, later + 1500ms));
