--- a/src/policy/allowance_book.cpp
+++ b/src/policy/allowance_book.cpp
@@ -24,16 +24,16 @@
 
 } // namespace
 
-double allowance_book::shared_rate(const allowance& limit) const {
+double allowance_book::shared_rate(const quota& limit) const {
     return limit.rate * (1 + m_limits.tolerance * used_tolerance) * m_share;
 }
 
-double allowance_book::shared_burst(const allowance& limit) const {
+double allowance_book::shared_burst(const quota& limit) const {
     return limit.burst * (1 + m_limits.tolerance * used_tolerance) * m_share +
            m_limits.slack * used_tolerance * m_share;
 }
 
-double allowance_book::initial_level(const allowance& limit) const {
+double allowance_book::initial_level(const quota& limit) const {
     const double window = to_seconds(m_limits.window);
     const double tolerated = m_limits.tolerance * (limit.rate * window + limit.burst) + m_limits.slack;
     const double unused = tolerated * (1 - used_tolerance);
@@ -64,7 +64,7 @@
     }
 }
 
-void allowance_book::set_limit(workspace_key workspace, allowance limit, time_point now) {
+void allowance_book::set_limit(workspace_key workspace, quota limit, time_point now) {
     const auto found = m_entries.find(workspace);
     if (found != m_entries.end()) {
         found->second.limit = limit;
--- a/src/policy/allowance_book.hpp
+++ b/src/policy/allowance_book.hpp
@@ -11,7 +11,7 @@
 namespace borageford::policy {
 
 /// Configured quota of a workspace. The unit is the one configured for the workspace: requests or tokens.
-struct allowance {
+struct quota {
     double rate = 0; ///< units a second; 0: unlimited
     /// Capacity of the token bucket, in units.
     double burst = 0;
@@ -38,7 +38,7 @@
     void set_share(double share, time_point now);
 
     /// Adds a workspace or changes its quota; keeps the bucket's level when the workspace is known.
-    void set_limit(workspace_key workspace, allowance limit, time_point now);
+    void set_limit(workspace_key workspace, quota limit, time_point now);
     void remove(workspace_key workspace) { m_entries.erase(workspace); }
 
     /// Takes the units from the bucket of the workspace if there are enough, and returns whether it did. A
@@ -58,17 +58,17 @@
 
 private:
     struct entry {
-        allowance limit;
+        quota limit;
         token_bucket bucket;
         /// Units that the bucket has been given as its initial level, at the largest share so far.
         double initial_level = 0;
     };
 
-    [[nodiscard]] double initial_level(const allowance& limit) const;
+    [[nodiscard]] double initial_level(const quota& limit) const;
     void raise_to_initial_level(entry& to, time_point now) const;
     [[nodiscard]] double reserved_for_higher_ranks(const entry& of, double units, int rank) const;
-    [[nodiscard]] double shared_rate(const allowance& limit) const;
-    [[nodiscard]] double shared_burst(const allowance& limit) const;
+    [[nodiscard]] double shared_rate(const quota& limit) const;
+    [[nodiscard]] double shared_burst(const quota& limit) const;
 
     allowance_limits m_limits;
     double m_share = 1;
--- a/tests/unit/test_gateway_policy.cpp
+++ b/tests/unit/test_gateway_policy.cpp
@@ -108,7 +108,7 @@
     // A workspace requests far more than its quota, and the process that counts its units is replaced twice
     // within a window.
     const allowance_limits limits{.window = 8s, .tolerance = 0.1, .slack = 500};
-    const allowance limit{.rate = 100, .burst = 200};
+    const quota limit{.rate = 100, .burst = 200};
     double granted = 0;
     auto quotas = std::make_unique<allowance_book>(limits);
     quotas->set_limit(1, limit, start_time);
