--- a/src/coordination/slot_coordinator.cpp
+++ b/src/coordination/slot_coordinator.cpp
@@ -21,7 +21,7 @@
 
 } // namespace
 
-slot_coordinator::slot_coordinator(policy::slot_scheduler_limits slots, policy::allowance_limits allowances,
+slot_coordinator::slot_coordinator(policy::slot_scheduler_limits slots, policy::quota_limits allowances,
                                    policy::server_retry_limits repeats)
     : m_scheduler(slots), m_quotas(allowances), m_retry_budget(repeats) {}
 
--- a/src/coordination/slot_coordinator.hpp
+++ b/src/coordination/slot_coordinator.hpp
@@ -19,7 +19,7 @@
 /// them.
 class slot_coordinator {
 public:
-    slot_coordinator(policy::slot_scheduler_limits slots, policy::allowance_limits allowances,
+    slot_coordinator(policy::slot_scheduler_limits slots, policy::quota_limits allowances,
                      policy::server_retry_limits repeats);
 
     [[nodiscard]] policy::slot_scheduler& scheduler() noexcept { return m_scheduler; }
--- a/src/policy/allowance_book.hpp
+++ b/src/policy/allowance_book.hpp
@@ -18,7 +18,7 @@
 };
 
 /// How far the use of a workspace may exceed its quota.
-struct allowance_limits {
+struct quota_limits {
     /// Time window in which the use is compared with the quota.
     duration window = std::chrono::seconds(8);
     double tolerance = 0.1; ///< Fraction by which the use in one window may exceed the quota.
@@ -31,7 +31,7 @@
 /// exceed the tolerance.
 class allowance_book {
 public:
-    explicit allowance_book(allowance_limits limits) : m_limits(limits) {}
+    explicit allowance_book(quota_limits limits) : m_limits(limits) {}
 
     /// Sets the fraction of every quota that this process may grant. It is below 1 while other processes may
     /// grant the remaining fraction.
@@ -70,7 +70,7 @@
     [[nodiscard]] double shared_rate(const quota& limit) const;
     [[nodiscard]] double shared_burst(const quota& limit) const;
 
-    allowance_limits m_limits;
+    quota_limits m_limits;
     double m_share = 1;
     std::unordered_map<workspace_key, entry> m_entries;
 };
--- a/tests/unit/test_gateway_policy.cpp
+++ b/tests/unit/test_gateway_policy.cpp
@@ -107,7 +107,7 @@
           "[policy][allowance_book]") {
     // A workspace requests far more than its quota, and the process that counts its units is replaced twice
     // within a window.
-    const allowance_limits limits{.window = 8s, .tolerance = 0.1, .slack = 500};
+    const quota_limits limits{.window = 8s, .tolerance = 0.1, .slack = 500};
     const quota limit{.rate = 100, .burst = 200};
     double granted = 0;
     auto quotas = std::make_unique<allowance_book>(limits);
@@ -129,7 +129,7 @@
     // All gateways were killed and start again, and each grants its own share of the quota until it has found
     // the coordinator. When the initial level of the bucket didn't depend on the share, a workspace could
     // exceed its quota by as many times as there are gateways.
-    const allowance_limits limits{.window = 8s, .tolerance = 0.1, .slack = 500};
+    const quota_limits limits{.window = 8s, .tolerance = 0.1, .slack = 500};
     const auto grant_at_start = [&](double share) {
         allowance_book quotas(limits);
         quotas.set_share(share, start_time);
@@ -150,7 +150,7 @@
     // of its share, a workspace with few requests a second would be refused for seconds although it is within
     // its quota. If it got the full initial level again at each change of its share, the workspace could
     // exceed its quota.
-    const allowance_limits limits{.window = 8s, .tolerance = 0.1, .slack = 500};
+    const quota_limits limits{.window = 8s, .tolerance = 0.1, .slack = 500};
     const auto grant_all = [](allowance_book& quotas) {
         double granted = 0;
         while (quotas.try_take(1, 1, 0, start_time)) {
