--- a/src/coordination/slot_coordinator.hpp
+++ b/src/coordination/slot_coordinator.hpp
@@ -24,7 +24,7 @@
 
     [[nodiscard]] policy::slot_scheduler& scheduler() noexcept { return m_scheduler; }
     [[nodiscard]] const policy::slot_scheduler& scheduler() const noexcept { return m_scheduler; }
-    [[nodiscard]] policy::allowance_book& allowances() noexcept { return m_quotas; }
+    [[nodiscard]] policy::quota_tracker& allowances() noexcept { return m_quotas; }
 
     /// Sets the shares that this process may grant, each from 0 to 1: `slots` of all slots, `limits` of the
     /// quotas and of the retry budget.
@@ -60,7 +60,7 @@
     void refuse(policy::member_key member, const policy::slot_refusal& refusal);
 
     policy::slot_scheduler m_scheduler;
-    policy::allowance_book m_quotas;
+    policy::quota_tracker m_quotas;
     policy::server_retry_budget m_retry_budget;
     policy::crash_suspects m_suspects;
     policy::refusal_history m_refusal_history;
--- a/src/policy/allowance_book.cpp
+++ b/src/policy/allowance_book.cpp
@@ -24,16 +24,16 @@
 
 } // namespace
 
-double allowance_book::shared_rate(const quota& limit) const {
+double quota_tracker::shared_rate(const quota& limit) const {
     return limit.rate * (1 + m_limits.tolerance * used_tolerance) * m_share;
 }
 
-double allowance_book::shared_burst(const quota& limit) const {
+double quota_tracker::shared_burst(const quota& limit) const {
     return limit.burst * (1 + m_limits.tolerance * used_tolerance) * m_share +
            m_limits.slack * used_tolerance * m_share;
 }
 
-double allowance_book::initial_level(const quota& limit) const {
+double quota_tracker::initial_level(const quota& limit) const {
     const double window = to_seconds(m_limits.window);
     const double tolerated = m_limits.tolerance * (limit.rate * window + limit.burst) + m_limits.slack;
     const double unused = tolerated * (1 - used_tolerance);
@@ -43,7 +43,7 @@
     return std::min(shared_burst(limit), unused / covered_coordinator_changes * m_share);
 }
 
-void allowance_book::set_share(double share, time_point now) {
+void quota_tracker::set_share(double share, time_point now) {
     if (share == m_share) {
         return;
     }
@@ -56,7 +56,7 @@
 
 /// Raises the bucket to the initial level for the current share, less what it was given before. This happens
 /// when a process becomes coordinator and its share is larger than ever before.
-void allowance_book::raise_to_initial_level(entry& to, time_point now) const {
+void quota_tracker::raise_to_initial_level(entry& to, time_point now) const {
     const double level = initial_level(to.limit);
     if (level > to.initial_level) {
         to.bucket.charge(to.initial_level - level, now);
@@ -64,7 +64,7 @@
     }
 }
 
-void allowance_book::set_limit(workspace_key workspace, quota limit, time_point now) {
+void quota_tracker::set_limit(workspace_key workspace, quota limit, time_point now) {
     const auto found = m_entries.find(workspace);
     if (found != m_entries.end()) {
         found->second.limit = limit;
@@ -77,7 +77,7 @@
     m_entries.emplace(workspace, entry{limit, bucket, level});
 }
 
-double allowance_book::reserved_for_higher_ranks(const entry& of, double units, int rank) const {
+double quota_tracker::reserved_for_higher_ranks(const entry& of, double units, int rank) const {
     const double bucket = shared_burst(of.limit);
     if (bucket <= 0) {
         return 0;
@@ -86,7 +86,7 @@
     return bucket * weight * std::min(max_reserved_for_higher_ranks, reserved_per_rank * rank);
 }
 
-bool allowance_book::try_take(workspace_key workspace, double units, int rank, time_point now) {
+bool quota_tracker::try_take(workspace_key workspace, double units, int rank, time_point now) {
     const auto found = m_entries.find(workspace);
     if (found == m_entries.end() || found->second.limit.rate <= 0) {
         return true;
@@ -97,7 +97,7 @@
     return leaves_enough && held.bucket.try_take(units, now);
 }
 
-double allowance_book::available(workspace_key workspace, double units, int rank, time_point now) const {
+double quota_tracker::available(workspace_key workspace, double units, int rank, time_point now) const {
     const auto found = m_entries.find(workspace);
     if (found == m_entries.end()) {
         return 0;
@@ -105,14 +105,14 @@
     return found->second.bucket.level_at(now) - reserved_for_higher_ranks(found->second, units, rank);
 }
 
-void allowance_book::refund(workspace_key workspace, double units, time_point now) {
+void quota_tracker::refund(workspace_key workspace, double units, time_point now) {
     const auto found = m_entries.find(workspace);
     if (found != m_entries.end() && units > 0) {
         found->second.bucket.charge(-units, now);
     }
 }
 
-duration allowance_book::time_until(workspace_key workspace, double units, int rank, time_point now) const {
+duration quota_tracker::time_until(workspace_key workspace, double units, int rank, time_point now) const {
     const auto found = m_entries.find(workspace);
     if (found == m_entries.end()) {
         return duration::zero();
--- a/src/policy/allowance_book.hpp
+++ b/src/policy/allowance_book.hpp
@@ -29,9 +29,9 @@
 /// lost when the process that keeps it stops. A new bucket therefore starts with only a fraction of the
 /// tolerance instead of a full burst, so that several changes of the coordinator within one window don't
 /// exceed the tolerance.
-class allowance_book {
+class quota_tracker {
 public:
-    explicit allowance_book(quota_limits limits) : m_limits(limits) {}
+    explicit quota_tracker(quota_limits limits) : m_limits(limits) {}
 
     /// Sets the fraction of every quota that this process may grant. It is below 1 while other processes may
     /// grant the remaining fraction.
--- a/tests/unit/test_gateway_policy.cpp
+++ b/tests/unit/test_gateway_policy.cpp
@@ -86,7 +86,7 @@
 }
 
 TEST_CASE("a quota is a rate with a burst, divided by shares", "[policy][allowance_book]") {
-    allowance_book quotas({.window = 8s, .tolerance = 0, .slack = 0});
+    quota_tracker quotas({.window = 8s, .tolerance = 0, .slack = 0});
     quotas.set_limit(1, {.rate = 100, .burst = 200}, start_time);
     // A new bucket isn't full, because other processes may have started one within the same window.
     CHECK_FALSE(quotas.try_take(1, 200, 0, start_time));
@@ -110,12 +110,12 @@
     const quota_limits limits{.window = 8s, .tolerance = 0.1, .slack = 500};
     const quota limit{.rate = 100, .burst = 200};
     double granted = 0;
-    auto quotas = std::make_unique<allowance_book>(limits);
+    auto quotas = std::make_unique<quota_tracker>(limits);
     quotas->set_limit(1, limit, start_time);
     for (int step = 0; step < 800; ++step) {
         const auto now = start_time + step * 10ms;
         if (step == 300 || step == 500) {
-            quotas = std::make_unique<allowance_book>(limits);
+            quotas = std::make_unique<quota_tracker>(limits);
             quotas->set_limit(1, limit, now);
         }
         granted += quotas->try_take(1, 10, 0, now) ? 10 : 0;
@@ -131,7 +131,7 @@
     // exceed its quota by as many times as there are gateways.
     const quota_limits limits{.window = 8s, .tolerance = 0.1, .slack = 500};
     const auto grant_at_start = [&](double share) {
-        allowance_book quotas(limits);
+        quota_tracker quotas(limits);
         quotas.set_share(share, start_time);
         quotas.set_limit(1, {.rate = 1000, .burst = 1000}, start_time);
         double granted = 0;
@@ -151,16 +151,16 @@
     // its quota. If it got the full initial level again at each change of its share, the workspace could
     // exceed its quota.
     const quota_limits limits{.window = 8s, .tolerance = 0.1, .slack = 500};
-    const auto grant_all = [](allowance_book& quotas) {
+    const auto grant_all = [](quota_tracker& quotas) {
         double granted = 0;
         while (quotas.try_take(1, 1, 0, start_time)) {
             ++granted;
         }
         return granted;
     };
-    allowance_book alone(limits);
+    quota_tracker alone(limits);
     alone.set_limit(1, {.rate = 1000, .burst = 1000}, start_time);
-    allowance_book chosen(limits);
+    quota_tracker chosen(limits);
     chosen.set_share(0.25, start_time);
     chosen.set_limit(1, {.rate = 1000, .burst = 1000}, start_time);
     const double as_share = grant_all(chosen);
@@ -176,7 +176,7 @@
 TEST_CASE("a scarce quota goes to the higher ranks of its workspace", "[policy][allowance_book]") {
     // A workspace sends five times what its quota allows. Granted in the order of arrival, the quota would be
     // spent on long notes that can wait, and the summaries that its writers are waiting for would be refused.
-    allowance_book quotas({.window = 8s, .tolerance = 0, .slack = 0});
+    quota_tracker quotas({.window = 8s, .tolerance = 0, .slack = 0});
     quotas.set_limit(1, {.rate = 1000, .burst = 1000}, start_time);
     std::array<int, 3> requested{};
     std::array<int, 3> taken{};
@@ -194,7 +194,7 @@
 }
 
 TEST_CASE("a lowered quota takes effect at once", "[policy][allowance_book]") {
-    allowance_book quotas({.window = 8s, .tolerance = 0, .slack = 0});
+    quota_tracker quotas({.window = 8s, .tolerance = 0, .slack = 0});
     quotas.set_limit(1, {.rate = 1000, .burst = 1000}, start_time);
     const auto now = start_time + 10s;
     quotas.set_limit(1, {.rate = 10, .burst = 10}, now);
