--- a/src/experiment/experiment_reader.cpp
+++ b/src/experiment/experiment_reader.cpp
@@ -178,7 +178,7 @@
         workspace.tier = static_cast<int>(reader.number("tier", 0, 0, most_tier));
         workspace.rate = reader.real("tokens_per_second", 0, 0, most);
         workspace.burst = reader.real("token_burst", 0, 0, most);
-        workspace.unit = routing::allowance_unit::tokens;
+        workspace.unit = routing::quota_unit::tokens;
         reader.finish();
         m_plan.configuration.workspaces.push_back(std::move(workspace));
     }
--- a/src/gateway/admitted_request.cpp
+++ b/src/gateway/admitted_request.cpp
@@ -72,7 +72,7 @@
     if (workspace == nullptr) {
         return 0;
     }
-    if (workspace->unit == routing::allowance_unit::requests) {
+    if (workspace->unit == routing::quota_unit::requests) {
         return 1;
     }
     const double stated = tokens.prompt + tokens.max_output;
--- a/src/routing/routing_types.hpp
+++ b/src/routing/routing_types.hpp
@@ -66,14 +66,14 @@
 };
 
 /// Unit in which a workspace's quota is counted.
-enum class allowance_unit : std::uint8_t { requests, tokens };
+enum class quota_unit : std::uint8_t { requests, tokens };
 
 /// A customer, with its API keys and its quota.
 struct workspace {
     std::string name;
     std::vector<std::string> keys;
     std::optional<int> tier; ///< takes precedence over the route's tier
-    allowance_unit unit = allowance_unit::requests;
+    quota_unit unit = quota_unit::requests;
     double rate = 0;         ///< quota in units per second over all processes; 0: unlimited
     double burst = 0;        ///< units
     double plain_tokens = 1; ///< tokens counted for a request that doesn't state its number of tokens
--- a/tests/failure/test_gateway_coordination.cpp
+++ b/tests/failure/test_gateway_coordination.cpp
@@ -20,7 +20,7 @@
     options.gateways = gateways;
     options.configuration = plain_configuration(routing::route_kind::idempotent);
     routing::workspace workspace{"archive", {"key"}, std::nullopt};
-    workspace.unit = routing::allowance_unit::tokens;
+    workspace.unit = routing::quota_unit::tokens;
     workspace.rate = 1;
     workspace.burst = 3000;
     workspace.plain_tokens = 1000;
--- a/tests/unit/test_platform_codecs.cpp
+++ b/tests/unit/test_platform_codecs.cpp
@@ -54,7 +54,7 @@
     CHECK(table.find_service("huvo11a")->engine->tokens_per_event == 4);
     CHECK_FALSE(table.find_service("wuno96b")->engine.has_value());
     REQUIRE(table.find_workspace("k2") != nullptr);
-    CHECK(table.find_workspace("k2")->unit == routing::allowance_unit::tokens);
+    CHECK(table.find_workspace("k2")->unit == routing::quota_unit::tokens);
     CHECK(table.find_workspace("k2")->tier == 1);
     CHECK(table.find_workspace("k3") == nullptr);
 }
