--- a/src/gateway/admitted_request.cpp
+++ b/src/gateway/admitted_request.cpp
@@ -76,7 +76,7 @@
         return 1;
     }
     const double stated = tokens.prompt + tokens.max_output;
-    return stated > 0 ? stated : workspace->plain_tokens;
+    return stated > 0 ? stated : workspace->default_tokens;
 }
 
 } // namespace
--- a/src/routing/routing_types.hpp
+++ b/src/routing/routing_types.hpp
@@ -74,9 +74,9 @@
     std::vector<std::string> keys;
     std::optional<int> tier; ///< takes precedence over the route's tier
     quota_unit unit = quota_unit::requests;
-    double rate = 0;         ///< quota in units per second over all processes; 0: unlimited
-    double burst = 0;        ///< units
-    double plain_tokens = 1; ///< tokens counted for a request that doesn't state its number of tokens
+    double rate = 0;           ///< quota in units per second over all processes; 0: unlimited
+    double burst = 0;          ///< units
+    double default_tokens = 1; ///< tokens counted for a request that doesn't state its number of tokens
 };
 
 /// Limits of what callers may send and how long they may take.
--- a/tests/failure/test_gateway_coordination.cpp
+++ b/tests/failure/test_gateway_coordination.cpp
@@ -23,7 +23,7 @@
     workspace.unit = routing::quota_unit::tokens;
     workspace.rate = 1;
     workspace.burst = 3000;
-    workspace.plain_tokens = 1000;
+    workspace.default_tokens = 1000;
     options.gateway_settings = "allowance_slack = 60000\n";
     options.configuration.workspaces.push_back(workspace);
     options.backends = {plain_backend("server-0"), plain_backend("server-1")};
