--- a/src/gateway/request_exchange.cpp
+++ b/src/gateway/request_exchange.cpp
@@ -188,12 +188,12 @@
     m_server_id = server != nullptr ? server->record().id : "unknown";
     m_journal.placed(m_admitted, grant, m_server_id, m_attempts.tries());
     if (server == nullptr) {
-        fail_attempt(policy::try_outcome::unreachable, policy::slot_outcome::refused,
+        fail_attempt(policy::attempt_outcome::unreachable, policy::slot_outcome::refused,
                      "the server isn't registered here");
     } else if (server->record().state != routing::backend_state::ready) {
         // The coordinator may not have read that the server is draining, for instance while the store refuses
         // the coordinator's requests.
-        fail_attempt(policy::try_outcome::unreachable, policy::slot_outcome::refused,
+        fail_attempt(policy::attempt_outcome::unreachable, policy::slot_outcome::refused,
                      "the server is leaving");
     } else {
         send_to(std::move(server));
@@ -278,7 +278,7 @@
         complete_events = m_events.add(bytes);
     } catch (const http::response_error& error) {
         m_call->cancel();
-        fail_attempt(policy::try_outcome::may_have_run, policy::slot_outcome::broken, error.what());
+        fail_attempt(policy::attempt_outcome::may_have_run, policy::slot_outcome::broken, error.what());
         return;
     }
     if (complete_events.empty()) {
@@ -333,7 +333,7 @@
         return;
     }
     if (!m_events.is_whole()) {
-        fail_attempt(policy::try_outcome::may_have_run, policy::slot_outcome::broken,
+        fail_attempt(policy::attempt_outcome::may_have_run, policy::slot_outcome::broken,
                      "a stream without its last event");
         return;
     }
@@ -347,17 +347,17 @@
 void request_exchange::handle_complete_answer() {
     const auto& response = m_call->response();
     if (response.status() == misdirected) {
-        fail_attempt(policy::try_outcome::not_executed, policy::slot_outcome::replaced,
+        fail_attempt(policy::attempt_outcome::not_executed, policy::slot_outcome::replaced,
                      "another server answers at its address");
         return;
     }
     if (response.fields().find(m_context.fields.not_executed).has_value()) {
-        fail_attempt(policy::try_outcome::not_executed, policy::slot_outcome::refused,
+        fail_attempt(policy::attempt_outcome::not_executed, policy::slot_outcome::refused,
                      "the server refused it");
         return;
     }
     if (m_has_begun_stream) {
-        fail_attempt(policy::try_outcome::may_have_run, policy::slot_outcome::failed,
+        fail_attempt(policy::attempt_outcome::may_have_run, policy::slot_outcome::failed,
                      "the stream can't go on there");
         return;
     }
@@ -365,7 +365,7 @@
     const auto tries = m_attempts.tries() + 1;
     if (has_failed) {
         const auto busy = clock::now() - m_slot_begin;
-        m_attempts.record(m_slot, policy::try_outcome::may_have_run);
+        m_attempts.record(m_slot, policy::attempt_outcome::may_have_run);
         release_slot(policy::slot_outcome::failed);
         const bool will_retry = may_try_again();
         m_journal.attempt_failed(m_admitted, m_server_id, policy::slot_outcome::failed,
@@ -386,17 +386,17 @@
 
 void request_exchange::handle_failure(call_failure what, std::string_view reason) {
     if (what == call_failure::unreachable) {
-        fail_attempt(policy::try_outcome::unreachable, policy::slot_outcome::unreachable, reason);
+        fail_attempt(policy::attempt_outcome::unreachable, policy::slot_outcome::unreachable, reason);
     } else {
-        fail_attempt(policy::try_outcome::may_have_run, policy::slot_outcome::broken, reason);
+        fail_attempt(policy::attempt_outcome::may_have_run, policy::slot_outcome::broken, reason);
     }
 }
 
-void request_exchange::fail_attempt(policy::try_outcome outcome, policy::slot_outcome slot,
+void request_exchange::fail_attempt(policy::attempt_outcome outcome, policy::slot_outcome slot,
                                     std::string_view reason) {
     const auto busy = clock::now() - m_slot_begin;
     // The slot scheduler refunds the quota of a request that didn't run when its slot is released.
-    m_is_charged = outcome == policy::try_outcome::may_have_run;
+    m_is_charged = outcome == policy::attempt_outcome::may_have_run;
     m_attempts.record(m_slot, outcome);
     release_slot(slot);
     m_call.reset();
@@ -425,7 +425,7 @@
     const bool is_running = m_call != nullptr;
     if (is_running) {
         m_call->cancel();
-        m_attempts.record(m_slot, policy::try_outcome::may_have_run);
+        m_attempts.record(m_slot, policy::attempt_outcome::may_have_run);
     }
     release_slot(policy::slot_outcome::abandoned);
     end_without_answer(is_running ? error_kind::backend_stalled : error_kind::deadline_unreachable,
--- a/src/gateway/request_exchange.hpp
+++ b/src/gateway/request_exchange.hpp
@@ -72,7 +72,7 @@
     void handle_complete();
     void handle_complete_answer();
     void handle_failure(call_failure what, std::string_view reason);
-    void fail_attempt(policy::try_outcome outcome, policy::slot_outcome slot, std::string_view reason);
+    void fail_attempt(policy::attempt_outcome outcome, policy::slot_outcome slot, std::string_view reason);
     [[nodiscard]] bool may_try_again() const;
 
     // Answering the caller.
--- a/src/policy/attempt_rule.hpp
+++ b/src/policy/attempt_rule.hpp
@@ -9,7 +9,7 @@
 namespace borageford::policy {
 
 /// Result of one attempt to run a request on a server.
-enum class try_outcome : std::uint8_t {
+enum class attempt_outcome : std::uint8_t {
     unreachable,  ///< The request couldn't be sent, so it hasn't run.
     not_executed, ///< The server reported that it didn't run the request.
     may_have_run  ///< The request was sent, and no answer or a failed answer came back.
@@ -25,10 +25,10 @@
         : m_is_repeatable(is_repeatable), m_allowed_runs(allowed_runs) {}
 
     /// Records an attempt that has failed.
-    void record(server_key server, try_outcome outcome) noexcept {
+    void record(server_key server, attempt_outcome outcome) noexcept {
         ++m_attempts;
-        m_arrivals += outcome == try_outcome::unreachable ? 0 : 1;
-        m_possible_runs += outcome == try_outcome::may_have_run ? 1 : 0;
+        m_arrivals += outcome == attempt_outcome::unreachable ? 0 : 1;
+        m_possible_runs += outcome == attempt_outcome::may_have_run ? 1 : 0;
         std::ranges::rotate(m_failed_servers, m_failed_servers.end() - 1);
         m_failed_servers.front() = server;
     }
--- a/tests/unit/test_gateway_policy.cpp
+++ b/tests/unit/test_gateway_policy.cpp
@@ -55,18 +55,18 @@
 TEST_CASE("a request that may have run is only sent to another server if it may run twice",
           "[policy][attempt_rule]") {
     attempt_rule not_repeatable(false, 3);
-    not_repeatable.record(1, try_outcome::unreachable);
-    not_repeatable.record(2, try_outcome::not_executed);
+    not_repeatable.record(1, attempt_outcome::unreachable);
+    not_repeatable.record(2, attempt_outcome::not_executed);
     CHECK(not_repeatable.may_try_again());
     CHECK(not_repeatable.arrivals() == 1);
-    not_repeatable.record(3, try_outcome::may_have_run);
+    not_repeatable.record(3, attempt_outcome::may_have_run);
     CHECK_FALSE(not_repeatable.may_try_again());
     CHECK(not_repeatable.may_have_run());
 
     attempt_rule repeatable(true, 2);
-    repeatable.record(1, try_outcome::may_have_run);
+    repeatable.record(1, attempt_outcome::may_have_run);
     CHECK(repeatable.may_try_again());
-    repeatable.record(2, try_outcome::may_have_run);
+    repeatable.record(2, attempt_outcome::may_have_run);
     CHECK_FALSE(repeatable.may_try_again());
 }
 
