--- a/src/gateway/request_exchange.cpp
+++ b/src/gateway/request_exchange.cpp
@@ -367,7 +367,7 @@
         const auto busy = clock::now() - m_slot_begin;
         m_attempts.record(m_slot, policy::attempt_outcome::may_have_run);
         release_slot(policy::slot_outcome::failed);
-        const bool will_retry = may_try_again();
+        const bool will_retry = may_retry();
         m_journal.attempt_failed(m_admitted, m_server_id, policy::slot_outcome::failed,
                                  "status " + std::to_string(response.status()), m_attempts, will_retry, busy);
         if (will_retry) {
@@ -403,7 +403,7 @@
     if (m_has_begun_stream) {
         m_events.break_off();
     }
-    const bool will_retry = may_try_again();
+    const bool will_retry = may_retry();
     m_journal.attempt_failed(m_admitted, m_server_id, slot, reason, m_attempts, will_retry, busy);
     if (will_retry) {
         request_slot();
@@ -414,9 +414,9 @@
 
 /// Returns whether the request may be sent to another server. A stream of which the caller already has a part
 /// can only continue if its last event has an id, from which the next server resumes.
-bool request_exchange::may_try_again() const {
+bool request_exchange::may_retry() const {
     const bool can_go_on = !m_has_begun_stream || m_events.last_id().has_value();
-    return can_go_on && m_attempts.may_try_again() && m_admitted.time_left() > answer_margin;
+    return can_go_on && m_attempts.may_retry() && m_admitted.time_left() > answer_margin;
 }
 
 // Answering the caller.
--- a/src/gateway/request_exchange.hpp
+++ b/src/gateway/request_exchange.hpp
@@ -73,7 +73,7 @@
     void handle_complete_answer();
     void handle_failure(call_failure what, std::string_view reason);
     void fail_attempt(policy::attempt_outcome outcome, policy::slot_outcome slot, std::string_view reason);
-    [[nodiscard]] bool may_try_again() const;
+    [[nodiscard]] bool may_retry() const;
 
     // Answering the caller.
     void record_event_time();
--- a/src/policy/attempt_rule.hpp
+++ b/src/policy/attempt_rule.hpp
@@ -35,7 +35,7 @@
 
     /// Whether another attempt is allowed. A request that certainly hasn't run may be sent again. One that
     /// may have run is sent again only if it is repeatable and has run on fewer servers than allowed.
-    [[nodiscard]] bool may_try_again() const noexcept {
+    [[nodiscard]] bool may_retry() const noexcept {
         if (m_attempts >= max_attempts) {
             return false;
         }
--- a/tests/unit/test_gateway_policy.cpp
+++ b/tests/unit/test_gateway_policy.cpp
@@ -57,17 +57,17 @@
     attempt_rule not_repeatable(false, 3);
     not_repeatable.record(1, attempt_outcome::unreachable);
     not_repeatable.record(2, attempt_outcome::not_executed);
-    CHECK(not_repeatable.may_try_again());
+    CHECK(not_repeatable.may_retry());
     CHECK(not_repeatable.arrivals() == 1);
     not_repeatable.record(3, attempt_outcome::may_have_run);
-    CHECK_FALSE(not_repeatable.may_try_again());
+    CHECK_FALSE(not_repeatable.may_retry());
     CHECK(not_repeatable.may_have_run());
 
     attempt_rule repeatable(true, 2);
     repeatable.record(1, attempt_outcome::may_have_run);
-    CHECK(repeatable.may_try_again());
+    CHECK(repeatable.may_retry());
     repeatable.record(2, attempt_outcome::may_have_run);
-    CHECK_FALSE(repeatable.may_try_again());
+    CHECK_FALSE(repeatable.may_retry());
 }
 
 TEST_CASE("retries stay within a share of the requests and a reserve", "[policy][repeat_budget]") {
