--- a/src/gateway/request_exchange.cpp
+++ b/src/gateway/request_exchange.cpp
@@ -147,7 +147,7 @@
     m_is_waiting_for_slot = false;
     m_slot = grant.server;
     m_slot_begin = clock::now();
-    if (m_attempts.tries() == 0) {
+    if (m_attempts.attempt_count() == 0) {
         m_waited = m_slot_begin - m_admitted.arrived;
     }
     m_first_event = {};
@@ -186,7 +186,7 @@
 void request_exchange::use_slot(const policy::slot_grant& grant) {
     auto server = m_context.backends.find(grant.server);
     m_server_id = server != nullptr ? server->record().id : "unknown";
-    m_journal.placed(m_admitted, grant, m_server_id, m_attempts.tries());
+    m_journal.placed(m_admitted, grant, m_server_id, m_attempts.attempt_count());
     if (server == nullptr) {
         fail_attempt(policy::attempt_outcome::unreachable, policy::slot_outcome::refused,
                      "the server isn't registered here");
@@ -338,7 +338,7 @@
         return;
     }
     release_slot(policy::slot_outcome::served);
-    m_journal.answered(m_admitted, m_server_id, m_call->response().status(), m_attempts.tries() + 1,
+    m_journal.answered(m_admitted, m_server_id, m_call->response().status(), m_attempts.attempt_count() + 1,
                        answer_times());
     m_session->finish_stream();
     end();
@@ -362,7 +362,7 @@
         return;
     }
     const bool has_failed = response.status() >= first_server_error;
-    const auto tries = m_attempts.tries() + 1;
+    const auto tries = m_attempts.attempt_count() + 1;
     if (has_failed) {
         const auto busy = clock::now() - m_slot_begin;
         m_attempts.record(m_slot, policy::attempt_outcome::may_have_run);
@@ -439,7 +439,7 @@
                                           std::optional<milliseconds> retry_after) {
     release_slot(policy::slot_outcome::abandoned);
     if (m_has_begun_stream) {
-        m_journal.aborted(m_admitted, reason, m_attempts.tries(), m_events.count());
+        m_journal.aborted(m_admitted, reason, m_attempts.attempt_count(), m_events.count());
         m_is_over = true; // keeps cancel(), which abort_answer() calls, from logging the request once more
         m_session->abort_answer();
         end();
@@ -459,7 +459,7 @@
     const auto id = m_request.fields.find(m_context.fields.request_id).value_or("");
     m_journal.refused(m_is_admitted ? &m_admitted : nullptr,
                       {kind, id, reason, m_request.fields.find("Host").value_or(""), m_request.target,
-                       m_ticket, m_attempts.tries(), m_arrived, retry_after});
+                       m_ticket, m_attempts.attempt_count(), m_arrived, retry_after});
     std::string fields;
     if (!id.empty()) {
         append_field(fields, m_context.fields.request_id, id);
