--- a/src/gateway/request_journal.cpp
+++ b/src/gateway/request_journal.cpp
@@ -72,7 +72,7 @@
                                                    {"backend", backend},
                                                    {"outcome", to_string(outcome)},
                                                    {"reason", reason},
-                                                   {"try", std::uint64_t(attempts.tries())},
+                                                   {"try", std::uint64_t(attempts.attempt_count())},
                                                    {"runs", std::uint64_t(attempts.runs())},
                                                    {"next", will_retry ? "again" : "end"},
                                                    {"busy_ms", to_ms(busy)}});
