--- a/src/policy/attempt_rule.hpp
+++ b/src/policy/attempt_rule.hpp
@@ -48,7 +48,7 @@
     /// budget.
     [[nodiscard]] unsigned arrivals() const noexcept { return m_arrivals; }
     /// All attempts, including those that reached no server.
-    [[nodiscard]] unsigned tries() const noexcept { return m_attempts; }
+    [[nodiscard]] unsigned attempt_count() const noexcept { return m_attempts; }
     /// Attempts in which the request may have run.
     [[nodiscard]] unsigned runs() const noexcept { return m_possible_runs; }
     /// Servers of the last failed attempts, most recent first; 0 in unused places.
