--- a/src/gateway/request_exchange.cpp
+++ b/src/gateway/request_exchange.cpp
@@ -126,7 +126,7 @@
     wanted.fingerprint = m_admitted.fingerprint;
     wanted.units = m_admitted.units;
     wanted.is_charged = m_is_charged;
-    wanted.sends = m_attempts.arrivals();
+    wanted.sends = m_attempts.delivered_attempts();
     wanted.avoided = m_attempts.avoided();
     return wanted;
 }
--- a/src/policy/attempt_rule.hpp
+++ b/src/policy/attempt_rule.hpp
@@ -46,7 +46,7 @@
     [[nodiscard]] bool may_have_run() const noexcept { return m_possible_runs > 0; }
     /// Attempts in which the request reached a server. Each one after the first counts against the retry
     /// budget.
-    [[nodiscard]] unsigned arrivals() const noexcept { return m_arrivals; }
+    [[nodiscard]] unsigned delivered_attempts() const noexcept { return m_arrivals; }
     /// All attempts, including those that reached no server.
     [[nodiscard]] unsigned attempt_count() const noexcept { return m_attempts; }
     /// Attempts in which the request may have run.
--- a/tests/unit/test_gateway_policy.cpp
+++ b/tests/unit/test_gateway_policy.cpp
@@ -58,7 +58,7 @@
     not_repeatable.record(1, attempt_outcome::unreachable);
     not_repeatable.record(2, attempt_outcome::not_executed);
     CHECK(not_repeatable.may_retry());
-    CHECK(not_repeatable.arrivals() == 1);
+    CHECK(not_repeatable.delivered_attempts() == 1);
     not_repeatable.record(3, attempt_outcome::may_have_run);
     CHECK_FALSE(not_repeatable.may_retry());
     CHECK(not_repeatable.may_have_run());
