--- a/src/policy/attempt_rule.hpp
+++ b/src/policy/attempt_rule.hpp
@@ -27,7 +27,7 @@
     /// Records an attempt that has failed.
     void record(server_key server, attempt_outcome outcome) noexcept {
         ++m_attempts;
-        m_arrivals += outcome == attempt_outcome::unreachable ? 0 : 1;
+        m_delivered_attempts += outcome == attempt_outcome::unreachable ? 0 : 1;
         m_possible_runs += outcome == attempt_outcome::may_have_run ? 1 : 0;
         std::ranges::rotate(m_failed_servers, m_failed_servers.end() - 1);
         m_failed_servers.front() = server;
@@ -46,7 +46,7 @@
     [[nodiscard]] bool may_have_run() const noexcept { return m_possible_runs > 0; }
     /// Attempts in which the request reached a server. Each one after the first counts against the retry
     /// budget.
-    [[nodiscard]] unsigned delivered_attempts() const noexcept { return m_arrivals; }
+    [[nodiscard]] unsigned delivered_attempts() const noexcept { return m_delivered_attempts; }
     /// All attempts, including those that reached no server.
     [[nodiscard]] unsigned attempt_count() const noexcept { return m_attempts; }
     /// Attempts in which the request may have run.
@@ -64,7 +64,7 @@
     bool m_is_repeatable;
     unsigned m_allowed_runs;
     unsigned m_attempts = 0;
-    unsigned m_arrivals = 0;
+    unsigned m_delivered_attempts = 0;
     unsigned m_possible_runs = 0;
     std::array<server_key, slot_request::max_avoided> m_failed_servers{};
 };
