--- a/src/entry/admission.cpp
+++ b/src/entry/admission.cpp
@@ -44,7 +44,7 @@
         throw request_error(refusal->kind, {},
                             std::chrono::ceil<std::chrono::milliseconds>(refusal->retry_after));
     }
-    m_retries.record_first_try();
+    m_retries.record_first_attempt();
     return {*this, request};
 }
 
--- a/src/policy/retry_budget.cpp
+++ b/src/policy/retry_budget.cpp
@@ -8,7 +8,7 @@
 retry_budget::retry_budget(double share, double reserve) noexcept
     : m_share(share), m_reserve(reserve), m_left(reserve) {}
 
-void retry_budget::record_first_try() noexcept {
+void retry_budget::record_first_attempt() noexcept {
     m_left = std::min(m_reserve, m_left + m_share);
 }
 
--- a/src/policy/retry_budget.hpp
+++ b/src/policy/retry_budget.hpp
@@ -10,7 +10,7 @@
     explicit retry_budget(double share = 0.1, double reserve = 10) noexcept;
 
     /// Records that a request is placed for the first time.
-    void record_first_try() noexcept;
+    void record_first_attempt() noexcept;
 
     /// Takes one retry from the budget. False when none is left: the caller should be answered with the
     /// error.
--- a/tests/unit/test_policy_limits.cpp
+++ b/tests/unit/test_policy_limits.cpp
@@ -90,7 +90,7 @@
     retry_budget budget(0.1, 5);
     int retries = 0;
     for (int index = 0; index < 1000; ++index) {
-        budget.record_first_try();
+        budget.record_first_attempt();
         retries += budget.try_retry() ? 1 : 0;
         retries += budget.try_retry() ? 1 : 0;
     }
