--- a/src/coordination/slot_coordinator.cpp
+++ b/src/coordination/slot_coordinator.cpp
@@ -102,7 +102,7 @@
         return;
     }
     if (ended.outcome == policy::slot_outcome::broken) {
-        m_suspects.note_cut(found->second.fingerprint, ended.server, now);
+        m_suspects.record_broken_connection(found->second.fingerprint, ended.server, now);
     } else if (ended.outcome == policy::slot_outcome::unreachable ||
                ended.outcome == policy::slot_outcome::replaced) {
         m_suspects.note_gone(ended.server, now);
--- a/src/policy/crash_suspects.cpp
+++ b/src/policy/crash_suspects.cpp
@@ -49,7 +49,7 @@
                                [server](const restart& restarted) { return restarted.server == server; });
 }
 
-void crash_suspects::note_cut(std::uint64_t fingerprint, server_key server, time_point now) {
+void crash_suspects::record_broken_connection(std::uint64_t fingerprint, server_key server, time_point now) {
     if (fingerprint == 0) {
         return;
     }
--- a/src/policy/crash_suspects.hpp
+++ b/src/policy/crash_suspects.hpp
@@ -21,7 +21,7 @@
 
     /// The connection of a request broke while this server ran it. `fingerprint` identifies requests with the
     /// same content; 0 (none) is ignored.
-    void note_cut(std::uint64_t fingerprint, server_key server, time_point now);
+    void record_broken_connection(std::uint64_t fingerprint, server_key server, time_point now);
     /// The server refuses connections, or another server answers at its address. This marks all requests
     /// whose connections to it broke recently.
     void note_gone(server_key server, time_point now);
--- a/tests/unit/test_gateway_policy.cpp
+++ b/tests/unit/test_gateway_policy.cpp
@@ -235,12 +235,12 @@
     // One prompt crashes every engine that processes it, and the requests that run there at the same time are
     // aborted too.
     crash_suspects suspects;
-    suspects.note_cut(666, 1, start_time);
-    suspects.note_cut(42, 1, start_time);
+    suspects.record_broken_connection(666, 1, start_time);
+    suspects.record_broken_connection(42, 1, start_time);
     suspects.note_gone(1, start_time + 10ms);
     CHECK_FALSE(suspects.held_for(666, start_time + 20ms));
-    suspects.note_cut(666, 2, start_time + 1s);
-    suspects.note_cut(43, 2, start_time + 1s);
+    suspects.record_broken_connection(666, 2, start_time + 1s);
+    suspects.record_broken_connection(43, 2, start_time + 1s);
     CHECK_FALSE(suspects.held_for(666, start_time + 1s));
     suspects.note_gone(2, start_time + 1100ms);
     CHECK(suspects.held_for(666, start_time + 2s));
@@ -255,12 +255,12 @@
     // it crashed, and an unresponsive connection is noticed only after that. Otherwise the request would
     // crash one server after the other, with all answers that are being generated there.
     crash_suspects suspects;
-    suspects.note_cut(666, 1, start_time);
+    suspects.record_broken_connection(666, 1, start_time);
     suspects.note_restart(1, start_time + 10ms);
     suspects.note_restart(2, start_time + 900ms);
-    suspects.note_cut(666, 2, start_time + 1s);
+    suspects.record_broken_connection(666, 2, start_time + 1s);
     CHECK(suspects.held_for(666, start_time + 1s));
-    suspects.note_cut(42, 2, start_time + 1s);
+    suspects.record_broken_connection(42, 2, start_time + 1s);
     CHECK_FALSE(suspects.held_for(42, start_time + 1s));
 }
 
@@ -268,7 +268,7 @@
           "[policy][crash_suspects]") {
     crash_suspects suspects;
     for (std::uint64_t server = 1; server < 4; ++server) {
-        suspects.note_cut(42, server, start_time);
+        suspects.record_broken_connection(42, server, start_time);
         suspects.note_gone(server, start_time + 10s);
     }
     CHECK_FALSE(suspects.held_for(42, start_time + 10s));
