--- a/src/coordination/slot_coordinator.cpp
+++ b/src/coordination/slot_coordinator.cpp
@@ -105,7 +105,7 @@
         m_suspects.record_broken_connection(found->second.fingerprint, ended.server, now);
     } else if (ended.outcome == policy::slot_outcome::unreachable ||
                ended.outcome == policy::slot_outcome::replaced) {
-        m_suspects.note_gone(ended.server, now);
+        m_suspects.record_crash(ended.server, now);
     }
     if (policy::has_not_run(ended.outcome)) {
         m_quotas.refund(found->second.workspace, found->second.charged_units, now);
--- a/src/policy/crash_suspects.cpp
+++ b/src/policy/crash_suspects.cpp
@@ -61,7 +61,7 @@
     m_broken_connections.push_back({fingerprint, server, now});
 }
 
-void crash_suspects::note_gone(server_key server, time_point now) {
+void crash_suspects::record_crash(server_key server, time_point now) {
     forget_old(now);
     for (const auto& entry : m_broken_connections) {
         if (entry.server == server) {
@@ -73,7 +73,7 @@
 }
 
 void crash_suspects::note_restart(server_key previous_start, time_point now) {
-    note_gone(previous_start, now);
+    record_crash(previous_start, now);
     m_restarts.push_back({previous_start, now});
 }
 
--- a/src/policy/crash_suspects.hpp
+++ b/src/policy/crash_suspects.hpp
@@ -24,7 +24,7 @@
     void record_broken_connection(std::uint64_t fingerprint, server_key server, time_point now);
     /// The server refuses connections, or another server answers at its address. This marks all requests
     /// whose connections to it broke recently.
-    void note_gone(server_key server, time_point now);
+    void record_crash(server_key server, time_point now);
     /// The server with the key `previous_start` has restarted. Connections to it that break after this call
     /// mark their requests as well, because unresponsive connections are closed only when the restart is
     /// detected.
--- a/tests/unit/test_gateway_policy.cpp
+++ b/tests/unit/test_gateway_policy.cpp
@@ -237,12 +237,12 @@
     crash_suspects suspects;
     suspects.record_broken_connection(666, 1, start_time);
     suspects.record_broken_connection(42, 1, start_time);
-    suspects.note_gone(1, start_time + 10ms);
+    suspects.record_crash(1, start_time + 10ms);
     CHECK_FALSE(suspects.held_for(666, start_time + 20ms));
     suspects.record_broken_connection(666, 2, start_time + 1s);
     suspects.record_broken_connection(43, 2, start_time + 1s);
     CHECK_FALSE(suspects.held_for(666, start_time + 1s));
-    suspects.note_gone(2, start_time + 1100ms);
+    suspects.record_crash(2, start_time + 1100ms);
     CHECK(suspects.held_for(666, start_time + 2s));
     CHECK_FALSE(suspects.held_for(42, start_time + 2s));
     CHECK_FALSE(suspects.held_for(43, start_time + 2s));
@@ -269,7 +269,7 @@
     crash_suspects suspects;
     for (std::uint64_t server = 1; server < 4; ++server) {
         suspects.record_broken_connection(42, server, start_time);
-        suspects.note_gone(server, start_time + 10s);
+        suspects.record_crash(server, start_time + 10s);
     }
     CHECK_FALSE(suspects.held_for(42, start_time + 10s));
 }
