--- a/src/coordination/slot_coordinator.cpp
+++ b/src/coordination/slot_coordinator.cpp
@@ -33,7 +33,7 @@
 
 void slot_coordinator::take_restart(policy::server_key former, policy::time_point now) {
     m_scheduler.remove_server(former);
-    m_suspects.note_restart(former, now);
+    m_suspects.record_restart(former, now);
 }
 
 void slot_coordinator::take(policy::member_key member, const batch_items& items, policy::time_point now) {
--- a/src/policy/crash_suspects.cpp
+++ b/src/policy/crash_suspects.cpp
@@ -72,7 +72,7 @@
                   [server](const broken_connection& entry) { return entry.server == server; });
 }
 
-void crash_suspects::note_restart(server_key previous_start, time_point now) {
+void crash_suspects::record_restart(server_key previous_start, time_point now) {
     record_crash(previous_start, now);
     m_restarts.push_back({previous_start, now});
 }
--- a/src/policy/crash_suspects.hpp
+++ b/src/policy/crash_suspects.hpp
@@ -28,7 +28,7 @@
     /// The server with the key `previous_start` has restarted. Connections to it that break after this call
     /// mark their requests as well, because unresponsive connections are closed only when the restart is
     /// detected.
-    void note_restart(server_key previous_start, time_point now);
+    void record_restart(server_key previous_start, time_point now);
 
     /// Remaining time of the request's quarantine; nothing when it isn't quarantined.
     [[nodiscard]] std::optional<duration> held_for(std::uint64_t fingerprint, time_point now) const;
--- a/tests/unit/test_gateway_policy.cpp
+++ b/tests/unit/test_gateway_policy.cpp
@@ -256,8 +256,8 @@
     // crash one server after the other, with all answers that are being generated there.
     crash_suspects suspects;
     suspects.record_broken_connection(666, 1, start_time);
-    suspects.note_restart(1, start_time + 10ms);
-    suspects.note_restart(2, start_time + 900ms);
+    suspects.record_restart(1, start_time + 10ms);
+    suspects.record_restart(2, start_time + 900ms);
     suspects.record_broken_connection(666, 2, start_time + 1s);
     CHECK(suspects.held_for(666, start_time + 1s));
     suspects.record_broken_connection(42, 2, start_time + 1s);
