--- a/src/coordination/slot_coordinator.cpp
+++ b/src/coordination/slot_coordinator.cpp
@@ -57,7 +57,7 @@
 
 void slot_coordinator::handle_slot_request(policy::member_key member, const policy::slot_request& request,
                                            policy::time_point now) {
-    if (const auto held = m_suspects.held_for(request.fingerprint, now)) {
+    if (const auto held = m_suspects.quarantine_left(request.fingerprint, now)) {
         refuse(member, {request.ticket, policy::refusal_reason::held_back, *held});
         return;
     }
--- a/src/policy/crash_suspects.cpp
+++ b/src/policy/crash_suspects.cpp
@@ -77,7 +77,7 @@
     m_restarts.push_back({previous_start, now});
 }
 
-std::optional<duration> crash_suspects::held_for(std::uint64_t fingerprint, time_point now) const {
+std::optional<duration> crash_suspects::quarantine_left(std::uint64_t fingerprint, time_point now) const {
     return fingerprint == 0 ? std::nullopt : m_quarantine.time_left(fingerprint, now);
 }
 
--- a/src/policy/crash_suspects.hpp
+++ b/src/policy/crash_suspects.hpp
@@ -31,7 +31,7 @@
     void record_restart(server_key previous_start, time_point now);
 
     /// Remaining time of the request's quarantine; nothing when it isn't quarantined.
-    [[nodiscard]] std::optional<duration> held_for(std::uint64_t fingerprint, time_point now) const;
+    [[nodiscard]] std::optional<duration> quarantine_left(std::uint64_t fingerprint, time_point now) const;
 
 private:
     /// A connection that broke while a server ran a request.
--- a/tests/unit/test_gateway_policy.cpp
+++ b/tests/unit/test_gateway_policy.cpp
@@ -238,15 +238,15 @@
     suspects.record_broken_connection(666, 1, start_time);
     suspects.record_broken_connection(42, 1, start_time);
     suspects.record_crash(1, start_time + 10ms);
-    CHECK_FALSE(suspects.held_for(666, start_time + 20ms));
+    CHECK_FALSE(suspects.quarantine_left(666, start_time + 20ms));
     suspects.record_broken_connection(666, 2, start_time + 1s);
     suspects.record_broken_connection(43, 2, start_time + 1s);
-    CHECK_FALSE(suspects.held_for(666, start_time + 1s));
+    CHECK_FALSE(suspects.quarantine_left(666, start_time + 1s));
     suspects.record_crash(2, start_time + 1100ms);
-    CHECK(suspects.held_for(666, start_time + 2s));
-    CHECK_FALSE(suspects.held_for(42, start_time + 2s));
-    CHECK_FALSE(suspects.held_for(43, start_time + 2s));
-    CHECK_FALSE(suspects.held_for(666, start_time + 2min));
+    CHECK(suspects.quarantine_left(666, start_time + 2s));
+    CHECK_FALSE(suspects.quarantine_left(42, start_time + 2s));
+    CHECK_FALSE(suspects.quarantine_left(43, start_time + 2s));
+    CHECK_FALSE(suspects.quarantine_left(666, start_time + 2min));
 }
 
 TEST_CASE("a request that crashes servers is quarantined even if they restart at once",
@@ -259,9 +259,9 @@
     suspects.record_restart(1, start_time + 10ms);
     suspects.record_restart(2, start_time + 900ms);
     suspects.record_broken_connection(666, 2, start_time + 1s);
-    CHECK(suspects.held_for(666, start_time + 1s));
+    CHECK(suspects.quarantine_left(666, start_time + 1s));
     suspects.record_broken_connection(42, 2, start_time + 1s);
-    CHECK_FALSE(suspects.held_for(42, start_time + 1s));
+    CHECK_FALSE(suspects.quarantine_left(42, start_time + 1s));
 }
 
 TEST_CASE("requests that were aborted long before a server was found gone aren't quarantined",
@@ -271,7 +271,7 @@
         suspects.record_broken_connection(42, server, start_time);
         suspects.record_crash(server, start_time + 10s);
     }
-    CHECK_FALSE(suspects.held_for(42, start_time + 10s));
+    CHECK_FALSE(suspects.quarantine_left(42, start_time + 10s));
 }
 
 TEST_CASE("the retry delay is the time that the overload has lasted", "[policy][overload_watch]") {
