--- a/src/ledger/dispatch_ledger.cpp
+++ b/src/ledger/dispatch_ledger.cpp
@@ -7,7 +7,7 @@
 
 dispatch_ledger::dispatch_ledger(ledger_limits limits) : m_limits(limits) {}
 
-offer_result dispatch_ledger::take_offer(dispatch_id dispatch) {
+offer_result dispatch_ledger::record_offer(dispatch_id dispatch) {
     const auto [found, is_new] = m_entries.try_emplace(dispatch);
     if (is_new) {
         return offer_result::taken;
--- a/src/ledger/dispatch_ledger.hpp
+++ b/src/ledger/dispatch_ledger.hpp
@@ -71,7 +71,7 @@
     explicit dispatch_ledger(ledger_limits limits);
 
     /// Records an offer that was received.
-    offer_result take_offer(dispatch_id dispatch);
+    offer_result record_offer(dispatch_id dispatch);
 
     /// Grants an offer until `expiry`. False when the offer isn't waiting any more.
     bool grant(dispatch_id dispatch, time_point expiry);
--- a/src/sidecar/offer_scheduler.cpp
+++ b/src/sidecar/offer_scheduler.cpp
@@ -52,7 +52,7 @@
         return;
     }
     const auto id = request.dispatch;
-    switch (m_context.ledger.take_offer(id)) {
+    switch (m_context.ledger.record_offer(id)) {
     case ledger::offer_result::already_known:
         return;
     case ledger::offer_result::tombstoned:
--- a/tests/unit/test_dispatch_ledger.cpp
+++ b/tests/unit/test_dispatch_ledger.cpp
@@ -14,7 +14,7 @@
 const time_point begin = time_point{} + 1h;
 
 void grant_one(dispatch_ledger& ledger, dispatch_id dispatch, time_point expiry) {
-    REQUIRE(ledger.take_offer(dispatch) == offer_result::taken);
+    REQUIRE(ledger.record_offer(dispatch) == offer_result::taken);
     REQUIRE(ledger.grant(dispatch, expiry));
 }
 
@@ -30,7 +30,7 @@
     CHECK(ledger.withdraw(some_dispatch, begin) == withdraw_result::already_started);
     ledger.finish(some_dispatch, begin);
     CHECK(ledger.start(some_dispatch, begin) == start_result::already_started);
-    CHECK(ledger.take_offer(some_dispatch) == offer_result::tombstoned);
+    CHECK(ledger.record_offer(some_dispatch) == offer_result::tombstoned);
     CHECK(ledger.attach(some_dispatch, 1s, begin) == attach_result::finished);
 }
 
@@ -64,10 +64,10 @@
     // dispatch's state on a new one.
     dispatch_ledger ledger({});
     CHECK(ledger.attach(some_dispatch, 1s, begin) == attach_result::not_begun);
-    CHECK(ledger.take_offer(some_dispatch) == offer_result::tombstoned);
+    CHECK(ledger.record_offer(some_dispatch) == offer_result::tombstoned);
     constexpr dispatch_id other{2, 2};
     CHECK(ledger.withdraw(other, begin) == withdraw_result::withdrawn);
-    CHECK(ledger.take_offer(other) == offer_result::tombstoned);
+    CHECK(ledger.record_offer(other) == offer_result::tombstoned);
     CHECK(ledger.start(other, begin) == start_result::not_begun);
 }
 
