--- a/src/ledger/dispatch_ledger.cpp
+++ b/src/ledger/dispatch_ledger.cpp
@@ -101,7 +101,7 @@
     m_entries.erase(dispatch);
 }
 
-std::vector<dispatch_id> dispatch_ledger::lapse_grants(time_point now) {
+std::vector<dispatch_id> dispatch_ledger::expire_grants(time_point now) {
     std::vector<dispatch_id> expired;
     while (!m_grants.empty() && m_grants.front().time <= now) {
         const auto dispatch = m_grants.front().dispatch;
--- a/src/ledger/dispatch_ledger.hpp
+++ b/src/ledger/dispatch_ledger.hpp
@@ -77,7 +77,7 @@
     bool grant(dispatch_id dispatch, time_point expiry);
 
     /// Records a start that was received. A grant that has expired doesn't allow a start, even if
-    /// lapse_grants() hasn't removed it yet.
+    /// expire_grants() hasn't removed it yet.
     start_result start(dispatch_id dispatch, time_point now);
 
     /// Withdraws a dispatch that hasn't started, for the entry process or for this sidecar. An unknown id
@@ -104,7 +104,7 @@
     void forget_adopted(dispatch_id dispatch);
 
     /// Turns expired grants into tombstones and returns their ids.
-    [[nodiscard]] std::vector<dispatch_id> lapse_grants(time_point now);
+    [[nodiscard]] std::vector<dispatch_id> expire_grants(time_point now);
 
     /// Removes ids that ended longer ago than `ledger_limits::retention`.
     void forget_old(time_point now);
--- a/src/sidecar/offer_scheduler.cpp
+++ b/src/sidecar/offer_scheduler.cpp
@@ -332,7 +332,7 @@
 
 void offer_scheduler::tick() {
     const auto now = steady_clock::now();
-    for (const auto& id : m_context.ledger.lapse_grants(now)) {
+    for (const auto& id : m_context.ledger.expire_grants(now)) {
         const auto found = m_offers.find(id);
         if (found == m_offers.end()) {
             continue;
--- a/tests/unit/test_dispatch_ledger.cpp
+++ b/tests/unit/test_dispatch_ledger.cpp
@@ -53,8 +53,8 @@
     grant_one(ledger, started, begin + 1s);
     grant_one(ledger, waiting, begin + 2s);
     REQUIRE(ledger.start(started, begin) == start_result::begun);
-    CHECK(ledger.lapse_grants(begin).empty());
-    CHECK(ledger.lapse_grants(begin + 1s) == std::vector{some_dispatch});
+    CHECK(ledger.expire_grants(begin).empty());
+    CHECK(ledger.expire_grants(begin + 1s) == std::vector{some_dispatch});
     CHECK(ledger.start(some_dispatch, begin) == start_result::not_begun);
     CHECK(ledger.start(waiting, begin) == start_result::begun);
 }
