--- a/src/sidecar/dispatch_manager.cpp
+++ b/src/sidecar/dispatch_manager.cpp
@@ -281,7 +281,7 @@
 void dispatch_manager::report_not_begun(const record_pointer& dispatch) {
     const auto now = steady_clock::now();
     const auto& request = dispatch->request;
-    m_context.ledger.take_back(request.dispatch, now);
+    m_context.ledger.revoke_start(request.dispatch, now);
     release_capacity(*dispatch);
     m_context.store.remove(request.dispatch);
     m_context.metrics.refused(error_kind::no_backend_server, request.tier);
