--- a/src/ledger/dispatch_ledger.cpp
+++ b/src/ledger/dispatch_ledger.cpp
@@ -62,7 +62,7 @@
     return withdraw_result::withdrawn;
 }
 
-void dispatch_ledger::take_back(dispatch_id dispatch, time_point now) {
+void dispatch_ledger::revoke_start(dispatch_id dispatch, time_point now) {
     end(dispatch, dispatch_state::withdrawn, now);
 }
 
--- a/src/ledger/dispatch_ledger.hpp
+++ b/src/ledger/dispatch_ledger.hpp
@@ -85,7 +85,7 @@
     withdraw_result withdraw(dispatch_id dispatch, time_point now);
 
     /// Makes a started dispatch a tombstone, because it turned out that it never reached the backend server.
-    void take_back(dispatch_id dispatch, time_point now);
+    void revoke_start(dispatch_id dispatch, time_point now);
 
     /// Records that a started dispatch has ended.
     void finish(dispatch_id dispatch, time_point now);
