--- a/src/gateway/heads.cpp
+++ b/src/gateway/heads.cpp
@@ -32,7 +32,7 @@
             names.expected_server,
             names.hold,
             names.pin_time,
-            names.memory_backup,
+            names.kv_cache_backup,
             names.memory_source,
             names.memory_fetch,
             "Authorization",
--- a/src/routing/call_fields.hpp
+++ b/src/routing/call_fields.hpp
@@ -24,7 +24,7 @@
     std::string expected_server;
     std::string hold;
     std::string pin_time;
-    std::string memory_backup;
+    std::string kv_cache_backup;
     std::string memory_source;
     std::string memory_fetch;
 
