--- a/src/routing/call_fields.hpp
+++ b/src/routing/call_fields.hpp
@@ -25,7 +25,7 @@
     std::string hold;
     std::string pin_time;
     std::string kv_cache_backup;
-    std::string memory_source;
+    std::string kv_cache_source;
     std::string memory_fetch;
 
     // Sent in answers.
