--- a/src/gateway/heads.cpp
+++ b/src/gateway/heads.cpp
@@ -34,7 +34,7 @@
             names.pin_time,
             names.kv_cache_backup,
             names.kv_cache_source,
-            names.memory_fetch,
+            names.kv_cache_fetch,
             "Authorization",
             last_event.has_value() ? std::string_view(names.last_event) : std::string_view()};
 }
--- a/src/routing/call_fields.hpp
+++ b/src/routing/call_fields.hpp
@@ -26,7 +26,7 @@
     std::string pin_time;
     std::string kv_cache_backup;
     std::string kv_cache_source;
-    std::string memory_fetch;
+    std::string kv_cache_fetch;
 
     // Sent in answers.
     std::string not_executed; ///< the server reports that it didn't run the request
