--- a/src/emulator/emulated_backend.cpp
+++ b/src/emulator/emulated_backend.cpp
@@ -63,7 +63,7 @@
 };
 
 emulated_backend::emulated_backend(asio::any_io_executor executor, timer_service& timers,
-                                   routing::call_fields fields, backend_options options)
+                                   routing::header_names fields, backend_options options)
     : m_executor(std::move(executor)),
       m_timers(timers),
       m_fields(std::move(fields)),
--- a/src/emulator/emulated_backend.hpp
+++ b/src/emulator/emulated_backend.hpp
@@ -61,7 +61,7 @@
 class emulated_backend {
 public:
     emulated_backend(boost::asio::any_io_executor executor, timer_service& timers,
-                     routing::call_fields fields, backend_options options);
+                     routing::header_names fields, backend_options options);
     ~emulated_backend();
     emulated_backend(const emulated_backend&) = delete;
     emulated_backend& operator=(const emulated_backend&) = delete;
@@ -104,7 +104,7 @@
 
     boost::asio::any_io_executor m_executor;
     timer_service& m_timers;
-    routing::call_fields m_fields;
+    routing::header_names m_fields;
     backend_options m_options;
     std::unique_ptr<engine_driver> m_engine;
     backend_fault m_fault = backend_fault::none;
--- a/src/gateway/deployment.hpp
+++ b/src/gateway/deployment.hpp
@@ -17,7 +17,7 @@
 /// Names and formats of one deployment. The decode functions throw std::exception for a value that can't be
 /// decoded.
 struct deployment {
-    routing::call_fields fields;
+    routing::header_names fields;
     store::table_format format;
 
     std::string configuration_table; ///< Name of the table that holds the configuration.
--- a/src/gateway/gateway_context.hpp
+++ b/src/gateway/gateway_context.hpp
@@ -40,7 +40,7 @@
     boost::asio::any_io_executor executor;
     timer_service& timers;
     const gateway_settings& settings;
-    const routing::call_fields& fields;
+    const routing::header_names& fields;
     routing_snapshot& configuration;
     backend_directory& backends;
     coordination::slot_broker& slots;
--- a/src/gateway/heads.cpp
+++ b/src/gateway/heads.cpp
@@ -25,7 +25,7 @@
 }
 
 /// Fields of the caller that are not forwarded: its API key, and those that only the system sets.
-std::array<std::string_view, 10> withheld_fields(const routing::call_fields& names,
+std::array<std::string_view, 10> withheld_fields(const routing::header_names& names,
                                                  const std::optional<std::string>& last_event) {
     return {names.deadline,
             names.workspace,
@@ -46,7 +46,7 @@
 }
 
 std::string compose_request_head(const http::received_request& request, const admitted_request& admitted,
-                                 const routing::call_fields& names, std::string_view server_id,
+                                 const routing::header_names& names, std::string_view server_id,
                                  const std::optional<std::string>& last_event) {
     const auto withheld = withheld_fields(names, last_event);
     std::string head;
--- a/src/gateway/heads.hpp
+++ b/src/gateway/heads.hpp
@@ -22,7 +22,7 @@
 /// which a stream is to continue at another server.
 [[nodiscard]] std::string compose_request_head(const http::received_request& request,
                                                const admitted_request& admitted,
-                                               const routing::call_fields& names, std::string_view server_id,
+                                               const routing::header_names& names, std::string_view server_id,
                                                const std::optional<std::string>& last_event);
 
 /// Returns a response's fields as header lines, without hop-by-hop fields.
--- a/src/routing/call_fields.hpp
+++ b/src/routing/call_fields.hpp
@@ -7,7 +7,7 @@
 namespace borageford::routing {
 
 /// One name for each header field.
-struct call_fields {
+struct header_names {
     // Sent by the caller and forwarded unchanged.
     std::string request_id;
     std::string model;
