--- a/src/policy/follower_pace.hpp
+++ b/src/policy/follower_pace.hpp
@@ -1,7 +1,7 @@
 // Schedules the long polls of the store: how long the store may hold one open, and when to poll again.
 #pragma once
 
-#include "policy/follower_duty.hpp"
+#include "policy/follower_role.hpp"
 #include "policy/time.hpp"
 
 #include <algorithm>
--- a/tests/unit/test_policy_follower_duty.cpp
+++ b/tests/unit/test_policy_follower_duty.cpp
@@ -1,7 +1,7 @@
 // Tests of follower_choice: which gateways poll the store, and which learn of changes from other gateways.
 // Also tests retained registrations that another gateway announced.
 #include "policy/coordinator_election.hpp"
-#include "policy/follower_duty.hpp"
+#include "policy/follower_role.hpp"
 #include "policy/registration_watch.hpp"
 
 #include <catch2/catch.hpp>
