--- a/src/gateway/store_follower.hpp
+++ b/src/gateway/store_follower.hpp
@@ -4,8 +4,8 @@
 
 #include "base/timer_service.hpp"
 #include "policy/confirmation.hpp"
-#include "policy/follower_pace.hpp"
 #include "policy/follower_role.hpp"
+#include "policy/poll_schedule.hpp"
 #include "store/repeated_question.hpp"
 #include "store/table.hpp"
 
--- a/tests/unit/test_policy_follower_pace.cpp
+++ b/tests/unit/test_policy_follower_pace.cpp
@@ -1,7 +1,7 @@
 // Tests of poll_schedule (when a gateway polls the store again) and of confirmation (which confirmations
 // count).
 #include "policy/confirmation.hpp"
-#include "policy/follower_pace.hpp"
+#include "policy/poll_schedule.hpp"
 
 #include <catch2/catch.hpp>
 
