--- a/src/coordination/slot_broker.hpp
+++ b/src/coordination/slot_broker.hpp
@@ -11,8 +11,8 @@
 #include "coordination/own_requests.hpp"
 #include "coordination/peer_socket.hpp"
 #include "coordination/slot_coordinator.hpp"
+#include "policy/active_members.hpp"
 #include "policy/coordinator_election.hpp"
-#include "policy/member_census.hpp"
 #include "store/position.hpp"
 
 #include <boost/asio/any_io_executor.hpp>
--- a/src/policy/member_census.cpp
+++ b/src/policy/member_census.cpp
@@ -1,5 +1,5 @@
 // Keeps unresponsive members in the count for a limited time.
-#include "policy/member_census.hpp"
+#include "policy/active_members.hpp"
 
 #include <algorithm>
 #include <chrono>
--- a/tests/unit/test_coordination.cpp
+++ b/tests/unit/test_coordination.cpp
@@ -3,8 +3,8 @@
 #include "coordination/batch_channel.hpp"
 #include "coordination/message.hpp"
 #include "coordination/slot_coordinator.hpp"
+#include "policy/active_members.hpp"
 #include "policy/coordinator_election.hpp"
-#include "policy/member_census.hpp"
 
 #include <catch2/catch.hpp>
 
