--- a/src/coordination/slot_coordinator.hpp
+++ b/src/coordination/slot_coordinator.hpp
@@ -7,7 +7,7 @@
 #include "policy/coordinator_election.hpp"
 #include "policy/crash_suspects.hpp"
 #include "policy/refusal_history.hpp"
-#include "policy/repeat_budget.hpp"
+#include "policy/server_retry_budget.hpp"
 #include "policy/slot_scheduler.hpp"
 
 #include <map>
--- a/src/policy/repeat_budget.cpp
+++ b/src/policy/repeat_budget.cpp
@@ -1,5 +1,5 @@
 // Counts in slices of the window instead of single events, which bounds the cost of each decision.
-#include "policy/repeat_budget.hpp"
+#include "policy/server_retry_budget.hpp"
 
 namespace borageford::policy {
 
--- a/tests/unit/test_gateway_policy.cpp
+++ b/tests/unit/test_gateway_policy.cpp
@@ -6,8 +6,8 @@
 #include "policy/overload_tracker.hpp"
 #include "policy/refusal_history.hpp"
 #include "policy/registration_watch.hpp"
-#include "policy/repeat_budget.hpp"
 #include "policy/server_health.hpp"
+#include "policy/server_retry_budget.hpp"
 
 #include <catch2/catch.hpp>
 
