--- a/src/coordination/slot_coordinator.hpp
+++ b/src/coordination/slot_coordinator.hpp
@@ -3,9 +3,9 @@
 #pragma once
 
 #include "coordination/message.hpp"
-#include "policy/allowance_book.hpp"
 #include "policy/coordinator_election.hpp"
 #include "policy/crash_suspects.hpp"
+#include "policy/quota_tracker.hpp"
 #include "policy/refusal_history.hpp"
 #include "policy/server_retry_budget.hpp"
 #include "policy/slot_scheduler.hpp"
--- a/src/policy/allowance_book.cpp
+++ b/src/policy/allowance_book.cpp
@@ -1,5 +1,5 @@
 // Implements the quotas as token buckets whose rate and burst follow the share of this process.
-#include "policy/allowance_book.hpp"
+#include "policy/quota_tracker.hpp"
 
 #include <algorithm>
 
--- a/tests/unit/test_gateway_policy.cpp
+++ b/tests/unit/test_gateway_policy.cpp
@@ -1,9 +1,9 @@
 // Tests of the gateway's policies, which need no network and no clock: server health, attempts, the retry
 // budget, quotas, vanished registrations, requests that crash servers, and retry delays.
-#include "policy/allowance_book.hpp"
 #include "policy/attempt_rule.hpp"
 #include "policy/crash_suspects.hpp"
 #include "policy/overload_tracker.hpp"
+#include "policy/quota_tracker.hpp"
 #include "policy/refusal_history.hpp"
 #include "policy/registration_watch.hpp"
 #include "policy/server_health.hpp"
