--- a/src/emulator/emulated_backend.hpp
+++ b/src/emulator/emulated_backend.hpp
@@ -5,7 +5,7 @@
 #include "base/timer_service.hpp"
 #include "emulator/batching_engine.hpp"
 #include "http/server.hpp"
-#include "routing/call_fields.hpp"
+#include "routing/header_names.hpp"
 
 #include <boost/asio/any_io_executor.hpp>
 #include <boost/asio/awaitable.hpp>
--- a/src/gateway/deployment.hpp
+++ b/src/gateway/deployment.hpp
@@ -3,7 +3,7 @@
 #pragma once
 
 #include "routing/backend_record.hpp"
-#include "routing/call_fields.hpp"
+#include "routing/header_names.hpp"
 #include "routing/rollout_order.hpp"
 #include "routing/routing_types.hpp"
 #include "store/table.hpp"
--- a/src/gateway/gateway_context.hpp
+++ b/src/gateway/gateway_context.hpp
@@ -5,7 +5,7 @@
 #include "base/timer_service.hpp"
 #include "coordination/slot_broker.hpp"
 #include "gateway/gateway_settings.hpp"
-#include "routing/call_fields.hpp"
+#include "routing/header_names.hpp"
 #include "routing/routing_table.hpp"
 
 #include <boost/asio/any_io_executor.hpp>
--- a/src/gateway/heads.hpp
+++ b/src/gateway/heads.hpp
@@ -5,7 +5,7 @@
 #include "gateway/admitted_request.hpp"
 #include "http/field_list.hpp"
 #include "http/request_reader.hpp"
-#include "routing/call_fields.hpp"
+#include "routing/header_names.hpp"
 
 #include <optional>
 #include <string>
