--- a/src/gateway/store_follower.cpp
+++ b/src/gateway/store_follower.cpp
@@ -225,7 +225,7 @@
     m_poll->repeated_at = clock::now();
     m_poll->answer_due = m_poll->repeated_at + m_schedule.answer_limit(wait);
     const auto open = std::chrono::duration_cast<milliseconds>(wait);
-    poll.ask(m_table.changes(m_table_name, m_position.version, open));
+    poll.start_call(m_table.changes(m_table_name, m_position.version, open));
 }
 
 void store_follower::repeat_if_due(change_poll& poll) {
--- a/src/store/repeated_question.hpp
+++ b/src/store/repeated_question.hpp
@@ -38,7 +38,7 @@
     repeated_question& operator=(repeated_question&&) = delete;
 
     /// Starts one more call of the same request. The calls that are open go on.
-    void ask(boost::asio::awaitable<Answer> call);
+    void start_call(boost::asio::awaitable<Answer> call);
 
     /// Waits for the first call to end and returns its answer. Throws store_error if that call failed. May
     /// be called only once.
@@ -69,7 +69,7 @@
 }
 
 template <typename Answer>
-void repeated_question<Answer>::ask(boost::asio::awaitable<Answer> call) {
+void repeated_question<Answer>::start_call(boost::asio::awaitable<Answer> call) {
     auto cancellation = std::make_shared<boost::asio::cancellation_signal>();
     const auto slot = cancellation->slot();
     m_calls.push_back(cancellation);
--- a/src/store/repeated_read.cpp
+++ b/src/store/repeated_read.cpp
@@ -13,8 +13,8 @@
                                               table& table, std::string prefix,
                                               std::chrono::milliseconds period) {
     repeated_question<row_page> read(executor);
-    read.ask(table.read_all(prefix));
-    const auto repeat = timers.every(executor, period, [&] { read.ask(table.read_all(prefix)); });
+    read.start_call(table.read_all(prefix));
+    const auto repeat = timers.every(executor, period, [&] { read.start_call(table.read_all(prefix)); });
     co_return co_await read.first_answer();
 }
 
