--- a/src/gateway/store_follower.hpp
+++ b/src/gateway/store_follower.hpp
@@ -80,7 +80,7 @@
 
 private:
     /// The answer is empty when the store has dropped the history after the requested version.
-    using change_poll = store::repeated_question<std::optional<store::change_page>>;
+    using change_poll = store::repeated_poll<std::optional<store::change_page>>;
 
     /// When the open read was started, and when it was last repeated.
     struct open_poll {
--- a/src/store/repeated_question.hpp
+++ b/src/store/repeated_question.hpp
@@ -27,15 +27,15 @@
 /// Belongs to one coroutine and its executor. The destructor cancels the calls that are still open and
 /// closes their connections.
 template <typename Answer>
-class repeated_question {
+class repeated_poll {
 public:
-    explicit repeated_question(boost::asio::any_io_executor executor)
+    explicit repeated_poll(boost::asio::any_io_executor executor)
         : m_executor(std::move(executor)), m_first(std::make_shared<outcome_channel>(m_executor, 1)) {}
-    ~repeated_question();
-    repeated_question(const repeated_question&) = delete;
-    repeated_question& operator=(const repeated_question&) = delete;
-    repeated_question(repeated_question&&) = delete;
-    repeated_question& operator=(repeated_question&&) = delete;
+    ~repeated_poll();
+    repeated_poll(const repeated_poll&) = delete;
+    repeated_poll& operator=(const repeated_poll&) = delete;
+    repeated_poll(repeated_poll&&) = delete;
+    repeated_poll& operator=(repeated_poll&&) = delete;
 
     /// Starts one more call of the same request. The calls that are open go on.
     void start_call(boost::asio::awaitable<Answer> call);
@@ -60,7 +60,7 @@
 };
 
 template <typename Answer>
-repeated_question<Answer>::~repeated_question() {
+repeated_poll<Answer>::~repeated_poll() {
     for (const auto& call : m_calls) {
         if (const auto open = call.lock()) {
             open->emit(boost::asio::cancellation_type::terminal);
@@ -69,7 +69,7 @@
 }
 
 template <typename Answer>
-void repeated_question<Answer>::start_call(boost::asio::awaitable<Answer> call) {
+void repeated_poll<Answer>::start_call(boost::asio::awaitable<Answer> call) {
     auto cancellation = std::make_shared<boost::asio::cancellation_signal>();
     const auto slot = cancellation->slot();
     m_calls.push_back(cancellation);
@@ -80,8 +80,8 @@
 }
 
 template <typename Answer>
-boost::asio::awaitable<void> repeated_question<Answer>::run(std::shared_ptr<outcome_channel> first,
-                                                            boost::asio::awaitable<Answer> call) {
+boost::asio::awaitable<void> repeated_poll<Answer>::run(std::shared_ptr<outcome_channel> first,
+                                                        boost::asio::awaitable<Answer> call) {
     std::shared_ptr<outcome> received;
     try {
         received = std::make_shared<outcome>(co_await std::move(call));
@@ -94,7 +94,7 @@
 }
 
 template <typename Answer>
-boost::asio::awaitable<Answer> repeated_question<Answer>::first_answer() {
+boost::asio::awaitable<Answer> repeated_poll<Answer>::first_answer() {
     const auto received = co_await m_first->async_receive(boost::asio::use_awaitable);
     if (const auto* error = std::get_if<store_error>(received.get())) {
         throw store_error(*error);
--- a/src/store/repeated_read.cpp
+++ b/src/store/repeated_read.cpp
@@ -12,7 +12,7 @@
 asio::awaitable<row_page> read_all_repeatedly(asio::any_io_executor executor, timer_service& timers,
                                               table& table, std::string prefix,
                                               std::chrono::milliseconds period) {
-    repeated_question<row_page> read(executor);
+    repeated_poll<row_page> read(executor);
     read.start_call(table.read_all(prefix));
     const auto repeat = timers.every(executor, period, [&] { read.start_call(table.read_all(prefix)); });
     co_return co_await read.first_answer();
