--- a/src/gateway/store_follower.hpp
+++ b/src/gateway/store_follower.hpp
@@ -6,7 +6,7 @@
 #include "policy/confirmation.hpp"
 #include "policy/follower_role.hpp"
 #include "policy/poll_schedule.hpp"
-#include "store/repeated_question.hpp"
+#include "store/repeated_poll.hpp"
 #include "store/table.hpp"
 
 #include <boost/asio/any_io_executor.hpp>
--- a/src/store/repeated_read.cpp
+++ b/src/store/repeated_read.cpp
@@ -1,7 +1,7 @@
 // Starts another read at every tick of a timer until the first read is answered.
 #include "store/repeated_read.hpp"
 
-#include "store/repeated_question.hpp"
+#include "store/repeated_poll.hpp"
 
 #include <utility>
 
