--- a/src/coordination/own_requests.cpp
+++ b/src/coordination/own_requests.cpp
@@ -6,15 +6,15 @@
 
 namespace borageford::coordination {
 
-void own_requests::add(const policy::slot_request& wanted, slot_callbacks callbacks) {
+void local_requests::add(const policy::slot_request& wanted, slot_callbacks callbacks) {
     m_waiting.emplace(wanted.ticket, waiting_request{wanted, std::move(callbacks)});
 }
 
-bool own_requests::withdraw(policy::slot_ticket ticket) {
+bool local_requests::withdraw(policy::slot_ticket ticket) {
     return m_waiting.erase(ticket) > 0;
 }
 
-std::optional<slot_hold> own_requests::release(policy::slot_ticket ticket) {
+std::optional<slot_hold> local_requests::release(policy::slot_ticket ticket) {
     const auto held = m_running.extract(ticket);
     if (held.empty()) {
         return std::nullopt;
@@ -22,7 +22,7 @@
     return held.mapped();
 }
 
-bool own_requests::apply_grant(const policy::slot_grant& grant) {
+bool local_requests::apply_grant(const policy::slot_grant& grant) {
     const auto waiting = m_waiting.extract(grant.ticket);
     if (waiting.empty()) {
         return false;
@@ -33,14 +33,14 @@
     return true;
 }
 
-void own_requests::apply_refusal(const policy::slot_refusal& refusal) {
+void local_requests::apply_refusal(const policy::slot_refusal& refusal) {
     const auto waiting = m_waiting.extract(refusal.ticket);
     if (!waiting.empty()) {
         waiting.mapped().callbacks.on_refusal(refusal);
     }
 }
 
-batch_items own_requests::list_all() const {
+batch_items local_requests::list_all() const {
     batch_items items;
     for (const auto& [ticket, hold] : m_running) {
         items.holds.push_back(hold);
@@ -51,7 +51,7 @@
     return items;
 }
 
-batch_items own_requests::find_waiting(std::span<const policy::slot_ticket> tickets) const {
+batch_items local_requests::find_waiting(std::span<const policy::slot_ticket> tickets) const {
     batch_items items;
     for (const auto ticket : tickets) {
         const auto found = m_waiting.find(ticket);
--- a/src/coordination/own_requests.hpp
+++ b/src/coordination/own_requests.hpp
@@ -19,7 +19,7 @@
 };
 
 /// Invariant: no request both waits for a slot and occupies one.
-class own_requests {
+class local_requests {
 public:
     /// Adds a request that waits for a slot.
     void add(const policy::slot_request& wanted, slot_callbacks callbacks);
--- a/src/coordination/slot_broker.hpp
+++ b/src/coordination/slot_broker.hpp
@@ -198,7 +198,7 @@
     std::set<policy::member_key> m_members_to_flush;
     policy::active_members m_active_members;
 
-    own_requests m_requests;
+    local_requests m_requests;
 
     timer_subscription m_tick_timer;
     timer_subscription m_retransmit_timer;
