--- a/src/coordination/own_requests.cpp
+++ b/src/coordination/own_requests.cpp
@@ -1,6 +1,6 @@
 // Keeps the waiting requests and the occupied slots of this process in two tables, by the id of the slot
 // request.
-#include "coordination/own_requests.hpp"
+#include "coordination/local_requests.hpp"
 
 #include <utility>
 
