--- a/src/coordination/slot_broker.cpp
+++ b/src/coordination/slot_broker.cpp
@@ -167,7 +167,7 @@
 }
 
 void slot_broker::apply_items(policy::member_key member, const batch_items& items, policy::time_point now) {
-    m_coordinator.take(member, items, now);
+    m_coordinator.apply_items(member, items, now);
     for (const auto& ended : items.releases) {
         m_observers.on_release(ended);
     }
@@ -240,7 +240,7 @@
 }
 
 void slot_broker::resubmit_deferred(policy::time_point now) {
-    m_coordinator.take(m_self, m_requests.find_waiting(m_deferred.take_tickets()), now);
+    m_coordinator.apply_items(m_self, m_requests.find_waiting(m_deferred.take_tickets()), now);
 }
 
 void slot_broker::report_source_change(slot_source before) const {
@@ -508,7 +508,7 @@
     if (before == slot_source::coordinator) {
         m_uncoordinated_since = now;
         m_upstream.reset();
-        m_coordinator.take(m_self, m_requests.list_all(), now);
+        m_coordinator.apply_items(m_self, m_requests.list_all(), now);
     }
     schedule_flush();
     report_source_change(before);
--- a/src/coordination/slot_coordinator.cpp
+++ b/src/coordination/slot_coordinator.cpp
@@ -36,7 +36,8 @@
     m_suspects.record_restart(former, now);
 }
 
-void slot_coordinator::take(policy::member_key member, const batch_items& items, policy::time_point now) {
+void slot_coordinator::apply_items(policy::member_key member, const batch_items& items,
+                                   policy::time_point now) {
     for (const auto& report : items.reports) {
         m_scheduler.adopt(report, now);
     }
--- a/src/coordination/slot_coordinator.hpp
+++ b/src/coordination/slot_coordinator.hpp
@@ -34,7 +34,7 @@
     void take_restart(policy::server_key former, policy::time_point now);
 
     /// Processes the items that a member sent.
-    void take(policy::member_key member, const batch_items& items, policy::time_point now);
+    void apply_items(policy::member_key member, const batch_items& items, policy::time_point now);
 
     /// Drops a member. Its waiting requests are removed, and the slots that its requests occupy become free.
     void detach(policy::member_key member, policy::time_point now);
--- a/tests/unit/test_coordination.cpp
+++ b/tests/unit/test_coordination.cpp
@@ -443,8 +443,8 @@
     first.asks.front().sends = 0;
     auto second = first;
     second.asks.front().ticket = 2;
-    coordinator.take(100, first, start_time);
-    coordinator.take(200, second, start_time);
+    coordinator.apply_items(100, first, start_time);
+    coordinator.apply_items(200, second, start_time);
     const auto grants = coordinator.decide(start_time);
     REQUIRE(grants.size() == 1);
     CHECK(grants.at(100).grants.front().ticket == 1);
@@ -467,13 +467,13 @@
         items.asks.front().arrived = now;
         items.asks.front().is_charged = false;
         items.asks.front().sends = 0;
-        coordinator.take(100, items, now);
+        coordinator.apply_items(100, items, now);
         return coordinator.decide(now)[100];
     };
     REQUIRE(request(1).grants.size() == 1);
     REQUIRE(request(2).refusals.size() == 1);
     batch_items ended;
     ended.releases.push_back({1, 51, slot_outcome::refused, 1ms, {}});
-    coordinator.take(100, ended, now);
+    coordinator.apply_items(100, ended, now);
     CHECK(request(3).grants.size() == 1);
 }
--- a/tests/unit/test_policy_server_report.cpp
+++ b/tests/unit/test_policy_server_report.cpp
@@ -153,7 +153,7 @@
     for (slot_ticket ticket = 1; ticket <= 4; ++ticket) {
         batch.asks.push_back(make_request(ticket, start_time));
     }
-    successor.take(7, batch, start_time);
+    successor.apply_items(7, batch, start_time);
     const auto grants = successor.decide(start_time).at(7).grants;
     REQUIRE(grants.size() == 4);
     CHECK(std::ranges::all_of(grants, [](const auto& grant) { return grant.server == fast; }));
--- a/tests/unit/test_slot_coordinator_random.cpp
+++ b/tests/unit/test_slot_coordinator_random.cpp
@@ -89,7 +89,7 @@
             items.asks.push_back(wanted);
             m_known[member].waiting.insert(wanted.ticket);
         }
-        m_coordinator.take(member, items, m_now);
+        m_coordinator.apply_items(member, items, m_now);
     }
 
     void withdraw(member_key member) {
@@ -102,7 +102,7 @@
         known.waiting.erase(ticket);
         m_withdrawn.insert(ticket);
         items.withdrawals.push_back(ticket);
-        m_coordinator.take(member, items, m_now);
+        m_coordinator.apply_items(member, items, m_now);
     }
 
     void release(member_key member) {
@@ -115,7 +115,7 @@
         batch_items items;
         const auto outcome = static_cast<slot_outcome>(m_random() % 6);
         items.releases.push_back({ticket, server, outcome, 30ms, 10ms});
-        m_coordinator.take(member, items, m_now);
+        m_coordinator.apply_items(member, items, m_now);
     }
 
     /// The coordinator drops a member. The member either stays away, or starts a new session and reports
@@ -131,7 +131,7 @@
         for (const auto& [ticket, server] : known.running) {
             items.holds.push_back({ticket, server, service, 0, {}});
         }
-        m_coordinator.take(member, items, m_now);
+        m_coordinator.apply_items(member, items, m_now);
         known.waiting.clear();
     }
 
@@ -191,7 +191,7 @@
         wanted.target = 100ms;
         items.asks.push_back(wanted);
     }
-    coordinator.take(5, items, time_point(10s));
+    coordinator.apply_items(5, items, time_point(10s));
     coordinator.detach(5, time_point(10s));
     CHECK(coordinator.decide(time_point(10s)).empty());
 }
