--- a/src/coordination/slot_broker.cpp
+++ b/src/coordination/slot_broker.cpp
@@ -111,7 +111,7 @@
     m_coordinator.take_restart(former, clock::now());
 }
 
-void slot_broker::set_allowance(policy::workspace_key workspace, policy::quota limit) {
+void slot_broker::set_quota(policy::workspace_key workspace, policy::quota limit) {
     m_coordinator.allowances().set_limit(workspace, limit, clock::now());
 }
 
--- a/src/coordination/slot_broker.hpp
+++ b/src/coordination/slot_broker.hpp
@@ -105,7 +105,7 @@
     /// A server restarted under another key. `former` is the key of the run that has ended.
     void take_restart(policy::server_key former);
     /// Sets the quota of a workspace.
-    void set_allowance(policy::workspace_key workspace, policy::quota limit);
+    void set_quota(policy::workspace_key workspace, policy::quota limit);
     void remove_allowance(policy::workspace_key workspace);
 
     /// Returns an id for a slot request that is unique among all processes.
--- a/src/gateway/configuration_keeper.cpp
+++ b/src/gateway/configuration_keeper.cpp
@@ -53,7 +53,7 @@
     for (const auto& workspace : table.document().workspaces) {
         const auto key = hash_bytes(workspace.name);
         present.insert(key);
-        m_slots.set_allowance(key, {workspace.rate, workspace.burst});
+        m_slots.set_quota(key, {workspace.rate, workspace.burst});
     }
     std::vector<policy::workspace_key> removed;
     std::ranges::set_difference(m_workspaces, present, std::back_inserter(removed));
--- a/tests/unit/test_slot_broker.cpp
+++ b/tests/unit/test_slot_broker.cpp
@@ -81,7 +81,7 @@
 public:
     broker_site() : m_broker(m_context.get_executor(), m_timers, make_settings(), make_observers()) {
         m_broker.add_member(asio::ip::make_address("127.0.0.2"), 64);
-        m_broker.set_allowance(workspace, {.rate = 1, .burst = 3000});
+        m_broker.set_quota(workspace, {.rate = 1, .burst = 3000});
         m_broker.set_server(1, engines, 4, 0);
         m_broker.start();
     }
