--- a/src/coordination/slot_broker.cpp
+++ b/src/coordination/slot_broker.cpp
@@ -115,7 +115,7 @@
     m_coordinator.allowances().set_limit(workspace, limit, clock::now());
 }
 
-void slot_broker::remove_allowance(policy::workspace_key workspace) {
+void slot_broker::remove_quota(policy::workspace_key workspace) {
     m_coordinator.allowances().remove(workspace);
 }
 
--- a/src/coordination/slot_broker.hpp
+++ b/src/coordination/slot_broker.hpp
@@ -106,7 +106,7 @@
     void take_restart(policy::server_key former);
     /// Sets the quota of a workspace.
     void set_quota(policy::workspace_key workspace, policy::quota limit);
-    void remove_allowance(policy::workspace_key workspace);
+    void remove_quota(policy::workspace_key workspace);
 
     /// Returns an id for a slot request that is unique among all processes.
     [[nodiscard]] policy::slot_ticket next_ticket() noexcept;
--- a/src/gateway/configuration_keeper.cpp
+++ b/src/gateway/configuration_keeper.cpp
@@ -58,7 +58,7 @@
     std::vector<policy::workspace_key> removed;
     std::ranges::set_difference(m_workspaces, present, std::back_inserter(removed));
     for (const auto key : removed) {
-        m_slots.remove_allowance(key);
+        m_slots.remove_quota(key);
     }
     m_workspaces = std::move(present);
 }
