--- a/src/gateway/gateway_process.cpp
+++ b/src/gateway/gateway_process.cpp
@@ -273,7 +273,7 @@
         if (m_slots.source() == coordination::slot_source::own_coordination) {
             return policy::follower_role::confirmer;
         }
-        return m_follower_choice.choose(m_slots.is_candidate(), m_slots.members_told(),
+        return m_follower_choice.choose(m_slots.is_candidate(), m_slots.reported_members(),
                                         std::chrono::steady_clock::now());
     }
 
