--- a/src/coordination/slot_broker.cpp
+++ b/src/coordination/slot_broker.cpp
@@ -107,8 +107,8 @@
     m_coordinator.scheduler().remove_server(server);
 }
 
-void slot_broker::take_restart(policy::server_key former) {
-    m_coordinator.take_restart(former, clock::now());
+void slot_broker::handle_restart(policy::server_key former) {
+    m_coordinator.handle_restart(former, clock::now());
 }
 
 void slot_broker::set_quota(policy::workspace_key workspace, policy::quota limit) {
--- a/src/coordination/slot_broker.hpp
+++ b/src/coordination/slot_broker.hpp
@@ -103,7 +103,7 @@
                     policy::domain_key domain);
     void remove_server(policy::server_key server);
     /// A server restarted under another key. `former` is the key of the run that has ended.
-    void take_restart(policy::server_key former);
+    void handle_restart(policy::server_key former);
     /// Sets the quota of a workspace.
     void set_quota(policy::workspace_key workspace, policy::quota limit);
     void remove_quota(policy::workspace_key workspace);
--- a/src/coordination/slot_coordinator.cpp
+++ b/src/coordination/slot_coordinator.cpp
@@ -31,7 +31,7 @@
     m_retry_budget.set_share(limits);
 }
 
-void slot_coordinator::take_restart(policy::server_key former, policy::time_point now) {
+void slot_coordinator::handle_restart(policy::server_key former, policy::time_point now) {
     m_scheduler.remove_server(former);
     m_suspects.record_restart(former, now);
 }
--- a/src/coordination/slot_coordinator.hpp
+++ b/src/coordination/slot_coordinator.hpp
@@ -31,7 +31,7 @@
     void set_shares(double slots, double limits, policy::time_point now);
 
     /// A server restarted under another key. `former` is the key of the run that has ended.
-    void take_restart(policy::server_key former, policy::time_point now);
+    void handle_restart(policy::server_key former, policy::time_point now);
 
     /// Processes the items that a member sent.
     void apply_items(policy::member_key member, const batch_items& items, policy::time_point now);
--- a/src/gateway/backend_roster.cpp
+++ b/src/gateway/backend_roster.cpp
@@ -349,7 +349,7 @@
     events::write(
         events::event_kind::backend_restarted,
         {{"backend", record.id}, {"start", record.start}, {"former_start", previous->record().start}});
-    m_slots.take_restart(previous->record().key());
+    m_slots.handle_restart(previous->record().key());
 }
 
 void backend_roster::handle_missing(const std::string& id) {
