--- a/src/coordination/slot_broker.cpp
+++ b/src/coordination/slot_broker.cpp
@@ -46,7 +46,7 @@
         return "coordinator";
     case slot_source::own_coordination:
         return "own_coordination";
-    case slot_source::own_part:
+    case slot_source::local_share:
         break;
     }
     return "own_part";
@@ -317,7 +317,7 @@
 }
 
 heartbeat_receiver slot_broker::receiver_kind_of(policy::member_key candidate) const {
-    if (m_source == slot_source::own_part) {
+    if (m_source == slot_source::local_share) {
         return heartbeat_receiver::next;
     }
     const bool coordinates = m_source == slot_source::coordinator && candidate == m_coordinating_member;
@@ -461,8 +461,8 @@
         if (!is_attached) {
             attach_to(choice.member);
         }
-    } else if (m_source != slot_source::own_part) {
-        use_local_source(slot_source::own_part);
+    } else if (m_source != slot_source::local_share) {
+        use_local_source(slot_source::local_share);
     }
     m_election.set_acting(m_source == slot_source::own_coordination);
     update_shares(now);
@@ -499,7 +499,7 @@
     const auto before = std::exchange(m_source, source);
     m_source_since = now;
     update_shares(now);
-    if (source == slot_source::own_part) {
+    if (source == slot_source::local_share) {
         for (const auto& [member, served] : m_coordinated_members) {
             m_coordinator.detach(member, now);
         }
--- a/src/coordination/slot_broker.hpp
+++ b/src/coordination/slot_broker.hpp
@@ -50,7 +50,7 @@
 enum class slot_source : std::uint8_t {
     coordinator,      ///< another process, which coordinates this one
     own_coordination, ///< this process, which is the coordinator
-    own_part,         ///< this process, from its local share, because it has no coordinator
+    local_share,      ///< this process, from its local share, because it has no coordinator
 };
 
 [[nodiscard]] std::string_view to_string(slot_source source) noexcept;
@@ -186,7 +186,7 @@
     slot_coordinator m_coordinator;
     std::optional<peer_socket> m_socket;
 
-    slot_source m_source = slot_source::own_part;
+    slot_source m_source = slot_source::local_share;
     policy::time_point m_source_since;
     policy::member_key m_coordinating_member = 0; ///< the coordinator, while m_source is coordinator
     std::optional<batch_channel> m_upstream;  ///< session with the coordinator, while m_source is coordinator
--- a/tests/unit/test_slot_broker.cpp
+++ b/tests/unit/test_slot_broker.cpp
@@ -149,7 +149,7 @@
     broker_site site;
     site.run_until([&] { return site.has_source(slot_source::coordinator); });
     site.other().coordinate(false);
-    site.run_until([&] { return site.has_source(slot_source::own_part); });
+    site.run_until([&] { return site.has_source(slot_source::local_share); });
     const auto large = site.request_slot(30000);
     const auto small = site.request_slot(500);
     site.run_until(
@@ -182,7 +182,7 @@
     broker_site site;
     site.run_until([&] { return site.has_source(slot_source::coordinator); });
     site.other().coordinate(false);
-    site.run_until([&] { return site.has_source(slot_source::own_part); });
+    site.run_until([&] { return site.has_source(slot_source::local_share); });
     const auto first = site.request_slot(500);
     site.run_until([&] { return site.was_granted(first); });
     site.release(first, slot_outcome::unreachable);
