--- a/src/emulator/emulated_store.cpp
+++ b/src/emulator/emulated_store.cpp
@@ -68,7 +68,7 @@
         co_await leave_unanswered(writer);
         co_return;
     }
-    platform::tell_era(whole, m_told_era.value_or(m_rows.era()));
+    platform::add_era_header(whole, m_told_era.value_or(m_rows.era()));
     co_await writer.write(whole);
 }
 
