--- a/src/experiment/call_text.cpp
+++ b/src/experiment/call_text.cpp
@@ -9,7 +9,7 @@
 namespace borageford::experiment {
 
 std::string compose_call(const call_description& call) {
-    const auto names = platform::call_names();
+    const auto names = platform::header_field_names();
     std::string text = "POST " + call.target + " HTTP/1.1\r\n";
     const auto add = [&text](std::string_view name, const std::string& value) {
         text.append(name).append(": ").append(value).append("\r\n");
--- a/src/experiment/experiment_site.cpp
+++ b/src/experiment/experiment_site.cpp
@@ -73,8 +73,8 @@
     if (options.engine) {
         options.engine->speed = unit.speed;
     }
-    unit.server =
-        std::make_unique<emulator::emulated_backend>(m_executor, m_timers, platform::call_names(), options);
+    unit.server = std::make_unique<emulator::emulated_backend>(m_executor, m_timers,
+                                                               platform::header_field_names(), options);
     // A port that the kernel chose may have been given to somebody else meanwhile.
     const bool is_chosen = group.first_address.port() == 0;
     unit.address = unit.server->listen(is_chosen ? group.first_address : unit.address);
--- a/tests/soak/soak_callers.cpp
+++ b/tests/soak/soak_callers.cpp
@@ -44,7 +44,7 @@
 };
 
 std::optional<maker> read_signature(const http::field_list& fields) {
-    const auto text = fields.find(platform::call_names().signature);
+    const auto text = fields.find(platform::header_field_names().signature);
     const auto dot = text.has_value() ? text->rfind('.') : std::string_view::npos;
     if (dot == std::string_view::npos) {
         return std::nullopt;
--- a/tests/support/gateway_site.cpp
+++ b/tests/support/gateway_site.cpp
@@ -75,7 +75,7 @@
 }
 
 http::request make_call(const std::string& target, const std::string& id, std::string body) {
-    const auto names = platform::call_names();
+    const auto names = platform::header_field_names();
     return {"POST",
             target,
             {{"Host", std::string(host)}, {names.request_id, id}, {names.deadline, "5000"}},
@@ -228,7 +228,7 @@
 void gateway_site::start_backend(std::size_t index, const emulator::backend_options& options) {
     on_emulator([&] {
         auto server = std::make_unique<emulator::emulated_backend>(m_context.get_executor(), m_timers,
-                                                                   platform::call_names(), options);
+                                                                   platform::header_field_names(), options);
         const auto address = server->listen({asio::ip::make_address("127.0.0.1"), 0});
         if (const auto former = m_backends.find(index); former != m_backends.end()) {
             m_former_backends.push_back(std::move(former->second.server));
