--- a/src/experiment/call_text.cpp
+++ b/src/experiment/call_text.cpp
@@ -1,7 +1,7 @@
 // One head, one body.
 #include "experiment/call_text.hpp"
 
-#include "platform/call_names.hpp"
+#include "platform/header_field_names.hpp"
 
 #include <algorithm>
 #include <string_view>
--- a/src/experiment/experiment_site.cpp
+++ b/src/experiment/experiment_site.cpp
@@ -2,8 +2,8 @@
 #include "experiment/experiment_site.hpp"
 
 #include "platform/backend_codec.hpp"
-#include "platform/call_names.hpp"
 #include "platform/configuration_codec.hpp"
+#include "platform/header_field_names.hpp"
 #include "store/row.hpp"
 
 #include <algorithm>
--- a/tests/soak/soak_callers.cpp
+++ b/tests/soak/soak_callers.cpp
@@ -1,7 +1,7 @@
 // Kinds of requests are drawn evenly, gateways too: also those that are gone.
 #include "soak/soak_callers.hpp"
 
-#include "platform/call_names.hpp"
+#include "platform/header_field_names.hpp"
 
 #include <array>
 #include <optional>
--- a/tests/soak/soak_deployment.cpp
+++ b/tests/soak/soak_deployment.cpp
@@ -2,8 +2,8 @@
 #include "soak/soak_deployment.hpp"
 
 #include "experiment/gateway_files.hpp"
-#include "platform/call_names.hpp"
 #include "platform/configuration_codec.hpp"
+#include "platform/header_field_names.hpp"
 #include "store/row.hpp"
 #include "support/free_ports.hpp"
 
