--- a/src/entry/entry_context.hpp
+++ b/src/entry/entry_context.hpp
@@ -27,7 +27,7 @@
     entry_metrics& metrics;
     audit::recorder& audit;
     std::atomic<std::uint64_t> placement_count = 0; ///< placements planned by this entry so far
-    prefix_book prefixes{};
+    prefix_tracker prefixes{};
 };
 
 } // namespace borageford::entry
--- a/src/entry/prefix_book.cpp
+++ b/src/entry/prefix_book.cpp
@@ -7,23 +7,23 @@
 
 using std::chrono::steady_clock;
 
-std::optional<std::uint64_t> prefix_book::home_key(hashes prompt) const {
+std::optional<std::uint64_t> prefix_tracker::home_key(hashes prompt) const {
     const std::lock_guard lock(m_mutex);
     return m_index.home_key(prompt);
 }
 
-std::vector<policy::prefix_holder> prefix_book::find_holders(hashes prompt) const {
+std::vector<policy::prefix_holder> prefix_tracker::find_holders(hashes prompt) const {
     const std::lock_guard lock(m_mutex);
     return m_index.find_holders(prompt, steady_clock::now());
 }
 
-void prefix_book::record_start(hashes prompt, std::uint64_t server) {
+void prefix_tracker::record_start(hashes prompt, std::uint64_t server) {
     const std::lock_guard lock(m_mutex);
     m_index.record_start(prompt, server, steady_clock::now());
 }
 
-void prefix_book::record_reply(hashes prompt, std::optional<std::uint64_t> last_cached,
-                               std::uint64_t server) {
+void prefix_tracker::record_reply(hashes prompt, std::optional<std::uint64_t> last_cached,
+                                  std::uint64_t server) {
     std::size_t blocks = 0;
     if (last_cached) {
         const auto found = std::ranges::find(prompt, *last_cached);
@@ -33,7 +33,7 @@
     m_index.record_cached(prompt, blocks, server, steady_clock::now());
 }
 
-void prefix_book::forget_server(std::uint64_t server) {
+void prefix_tracker::forget_server(std::uint64_t server) {
     const std::lock_guard lock(m_mutex);
     m_index.forget_server(server, steady_clock::now());
 }
--- a/src/entry/prefix_book.hpp
+++ b/src/entry/prefix_book.hpp
@@ -14,7 +14,7 @@
 /// Thread-safe. Uses a lock instead of a snapshot because every started request writes, and the lock is held
 /// only for a few microseconds. `prompt` is always a prompt's block hashes (policy::hash_prefix_blocks()),
 /// and `server` the hash of a backend server's name.
-class prefix_book {
+class prefix_tracker {
 public:
     using hashes = std::span<const std::uint64_t>;
 
