--- a/src/entry/entry_context.hpp
+++ b/src/entry/entry_context.hpp
@@ -8,7 +8,7 @@
 #include "entry/crash_watch.hpp"
 #include "entry/entry_metrics.hpp"
 #include "entry/entry_settings.hpp"
-#include "entry/prefix_book.hpp"
+#include "entry/prefix_tracker.hpp"
 #include "entry/server_directory.hpp"
 
 #include <atomic>
--- a/src/entry/prefix_book.cpp
+++ b/src/entry/prefix_book.cpp
@@ -1,5 +1,5 @@
 // Adds a lock and the current time to the functions of policy::prefix_index.
-#include "entry/prefix_book.hpp"
+#include "entry/prefix_tracker.hpp"
 
 #include <algorithm>
 
