--- a/src/entry/crash_watch.cpp
+++ b/src/entry/crash_watch.cpp
@@ -22,7 +22,7 @@
 
 } // namespace
 
-struct crash_watch::state : std::enable_shared_from_this<crash_watch::state> {
+struct crash_mark_tracker::state : std::enable_shared_from_this<crash_mark_tracker::state> {
     state(asio::any_io_executor reader_executor, timer_service& timer_provider, store::table& mark_table)
         : executor(std::move(reader_executor)), timers(timer_provider), table(mark_table) {}
 
@@ -42,7 +42,7 @@
     std::set<std::uint64_t> known_rows;
 };
 
-void crash_watch::state::record_row(const store::row& row, std::set<std::uint64_t>& current_rows) {
+void crash_mark_tracker::state::record_row(const store::row& row, std::set<std::uint64_t>& current_rows) {
     std::uint64_t fingerprint = 0;
     if (!marks::parse_key(row.key, fingerprint)) {
         return;
@@ -57,7 +57,7 @@
 
 /// Ends the quarantine of requests whose row has disappeared from the table, which means that an operator
 /// released them. `current_rows` holds the fingerprints that have a row now.
-void crash_watch::state::release_missing(const std::set<std::uint64_t>& current_rows) {
+void crash_mark_tracker::state::release_missing(const std::set<std::uint64_t>& current_rows) {
     const std::scoped_lock lock(mutex);
     for (const auto fingerprint : known_rows) {
         if (!current_rows.contains(fingerprint)) {
@@ -67,7 +67,7 @@
     known_rows = current_rows;
 }
 
-asio::awaitable<void> crash_watch::state::read_all() {
+asio::awaitable<void> crash_mark_tracker::state::read_all() {
     const auto self = shared_from_this();
     try {
         std::set<std::uint64_t> current_rows;
@@ -88,14 +88,15 @@
     is_reading.store(false);
 }
 
-crash_watch::crash_watch(asio::any_io_executor executor, timer_service& timers, store::table& table)
+crash_mark_tracker::crash_mark_tracker(asio::any_io_executor executor, timer_service& timers,
+                                       store::table& table)
     : m_state(std::make_shared<state>(std::move(executor), timers, table)) {}
 
-crash_watch::~crash_watch() {
+crash_mark_tracker::~crash_mark_tracker() {
     m_state->timer.cancel();
 }
 
-void crash_watch::start(std::chrono::milliseconds period) {
+void crash_mark_tracker::start(std::chrono::milliseconds period) {
     const auto read = [weak = std::weak_ptr(m_state)] {
         const auto shared = weak.lock();
         if (shared != nullptr && !shared->is_reading.exchange(true)) {
@@ -106,18 +107,19 @@
     read();
 }
 
-bool crash_watch::record(const wire::crash_mark_message& mark) {
+bool crash_mark_tracker::record(const wire::crash_mark_message& mark) {
     const std::scoped_lock lock(m_state->mutex);
     return m_state->quarantine.record_mark(mark.fingerprint, mark.backend_server, wire::from_wire(mark.mark),
                                            steady_clock::now());
 }
 
-std::size_t crash_watch::marks(std::uint64_t fingerprint) const {
+std::size_t crash_mark_tracker::marks(std::uint64_t fingerprint) const {
     const std::scoped_lock lock(m_state->mutex);
     return m_state->quarantine.marks(fingerprint, steady_clock::now());
 }
 
-std::optional<std::chrono::milliseconds> crash_watch::quarantine_left(std::uint64_t fingerprint) const {
+std::optional<std::chrono::milliseconds>
+crash_mark_tracker::quarantine_left(std::uint64_t fingerprint) const {
     const std::scoped_lock lock(m_state->mutex);
     const auto left = m_state->quarantine.time_left(fingerprint, steady_clock::now());
     if (!left) {
--- a/src/entry/crash_watch.hpp
+++ b/src/entry/crash_watch.hpp
@@ -19,14 +19,14 @@
 namespace borageford::entry {
 
 /// The crash marks and quarantined requests that this entry knows of. Thread-safe.
-class crash_watch {
+class crash_mark_tracker {
 public:
-    crash_watch(boost::asio::any_io_executor executor, timer_service& timers, store::table& table);
-    ~crash_watch();
-    crash_watch(const crash_watch&) = delete;
-    crash_watch& operator=(const crash_watch&) = delete;
-    crash_watch(crash_watch&&) = delete;
-    crash_watch& operator=(crash_watch&&) = delete;
+    crash_mark_tracker(boost::asio::any_io_executor executor, timer_service& timers, store::table& table);
+    ~crash_mark_tracker();
+    crash_mark_tracker(const crash_mark_tracker&) = delete;
+    crash_mark_tracker& operator=(const crash_mark_tracker&) = delete;
+    crash_mark_tracker(crash_mark_tracker&&) = delete;
+    crash_mark_tracker& operator=(crash_mark_tracker&&) = delete;
 
     /// Reads all marks from the table immediately, and again after every period.
     void start(std::chrono::milliseconds period);
--- a/src/entry/entry_context.hpp
+++ b/src/entry/entry_context.hpp
@@ -23,7 +23,7 @@
     server_directory& servers;
     claim_store& claims;
     admission& admissions;
-    crash_watch& crash_marks;
+    crash_mark_tracker& crash_marks;
     entry_metrics& metrics;
     audit::recorder& audit;
     std::atomic<std::uint64_t> placement_count = 0; ///< placements planned by this entry so far
--- a/src/entry/entry_process.cpp
+++ b/src/entry/entry_process.cpp
@@ -94,7 +94,7 @@
     claim_store m_claims;
     claim_sweeper m_claim_sweeper;
     admission m_admissions;
-    crash_watch m_crash_marks;
+    crash_mark_tracker m_crash_marks;
     audit::recorder m_audit;
     entry_context m_context;
     caller_api m_callers;
