--- a/src/entry/entry_context.hpp
+++ b/src/entry/entry_context.hpp
@@ -5,7 +5,7 @@
 #include "configuration/configuration_follower.hpp"
 #include "entry/admission.hpp"
 #include "entry/claim_store.hpp"
-#include "entry/crash_watch.hpp"
+#include "entry/crash_mark_tracker.hpp"
 #include "entry/entry_metrics.hpp"
 #include "entry/entry_settings.hpp"
 #include "entry/prefix_tracker.hpp"
