--- a/src/entry/fate_inquiry.cpp
+++ b/src/entry/fate_inquiry.cpp
@@ -11,7 +11,7 @@
 
 } // namespace
 
-bool fate_inquiry::record_lost_connection(clock::time_point now) {
+bool fate_request_schedule::record_lost_connection(clock::time_point now) {
     if (!m_lost_since) {
         m_lost_since = now;
         m_backoff_delay = first_delay;
@@ -22,7 +22,7 @@
     return now - *m_lost_since <= m_limit;
 }
 
-void fate_inquiry::reset() noexcept {
+void fate_request_schedule::reset() noexcept {
     m_lost_since.reset();
     m_next_request_time.reset();
 }
--- a/src/entry/fate_inquiry.hpp
+++ b/src/entry/fate_inquiry.hpp
@@ -9,12 +9,12 @@
 
 /// The delay before each request for the fate doubles with every lost connection, up to one second. The class
 /// reads no clock; the current time is passed in.
-class fate_inquiry {
+class fate_request_schedule {
 public:
     using clock = std::chrono::steady_clock;
 
     /// `limit` is the time after the first lost connection in which the fate is requested.
-    explicit fate_inquiry(clock::duration limit) : m_limit(limit) {}
+    explicit fate_request_schedule(clock::duration limit) : m_limit(limit) {}
 
     /// Records that the connection was lost, for the first time or once more, and schedules the next request.
     /// Returns false when the first loss was longer ago than the limit.
--- a/src/entry/request_run.hpp
+++ b/src/entry/request_run.hpp
@@ -85,7 +85,7 @@
     /// The error in the sidecar's last `not_begun` message.
     std::optional<request_error> m_not_begun;
     request_claim m_claim;
-    fate_inquiry m_fate_requests;
+    fate_request_schedule m_fate_requests;
     int m_attempts = 0;       ///< how often the request was to be placed again, not counting stale revisions
     int m_stale_attempts = 0; ///< how often the request was to be placed again because of a stale revision
     bool m_is_joined = false; ///< m_started belongs to another run of this request
