--- a/src/entry/fate_inquiry.cpp
+++ b/src/entry/fate_inquiry.cpp
@@ -1,5 +1,5 @@
 // Exponential backoff of the requests for a dispatch's fate.
-#include "entry/fate_inquiry.hpp"
+#include "entry/fate_request_schedule.hpp"
 
 #include <algorithm>
 
--- a/src/entry/request_run.hpp
+++ b/src/entry/request_run.hpp
@@ -7,7 +7,7 @@
 #include "entry/caller_answer.hpp"
 #include "entry/dispatch_event.hpp"
 #include "entry/entry_context.hpp"
-#include "entry/fate_inquiry.hpp"
+#include "entry/fate_request_schedule.hpp"
 #include "entry/offer_round.hpp"
 #include "entry/request_claim.hpp"
 
