--- a/src/entry/answers.cpp
+++ b/src/entry/answers.cpp
@@ -1,5 +1,5 @@
 // Builds the bodies and headers of error responses from the table of error kinds (answer_for()).
-#include "entry/answers.hpp"
+#include "entry/error_responses.hpp"
 
 #include <boost/json.hpp>
 
--- a/src/entry/caller_api.cpp
+++ b/src/entry/caller_api.cpp
@@ -3,9 +3,9 @@
 
 #include "audit/request_identifier.hpp"
 #include "base/request_error.hpp"
-#include "entry/answers.hpp"
 #include "entry/call_parser.hpp"
 #include "entry/call_record.hpp"
+#include "entry/error_responses.hpp"
 #include "entry/request_run.hpp"
 
 #include <boost/asio/co_spawn.hpp>
