--- a/src/sidecar/offer_scheduler.cpp
+++ b/src/sidecar/offer_scheduler.cpp
@@ -186,7 +186,7 @@
     answer.marks = static_cast<std::uint32_t>(m_context.marks.count(request.fingerprint));
     answer.load = make_load_report();
     const auto cached_blocks =
-        (request.prompt_tokens - request.prefill_tokens) / prefix_memory::tokens_per_block;
+        (request.prompt_tokens - request.prefill_tokens) / cached_block_index::tokens_per_block;
     if (cached_blocks > 0 && cached_blocks <= request.prefix_hashes.size()) {
         answer.load->cached_prefixes.push_back(request.prefix_hashes[cached_blocks - 1]);
     }
--- a/src/sidecar/prefix_memory.cpp
+++ b/src/sidecar/prefix_memory.cpp
@@ -1,9 +1,9 @@
-// Implementation of prefix_memory: a bounded set of block hashes.
+// Implementation of cached_block_index: a bounded set of block hashes.
 #include "sidecar/prefix_memory.hpp"
 
 namespace borageford::sidecar {
 
-void prefix_memory::add(std::span<const std::uint64_t> hashes) {
+void cached_block_index::add(std::span<const std::uint64_t> hashes) {
     for (const auto hash : hashes) {
         const auto found = m_blocks.find(hash);
         if (found != m_blocks.end()) {
@@ -19,7 +19,7 @@
     }
 }
 
-void prefix_memory::remove(std::span<const std::uint64_t> hashes) {
+void cached_block_index::remove(std::span<const std::uint64_t> hashes) {
     for (const auto hash : hashes) {
         const auto found = m_blocks.find(hash);
         if (found != m_blocks.end()) {
@@ -29,12 +29,12 @@
     }
 }
 
-void prefix_memory::clear() {
+void cached_block_index::clear() {
     m_blocks.clear();
     m_use.clear();
 }
 
-std::uint32_t prefix_memory::cached_tokens(std::span<const std::uint64_t> hashes) const {
+std::uint32_t cached_block_index::cached_tokens(std::span<const std::uint64_t> hashes) const {
     std::uint32_t tokens = 0;
     for (const auto hash : hashes) {
         if (!m_blocks.contains(hash)) {
--- a/src/sidecar/prefix_memory.hpp
+++ b/src/sidecar/prefix_memory.hpp
@@ -12,11 +12,11 @@
 
 /// A set of block hashes. Its content is only a hint, because cache events arrive late and some are missing.
 /// Invariant: at most `limit` blocks are kept; the least recently used is removed first.
-class prefix_memory {
+class cached_block_index {
 public:
     static constexpr std::uint32_t tokens_per_block = 64;
 
-    explicit prefix_memory(std::size_t limit) : m_limit(limit) {}
+    explicit cached_block_index(std::size_t limit) : m_limit(limit) {}
 
     /// Adds blocks, or makes them the most recently used ones.
     void add(std::span<const std::uint64_t> hashes);
--- a/src/sidecar/sidecar_context.hpp
+++ b/src/sidecar/sidecar_context.hpp
@@ -40,7 +40,7 @@
     dispatch_store& store;
     policy::adaptive_limit& limit;
     policy::cost_estimator& costs;
-    prefix_memory& prefixes;
+    cached_block_index& prefixes;
     loaded_models& models;
     crash_marks& marks;
     backend_monitor& monitor;
--- a/src/sidecar/sidecar_process.cpp
+++ b/src/sidecar/sidecar_process.cpp
@@ -78,7 +78,7 @@
     dispatch_store m_store;
     policy::adaptive_limit m_limit;
     policy::cost_estimator m_costs;
-    prefix_memory m_prefixes;
+    cached_block_index m_prefixes;
     loaded_models m_models;
     crash_marks m_marks;
     peer_registry m_peers;
--- a/tests/unit/test_sidecar_parts.cpp
+++ b/tests/unit/test_sidecar_parts.cpp
@@ -1,5 +1,5 @@
 // Tests the parts of a sidecar that need no sockets: dispatch_store, the answer checkers, plan_orders(),
-// prefix_memory and the rows of crash marks.
+// cached_block_index and the rows of crash marks.
 #include "backend/answer_checker.hpp"
 #include "sidecar/crash_marks.hpp"
 #include "sidecar/dispatch_store.hpp"
@@ -182,12 +182,12 @@
 }
 
 TEST_CASE("cached blocks count from the prompt's beginning without a gap, within a bound", "[sidecar]") {
-    prefix_memory memory(3);
+    cached_block_index memory(3);
     const std::array<std::uint64_t, 3> prompt{1, 2, 3};
     memory.add(prompt);
-    CHECK(memory.cached_tokens(prompt) == 3 * prefix_memory::tokens_per_block);
+    CHECK(memory.cached_tokens(prompt) == 3 * cached_block_index::tokens_per_block);
     memory.remove(std::array<std::uint64_t, 1>{2});
-    CHECK(memory.cached_tokens(prompt) == prefix_memory::tokens_per_block);
+    CHECK(memory.cached_tokens(prompt) == cached_block_index::tokens_per_block);
     memory.add(std::array<std::uint64_t, 3>{7, 8, 9});
     CHECK(memory.size() == 3);
     CHECK(memory.cached_tokens(prompt) == 0);
