--- a/src/sidecar/prefix_memory.cpp
+++ b/src/sidecar/prefix_memory.cpp
@@ -1,5 +1,5 @@
 // Implementation of cached_block_index: a bounded set of block hashes.
-#include "sidecar/prefix_memory.hpp"
+#include "sidecar/cached_block_index.hpp"
 
 namespace borageford::sidecar {
 
--- a/tests/unit/test_sidecar_parts.cpp
+++ b/tests/unit/test_sidecar_parts.cpp
@@ -1,10 +1,10 @@
 // Tests the parts of a sidecar that need no sockets: dispatch_store, the answer checkers, plan_orders(),
 // cached_block_index and the rows of crash marks.
 #include "backend/answer_checker.hpp"
+#include "sidecar/cached_block_index.hpp"
 #include "sidecar/crash_marks.hpp"
 #include "sidecar/dispatch_store.hpp"
 #include "sidecar/engine_plan.hpp"
-#include "sidecar/prefix_memory.hpp"
 
 #include <catch2/catch.hpp>
 
