--- a/src/sidecar/cache_follower.cpp
+++ b/src/sidecar/cache_follower.cpp
@@ -1,4 +1,4 @@
-// Implementation of cache_follower: polls the engine's cache events.
+// Implementation of cache_event_poller: polls the engine's cache events.
 #include "sidecar/cache_follower.hpp"
 
 #include <boost/asio/co_spawn.hpp>
@@ -8,10 +8,10 @@
 
 namespace asio = boost::asio;
 
-cache_follower::cache_follower(sidecar_context& context, backend::backend_server& server)
+cache_event_poller::cache_event_poller(sidecar_context& context, backend::backend_server& server)
     : m_context(context), m_server(server) {}
 
-void cache_follower::start() {
+void cache_event_poller::start() {
     if (m_timer.is_active()) {
         return;
     }
@@ -19,13 +19,13 @@
         m_context.timers.every(m_context.strand, m_context.settings.cache_period, [this] { poll_soon(); });
 }
 
-void cache_follower::reset() {
+void cache_event_poller::reset() {
     m_next = 0;
     ++m_reset_count;
     m_context.prefixes.clear();
 }
 
-void cache_follower::poll_soon() {
+void cache_event_poller::poll_soon() {
     if (m_is_polling || !m_server.is_engine() || !m_context.monitor.is_up()) {
         return;
     }
@@ -33,7 +33,7 @@
     asio::co_spawn(m_context.strand, poll(), asio::detached);
 }
 
-asio::awaitable<void> cache_follower::poll() {
+asio::awaitable<void> cache_event_poller::poll() {
     const auto reset_count = m_reset_count;
     try {
         const auto batch = co_await m_server.as_engine()->cache_events(m_next);
@@ -46,7 +46,7 @@
     m_is_polling = false;
 }
 
-void cache_follower::apply(const backend::cache_event_batch& batch) {
+void cache_event_poller::apply(const backend::cache_event_batch& batch) {
     for (const auto& event : batch.events) {
         if (event.is_stored) {
             m_context.prefixes.add(event.hashes);
--- a/src/sidecar/cache_follower.hpp
+++ b/src/sidecar/cache_follower.hpp
@@ -13,9 +13,9 @@
 
 /// Applies the engine's cache events to sidecar_context::prefixes. Used on sidecar_context::strand only. The
 /// events are hints: they arrive late and some are missing.
-class cache_follower {
+class cache_event_poller {
 public:
-    cache_follower(sidecar_context& context, backend::backend_server& server);
+    cache_event_poller(sidecar_context& context, backend::backend_server& server);
 
     /// Polls once every `cache_period` from now on. Does nothing when already started.
     void start();
--- a/src/sidecar/sidecar_core.hpp
+++ b/src/sidecar/sidecar_core.hpp
@@ -58,7 +58,7 @@
     dispatch_manager m_dispatches;
     offer_scheduler m_offers;
     order_controller m_orders;
-    cache_follower m_cache;
+    cache_event_poller m_cache;
     timer_subscription m_tick;
     time_point m_last_seen = std::chrono::steady_clock::now(); ///< when detect_freeze() ran last
     std::uint64_t m_verification = 0;                          ///< number of freezes that were detected
