--- a/src/sidecar/cache_follower.cpp
+++ b/src/sidecar/cache_follower.cpp
@@ -1,5 +1,5 @@
 // Implementation of cache_event_poller: polls the engine's cache events.
-#include "sidecar/cache_follower.hpp"
+#include "sidecar/cache_event_poller.hpp"
 
 #include <boost/asio/co_spawn.hpp>
 #include <boost/asio/detached.hpp>
--- a/src/sidecar/sidecar_core.hpp
+++ b/src/sidecar/sidecar_core.hpp
@@ -3,7 +3,7 @@
 #pragma once
 
 #include "backend/backend_server.hpp"
-#include "sidecar/cache_follower.hpp"
+#include "sidecar/cache_event_poller.hpp"
 #include "sidecar/dispatch_manager.hpp"
 #include "sidecar/offer_scheduler.hpp"
 #include "sidecar/order_controller.hpp"
