--- a/src/sidecar/dispatch_store.hpp
+++ b/src/sidecar/dispatch_store.hpp
@@ -22,7 +22,7 @@
 };
 
 /// The bounds of a dispatch_store.
-struct store_limits {
+struct dispatch_store_limits {
     std::size_t kept_answers = 10'000;                        ///< answers of dispatches that have ended
     std::uint64_t memory = 64U * 1024 * 1024;                 ///< bytes of all answers
     duration retention = std::chrono::seconds(60);            ///< how long an answer is kept after its end
@@ -38,7 +38,7 @@
 public:
     using record_pointer = std::shared_ptr<dispatch_record>;
 
-    explicit dispatch_store(store_limits limits) : m_limits(limits) {}
+    explicit dispatch_store(dispatch_store_limits limits) : m_limits(limits) {}
 
     /// Adds a running dispatch.
     void add(const record_pointer& dispatch);
@@ -100,7 +100,7 @@
     void forget_oldest_kept();
     void forget_oldest_elsewhere();
 
-    store_limits m_limits;
+    dispatch_store_limits m_limits;
     std::unordered_map<dispatch_id, record_pointer> m_records;
     std::unordered_map<std::uint64_t, dispatch_id> m_resends;
     std::deque<kept> m_kept; ///< in the order in which they ended; may contain removed dispatches
--- a/src/sidecar/sidecar_process.cpp
+++ b/src/sidecar/sidecar_process.cpp
@@ -37,8 +37,8 @@
 /// The most cached prompt blocks that are remembered.
 constexpr std::size_t prefix_blocks = 200'000;
 
-store_limits make_store_limits(const sidecar_settings& settings) {
-    store_limits limits;
+dispatch_store_limits make_store_limits(const sidecar_settings& settings) {
+    dispatch_store_limits limits;
     limits.kept_answers = settings.answer_count;
     limits.memory = settings.answer_memory;
     limits.retention = settings.answer_retention;
