--- a/src/gateway/backend_roster.cpp
+++ b/src/gateway/backend_roster.cpp
@@ -46,7 +46,7 @@
     return row.key.substr(m_deployment.backend_table.size() + 1);
 }
 
-void backend_roster::take_all(const store::row_page& page) {
+void backend_roster::apply_page(const store::row_page& page) {
     if (page.position.era < m_position.era) {
         return;
     }
--- a/src/gateway/backend_roster.hpp
+++ b/src/gateway/backend_roster.hpp
@@ -49,7 +49,7 @@
 
     /// Applies a read of the whole table, of the current era or a newer one. A newer era means that the store
     /// was restored from an older copy. A page of an older era is ignored.
-    void take_all(const store::row_page& page);
+    void apply_page(const store::row_page& page);
     /// Applies one change of the current era.
     void take_change(const store::row_change& change);
     /// Records that the store couldn't be reached, and that it last answered at `answered`. A registration
--- a/tests/support/known_servers.hpp
+++ b/tests/support/known_servers.hpp
@@ -62,7 +62,7 @@
         for (const auto& [id, value, version] : entries) {
             page.rows.push_back({"servers/" + id, value, version});
         }
-        m_roster.take_all(page);
+        m_roster.apply_page(page);
     }
 
     /// The key of the server that takes work under this id; 0: none does.
