--- a/src/gateway/backend_roster.cpp
+++ b/src/gateway/backend_roster.cpp
@@ -70,7 +70,7 @@
     report_era();
 }
 
-void backend_roster::take_change(const store::row_change& change) {
+void backend_roster::apply_change(const store::row_change& change) {
     const store::position at{m_position.era, change.now.version};
     m_position = std::max(m_position, at);
     if (change.is_removed) {
--- a/src/gateway/backend_roster.hpp
+++ b/src/gateway/backend_roster.hpp
@@ -51,7 +51,7 @@
     /// was restored from an older copy. A page of an older era is ignored.
     void apply_page(const store::row_page& page);
     /// Applies one change of the current era.
-    void take_change(const store::row_change& change);
+    void apply_change(const store::row_change& change);
     /// Records that the store couldn't be reached, and that it last answered at `answered`. A registration
     /// that vanishes around an outage is retained for a while, since its server may only have been unable to
     /// renew it.
--- a/src/gateway/gateway_process.cpp
+++ b/src/gateway/gateway_process.cpp
@@ -318,7 +318,7 @@
 
     store_follower::handlers make_backend_handlers() {
         return {[this](const store::row_page& page) { m_roster.apply_page(page); },
-                [this](const store::row_change& change) { m_roster.take_change(change); },
+                [this](const store::row_change& change) { m_roster.apply_change(change); },
                 [this] { m_roster.record_outage(m_backend_follower.confirmed_at()); },
                 [this] { return m_roster.position(); },
                 [this] {
--- a/tests/support/known_servers.hpp
+++ b/tests/support/known_servers.hpp
@@ -43,11 +43,11 @@
 
     /// The store tells of a change, in the present era.
     void write(const std::string& id, const std::string& value, std::uint64_t version) {
-        m_roster.take_change({{"servers/" + id, value, version}, false});
+        m_roster.apply_change({{"servers/" + id, value, version}, false});
     }
     void register_server(const std::string& id, std::uint64_t version) { write(id, "engines", version); }
     void unregister_server(const std::string& id, std::uint64_t version) {
-        m_roster.take_change({{"servers/" + id, "", version}, true});
+        m_roster.apply_change({{"servers/" + id, "", version}, true});
     }
 
     struct entry {
