--- a/src/gateway/gateway_process.cpp
+++ b/src/gateway/gateway_process.cpp
@@ -74,7 +74,7 @@
           m_rollouts(m_backends, m_slots),
           m_rollout_recorder(
               m_runtime.executor(), m_runtime.timers(), m_table, current_deployment,
-              [this](const routing::rollout_status& status) { m_rollouts.take_status(status); }),
+              [this](const routing::rollout_status& status) { m_rollouts.apply_status(status); }),
           m_roster(m_runtime.executor(), m_runtime.timers(), current_deployment, m_backends, m_slots,
                    m_rollouts, m_settings.registration_life()),
           m_exchange(
--- a/src/gateway/rollout_keeper.cpp
+++ b/src/gateway/rollout_keeper.cpp
@@ -49,7 +49,7 @@
     }
 }
 
-void rollout_keeper::take_status(const routing::rollout_status& status) {
+void rollout_keeper::apply_status(const routing::rollout_status& status) {
     auto* current = find(status.service);
     if (current == nullptr || current->progress.to() != status.to) {
         return;
--- a/src/gateway/rollout_keeper.hpp
+++ b/src/gateway/rollout_keeper.hpp
@@ -27,7 +27,7 @@
         /// settling time.
         std::function<bool()> is_coordinating;
         /// Records a state in the store, unless a final state of the same roll-out stands there. The state
-        /// that then stands in the store is reported to take_status().
+        /// that then stands in the store is reported to apply_status().
         std::function<void(const routing::rollout_status&)> record;
     };
 
@@ -39,7 +39,7 @@
     void set_order(const routing::rollout_order& order);
     void withdraw_order(std::string_view service);
     /// Applies the state that stands in the store after a call of observers::record.
-    void take_status(const routing::rollout_status& status);
+    void apply_status(const routing::rollout_status& status);
     /// Records the outcomes of the roll-outs again, after the store was restored from an older copy and may
     /// have lost them.
     void handle_store_restore();
--- a/tests/unit/test_rollouts.cpp
+++ b/tests/unit/test_rollouts.cpp
@@ -187,19 +187,19 @@
     CHECK(here.recorded().front().state == rollout_state::running);
     CHECK(here.rollouts().is_held_back("new"));
     SECTION("rolled back") {
-        here.rollouts().take_status({"engines", "v2", rollout_state::rolled_back});
+        here.rollouts().apply_status({"engines", "v2", rollout_state::rolled_back});
         here.rollouts().tick();
         CHECK(here.rollouts().is_held_back("new"));
         CHECK_FALSE(here.rollouts().is_held_back("old"));
     }
     SECTION("completed") {
-        here.rollouts().take_status({"engines", "v2", rollout_state::completed});
+        here.rollouts().apply_status({"engines", "v2", rollout_state::completed});
         here.rollouts().tick();
         CHECK(here.rollouts().is_held_back("old"));
         CHECK_FALSE(here.rollouts().is_held_back("new"));
     }
     SECTION("of another order") {
-        here.rollouts().take_status({"engines", "v1", rollout_state::completed});
+        here.rollouts().apply_status({"engines", "v1", rollout_state::completed});
         CHECK_FALSE(here.rollouts().is_held_back("old"));
     }
     CHECK(here.recorded().size() == 1);
@@ -211,7 +211,7 @@
     here.rollouts().set_order({"engines", "v2", 10s});
     here.decide(true);
     here.rollouts().tick();
-    here.rollouts().take_status({"engines", "v2", rollout_state::rolled_back});
+    here.rollouts().apply_status({"engines", "v2", rollout_state::rolled_back});
     here.read_all({2, 5}, {{"old", "engines#v1", 1}, {"new", "engines#v2", 2}});
     REQUIRE(here.recorded().size() == 2);
     CHECK(here.recorded().back().state == rollout_state::rolled_back);
