--- a/src/gateway/rollout_keeper.hpp
+++ b/src/gateway/rollout_keeper.hpp
@@ -51,7 +51,7 @@
     void withdraw_slots(const routing::backend_record& record);
     /// Returns whether the server accepts work but its slots are withheld, because its version is being
     /// rolled out or was replaced.
-    [[nodiscard]] bool is_held_back(std::string_view id) const { return m_withheld.contains(id); }
+    [[nodiscard]] bool is_withheld(std::string_view id) const { return m_withheld.contains(id); }
 
     // Grants and releases of slots seen by this process while it coordinates.
     void record_grant(policy::server_key server);
--- a/tests/unit/test_rollouts.cpp
+++ b/tests/unit/test_rollouts.cpp
@@ -156,23 +156,23 @@
     const bool is_server_first = GENERATE(true, false);
     if (is_server_first) {
         here.write("new", "engines#v2", 2);
-        CHECK_FALSE(here.rollouts().is_held_back("new"));
+        CHECK_FALSE(here.rollouts().is_withheld("new"));
     }
     here.rollouts().set_order({"engines", "v2", 10s});
     here.write("new", "engines#v2", 3);
     here.write("other", "plain#v2", 4);
     here.rollouts().tick();
-    CHECK(here.rollouts().is_held_back("new"));
-    CHECK_FALSE(here.rollouts().is_held_back("old"));
-    CHECK_FALSE(here.rollouts().is_held_back("other"));
+    CHECK(here.rollouts().is_withheld("new"));
+    CHECK_FALSE(here.rollouts().is_withheld("old"));
+    CHECK_FALSE(here.rollouts().is_withheld("other"));
     CHECK(here.recorded().empty());
     here.write("new", "leaving engines#v2", 5);
     // Not withheld, because a draining server gets no work anyway.
-    CHECK_FALSE(here.rollouts().is_held_back("new"));
+    CHECK_FALSE(here.rollouts().is_withheld("new"));
     here.write("newer", "engines#v2", 6);
-    CHECK(here.rollouts().is_held_back("newer"));
+    CHECK(here.rollouts().is_withheld("newer"));
     here.rollouts().withdraw_order("engines");
-    CHECK_FALSE(here.rollouts().is_held_back("newer"));
+    CHECK_FALSE(here.rollouts().is_withheld("newer"));
 }
 
 TEST_CASE("a new coordinator first reads from the store what was decided before", "[gateway][rollout]") {
@@ -185,22 +185,22 @@
     here.rollouts().tick();
     REQUIRE(here.recorded().size() == 1);
     CHECK(here.recorded().front().state == rollout_state::running);
-    CHECK(here.rollouts().is_held_back("new"));
+    CHECK(here.rollouts().is_withheld("new"));
     SECTION("rolled back") {
         here.rollouts().apply_status({"engines", "v2", rollout_state::rolled_back});
         here.rollouts().tick();
-        CHECK(here.rollouts().is_held_back("new"));
-        CHECK_FALSE(here.rollouts().is_held_back("old"));
+        CHECK(here.rollouts().is_withheld("new"));
+        CHECK_FALSE(here.rollouts().is_withheld("old"));
     }
     SECTION("completed") {
         here.rollouts().apply_status({"engines", "v2", rollout_state::completed});
         here.rollouts().tick();
-        CHECK(here.rollouts().is_held_back("old"));
-        CHECK_FALSE(here.rollouts().is_held_back("new"));
+        CHECK(here.rollouts().is_withheld("old"));
+        CHECK_FALSE(here.rollouts().is_withheld("new"));
     }
     SECTION("of another order") {
         here.rollouts().apply_status({"engines", "v1", rollout_state::completed});
-        CHECK_FALSE(here.rollouts().is_held_back("old"));
+        CHECK_FALSE(here.rollouts().is_withheld("old"));
     }
     CHECK(here.recorded().size() == 1);
 }
