--- a/src/gateway/gateway_process.cpp
+++ b/src/gateway/gateway_process.cpp
@@ -102,10 +102,10 @@
         m_context.on_unknown_server = [this] {
             m_exchange.fetch_backends_at_once();
         };
-        m_rollouts.observe_with({[this] { return is_settled_coordinator(); },
-                                 [this](const routing::rollout_status& status) {
-                                     m_rollout_recorder.record(status);
-                                 }});
+        m_rollouts.set_observers({[this] { return is_settled_coordinator(); },
+                                  [this](const routing::rollout_status& status) {
+                                      m_rollout_recorder.record(status);
+                                  }});
         add_gauges();
         m_roster.start();
         m_exchange.start();
--- a/src/gateway/rollout_keeper.hpp
+++ b/src/gateway/rollout_keeper.hpp
@@ -33,7 +33,7 @@
 
     rollout_keeper(const backend_directory& backends, coordination::slot_broker& slots)
         : m_backends(backends), m_slots(slots) {}
-    void observe_with(observers to_call) { m_observers = std::move(to_call); }
+    void set_observers(observers to_call) { m_observers = std::move(to_call); }
 
     // Input from the operator and the store.
     void set_order(const routing::rollout_order& order);
--- a/tests/support/known_servers.hpp
+++ b/tests/support/known_servers.hpp
@@ -24,10 +24,10 @@
           m_rollouts(m_backends, m_slots),
           m_roster(m_context.get_executor(), m_timers, m_speech, m_backends, m_slots, m_rollouts,
                    registration_life) {
-        m_rollouts.observe_with({[this] { return m_decides; },
-                                 [this](const routing::rollout_status& status) {
-                                     m_recorded.push_back(status);
-                                 }});
+        m_rollouts.set_observers({[this] { return m_decides; },
+                                  [this](const routing::rollout_status& status) {
+                                      m_recorded.push_back(status);
+                                  }});
         m_speech.backend_table = "servers";
         m_speech.decode_backend = decode;
     }
