--- a/src/gateway/request_exchange.cpp
+++ b/src/gateway/request_exchange.cpp
@@ -332,7 +332,7 @@
         handle_complete_answer();
         return;
     }
-    if (!m_events.is_whole()) {
+    if (!m_events.is_complete()) {
         fail_attempt(policy::attempt_outcome::may_have_run, policy::slot_outcome::broken,
                      "a stream without its last event");
         return;
--- a/tests/unit/test_http_readers.cpp
+++ b/tests/unit/test_http_readers.cpp
@@ -122,11 +122,11 @@
 TEST_CASE("a stream goes on only where it broke off", "[gateway][event_relay]") {
     gateway::event_relay relay;
     CHECK(relay.add("id: 1\n\nid: 2\n\nid: 3\nda") == "id: 1\n\nid: 2\n\n");
-    CHECK_FALSE(relay.is_whole());
+    CHECK_FALSE(relay.is_complete());
     relay.break_off();
     CHECK(relay.last_id() == "2");
     CHECK(relay.add("id: 3\n\n") == "id: 3\n\n");
-    CHECK(relay.is_whole());
+    CHECK(relay.is_complete());
     relay.break_off();
     CHECK_THROWS_AS(relay.add("id: 5\n\n"), response_error);
     gateway::event_relay repeated;
