--- a/src/gateway/event_relay.cpp
+++ b/src/gateway/event_relay.cpp
@@ -45,7 +45,7 @@
     }
 }
 
-void event_relay::break_off() {
+void event_relay::handle_broken_connection() {
     m_splitter = {};
     m_continues = m_count > 0;
 }
--- a/src/gateway/event_relay.hpp
+++ b/src/gateway/event_relay.hpp
@@ -22,7 +22,7 @@
 
     /// The connection to the server broke: drops an incomplete event. The next bytes come from another
     /// server.
-    void break_off();
+    void handle_broken_connection();
 
     /// Returns whether the stream may end here: at least one event was forwarded, and none is incomplete.
     [[nodiscard]] bool is_complete() const noexcept { return m_count > 0 && !m_splitter.has_part(); }
--- a/src/gateway/request_exchange.cpp
+++ b/src/gateway/request_exchange.cpp
@@ -401,7 +401,7 @@
     release_slot(slot);
     m_call.reset();
     if (m_has_begun_stream) {
-        m_events.break_off();
+        m_events.handle_broken_connection();
     }
     const bool will_retry = may_retry();
     m_journal.attempt_failed(m_admitted, m_server_id, slot, reason, m_attempts, will_retry, busy);
--- a/tests/unit/test_http_readers.cpp
+++ b/tests/unit/test_http_readers.cpp
@@ -123,14 +123,14 @@
     gateway::event_relay relay;
     CHECK(relay.add("id: 1\n\nid: 2\n\nid: 3\nda") == "id: 1\n\nid: 2\n\n");
     CHECK_FALSE(relay.is_complete());
-    relay.break_off();
+    relay.handle_broken_connection();
     CHECK(relay.last_id() == "2");
     CHECK(relay.add("id: 3\n\n") == "id: 3\n\n");
     CHECK(relay.is_complete());
-    relay.break_off();
+    relay.handle_broken_connection();
     CHECK_THROWS_AS(relay.add("id: 5\n\n"), response_error);
     gateway::event_relay repeated;
     static_cast<void>(repeated.add("id: 1\n\n"));
-    repeated.break_off();
+    repeated.handle_broken_connection();
     CHECK_THROWS_AS(repeated.add("id: 1\n\n"), response_error);
 }
