--- a/src/program/main.cpp
+++ b/src/program/main.cpp
@@ -59,9 +59,9 @@
 }
 
 exit_code gateway_command(arguments) {
-    static const auto speech = borageford::platform::users_platform();
+    static const auto users_deployment = borageford::platform::users_platform();
     return with_settings(
-        [](const std::string& file) { return borageford::gateway::run_gateway(file, speech); });
+        [](const std::string& file) { return borageford::gateway::run_gateway(file, users_deployment); });
 }
 
 constexpr std::array process_commands{
