--- a/tests/support/known_servers.hpp
+++ b/tests/support/known_servers.hpp
@@ -22,14 +22,14 @@
     explicit known_servers(std::chrono::milliseconds registration_life = std::chrono::hours(1))
         : m_slots(m_context.get_executor(), m_timers, {}, {}),
           m_rollouts(m_backends, m_slots),
-          m_roster(m_context.get_executor(), m_timers, m_speech, m_backends, m_slots, m_rollouts,
+          m_roster(m_context.get_executor(), m_timers, m_deployment, m_backends, m_slots, m_rollouts,
                    registration_life) {
         m_rollouts.set_observers({[this] { return m_decides; },
                                   [this](const routing::rollout_status& status) {
                                       m_recorded.push_back(status);
                                   }});
-        m_speech.backend_table = "servers";
-        m_speech.decode_backend = decode;
+        m_deployment.backend_table = "servers";
+        m_deployment.decode_backend = decode;
     }
 
     boost::asio::io_context& context() { return m_context; }
@@ -98,7 +98,7 @@
 
     boost::asio::io_context m_context;
     timer_service m_timers;
-    gateway::deployment m_speech;
+    gateway::deployment m_deployment;
     gateway::backend_directory m_backends;
     coordination::slot_broker m_slots;
     gateway::rollout_keeper m_rollouts;
