--- a/src/gateway/backend_roster.cpp
+++ b/src/gateway/backend_roster.cpp
@@ -28,7 +28,7 @@
 
 backend_roster::backend_roster(asio::any_io_executor executor, timer_service& timers,
                                const deployment& current_deployment, backend_directory& backends,
-                               coordination::slot_broker& slots, rollout_keeper& rollouts,
+                               coordination::slot_broker& slots, rollout_manager& rollouts,
                                std::chrono::milliseconds registration_life)
     : m_executor(std::move(executor)),
       m_timers(timers),
--- a/src/gateway/backend_roster.hpp
+++ b/src/gateway/backend_roster.hpp
@@ -39,7 +39,7 @@
     /// renewed.
     backend_roster(boost::asio::any_io_executor executor, timer_service& timers,
                    const deployment& current_deployment, backend_directory& backends,
-                   coordination::slot_broker& slots, rollout_keeper& rollouts,
+                   coordination::slot_broker& slots, rollout_manager& rollouts,
                    std::chrono::milliseconds registration_life = std::chrono::milliseconds(4500));
 
     /// Starts the timer that removes overdue registrations and drives the roll-outs.
@@ -127,7 +127,7 @@
     const deployment& m_deployment;
     backend_directory& m_backends;
     coordination::slot_broker& m_slots;
-    rollout_keeper& m_rollouts;
+    rollout_manager& m_rollouts;
     policy::registration_watch m_watch;
     policy::server_starts m_starts;
     registrations m_all;
--- a/src/gateway/gateway_process.cpp
+++ b/src/gateway/gateway_process.cpp
@@ -383,7 +383,7 @@
     coordination::slot_broker m_slots;
     gateway_context m_context;
     configuration_keeper m_configuration_keeper;
-    rollout_keeper m_rollouts;
+    rollout_manager m_rollouts;
     rollout_recorder m_rollout_recorder;
     backend_roster m_roster;
     peer_exchange m_exchange;
--- a/src/gateway/rollout_keeper.cpp
+++ b/src/gateway/rollout_keeper.cpp
@@ -1,4 +1,4 @@
-// Implementation of rollout_keeper: which servers get slots follows from the phase of the roll-out.
+// Implementation of rollout_manager: which servers get slots follows from the phase of the roll-out.
 #include "gateway/rollout_keeper.hpp"
 
 #include "base/hash.hpp"
@@ -24,12 +24,12 @@
 
 } // namespace
 
-rollout_keeper::rollout* rollout_keeper::find(std::string_view service) {
+rollout_manager::rollout* rollout_manager::find(std::string_view service) {
     const auto found = m_rollouts.find(service);
     return found == m_rollouts.end() ? nullptr : &found->second;
 }
 
-void rollout_keeper::set_order(const routing::rollout_order& order) {
+void rollout_manager::set_order(const routing::rollout_order& order) {
     if (const auto* known = find(order.service); known != nullptr && known->progress.to() == order.to) {
         return;
     }
@@ -41,7 +41,7 @@
     review(order.service);
 }
 
-void rollout_keeper::withdraw_order(std::string_view service) {
+void rollout_manager::withdraw_order(std::string_view service) {
     if (const auto found = m_rollouts.find(service); found != m_rollouts.end()) {
         m_rollouts.erase(found);
         events::write(events::event_kind::rollout_withdrawn, {{"service", service}});
@@ -49,7 +49,7 @@
     }
 }
 
-void rollout_keeper::apply_status(const routing::rollout_status& status) {
+void rollout_manager::apply_status(const routing::rollout_status& status) {
     auto* current = find(status.service);
     if (current == nullptr || current->progress.to() != status.to) {
         return;
@@ -63,7 +63,7 @@
     review(status.service);
 }
 
-void rollout_keeper::handle_store_restore() {
+void rollout_manager::handle_store_restore() {
     for (auto& [service, current] : m_rollouts) {
         current.is_recorded = false;
         if (current.progress.is_over() && m_observers.is_coordinating()) {
@@ -72,13 +72,13 @@
     }
 }
 
-void rollout_keeper::record_verdict(const std::string& service, const rollout& current) const {
+void rollout_manager::record_verdict(const std::string& service, const rollout& current) const {
     const bool is_good = current.progress.phase() == rollout_phase::completed;
     m_observers.record({service, current.progress.to(),
                         is_good ? routing::rollout_state::completed : routing::rollout_state::rolled_back});
 }
 
-void rollout_keeper::update_slots(const routing::backend_record& record) {
+void rollout_manager::update_slots(const routing::backend_record& record) {
     if (!should_withhold(record)) {
         m_withheld.erase(record.id);
         m_slots.set_server(record.key(), hash_bytes(record.service), record.slots,
@@ -92,12 +92,12 @@
     }
 }
 
-void rollout_keeper::withdraw_slots(const routing::backend_record& record) {
+void rollout_manager::withdraw_slots(const routing::backend_record& record) {
     m_withheld.erase(record.id);
     m_slots.remove_server(record.key());
 }
 
-bool rollout_keeper::should_withhold(const routing::backend_record& record) {
+bool rollout_manager::should_withhold(const routing::backend_record& record) {
     const auto* current = find(record.service);
     if (current == nullptr) {
         return false;
@@ -121,14 +121,14 @@
     return is_next && (!is_late || current->has_previous);
 }
 
-bool rollout_keeper::has_other_versions(std::string_view service, std::string_view than) const {
+bool rollout_manager::has_other_versions(std::string_view service, std::string_view than) const {
     return std::ranges::any_of(m_backends.all(), [&](const auto& entry) {
         const auto& record = entry.second->record();
         return record.service == service && record.version != than && takes_work(record);
     });
 }
 
-bool rollout_keeper::is_previous_idle(std::string_view service, std::string_view to) const {
+bool rollout_manager::is_previous_idle(std::string_view service, std::string_view to) const {
     return std::ranges::all_of(m_backends.all(), [&](const auto& entry) {
         const auto& record = entry.second->record();
         const bool is_previous = record.service == service && record.version != to;
@@ -136,7 +136,7 @@
     });
 }
 
-void rollout_keeper::record_grant(policy::server_key server) {
+void rollout_manager::record_grant(policy::server_key server) {
     const auto given = m_rollouts.empty() ? nullptr : m_backends.find(server);
     auto* current = given != nullptr ? find(given->record().service) : nullptr;
     if (current == nullptr) {
@@ -152,7 +152,7 @@
     }
 }
 
-void rollout_keeper::record_release(const policy::slot_release& ended) {
+void rollout_manager::record_release(const policy::slot_release& ended) {
     const auto left = m_rollouts.empty() ? nullptr : m_backends.find(ended.server);
     auto* current = left != nullptr ? find(left->record().service) : nullptr;
     const bool has_answered = ended.outcome == policy::slot_outcome::served ||
@@ -167,7 +167,7 @@
         {ended.outcome != policy::slot_outcome::served, has_events ? ended.first_event : ended.busy});
 }
 
-void rollout_keeper::tick() {
+void rollout_manager::tick() {
     for (auto& [service, current] : m_rollouts) {
         follow_coordination(service, current);
         advance(service, current);
@@ -175,7 +175,7 @@
     }
 }
 
-void rollout_keeper::follow_coordination(const std::string& service, rollout& current) {
+void rollout_manager::follow_coordination(const std::string& service, rollout& current) {
     if (!m_observers.is_coordinating()) {
         current.progress.pause();
         current.is_recorded = false;
@@ -184,7 +184,7 @@
     }
 }
 
-void rollout_keeper::advance(const std::string& service, rollout& current) {
+void rollout_manager::advance(const std::string& service, rollout& current) {
     const auto before = current.progress.phase();
     const bool is_idle =
         before == rollout_phase::finishing && is_previous_idle(service, current.progress.to());
@@ -202,7 +202,7 @@
 
 /// Selects the server of the new version that may get requests during the canary phase. The servers take
 /// turns, so that each is tried, and the slots of one server bound the load on the new version at any moment.
-void rollout_keeper::choose_canary(const std::string& service, rollout& current) {
+void rollout_manager::choose_canary(const std::string& service, rollout& current) {
     const bool has_canary =
         current.progress.phase() == rollout_phase::probing && current.progress.can_grant_to_new_version();
     if (!has_canary) {
@@ -223,7 +223,7 @@
     current.last_canary = current.canary;
 }
 
-void rollout_keeper::report(const std::string& service, const rollout& current) const {
+void rollout_manager::report(const std::string& service, const rollout& current) const {
     const auto& analysis = current.progress.analysis();
     events::write(events::event_kind::rollout_moved, {{"service", service},
                                                       {"software", current.progress.to()},
@@ -234,7 +234,7 @@
 
 /// Gives or withholds slots where the decision has changed, since it depends on the phase and on which
 /// servers are registered.
-void rollout_keeper::review(std::string_view service) {
+void rollout_manager::review(std::string_view service) {
     if (auto* current = find(service)) {
         current->has_previous = has_other_versions(service, current->progress.to());
     }
--- a/src/gateway/rollout_keeper.hpp
+++ b/src/gateway/rollout_keeper.hpp
@@ -20,7 +20,7 @@
 /// roll-out, and only after it has read from the store that no final state was recorded before. In all other
 /// gateways, and while there is no coordinator, servers of the new version get no slots. Without an order,
 /// every server that accepts work has its slots.
-class rollout_keeper {
+class rollout_manager {
 public:
     struct observers {
         /// Returns whether this process coordinates the slots of all gateways, and has done so for a short
@@ -31,7 +31,7 @@
         std::function<void(const routing::rollout_status&)> record;
     };
 
-    rollout_keeper(const backend_directory& backends, coordination::slot_broker& slots)
+    rollout_manager(const backend_directory& backends, coordination::slot_broker& slots)
         : m_backends(backends), m_slots(slots) {}
     void set_observers(observers to_call) { m_observers = std::move(to_call); }
 
--- a/tests/support/known_servers.hpp
+++ b/tests/support/known_servers.hpp
@@ -35,7 +35,7 @@
     boost::asio::io_context& context() { return m_context; }
     gateway::backend_directory& backends() { return m_backends; }
     gateway::backend_roster& roster() { return m_roster; }
-    gateway::rollout_keeper& rollouts() { return m_rollouts; }
+    gateway::rollout_manager& rollouts() { return m_rollouts; }
     /// Whether this gateway coordinates.
     void decide(bool decides) { m_decides = decides; }
     /// States of roll-outs that were to be written into the store.
@@ -101,7 +101,7 @@
     gateway::deployment m_deployment;
     gateway::backend_directory m_backends;
     coordination::slot_broker m_slots;
-    gateway::rollout_keeper m_rollouts;
+    gateway::rollout_manager m_rollouts;
     gateway::backend_roster m_roster;
     bool m_decides = false;
     std::vector<routing::rollout_status> m_recorded;
