--- a/src/gateway/backend_roster.hpp
+++ b/src/gateway/backend_roster.hpp
@@ -7,7 +7,7 @@
 #include "gateway/backend_directory.hpp"
 #include "gateway/deployment.hpp"
 #include "gateway/removal_log.hpp"
-#include "gateway/rollout_keeper.hpp"
+#include "gateway/rollout_manager.hpp"
 #include "policy/registration_watch.hpp"
 #include "policy/server_starts.hpp"
 #include "store/row.hpp"
--- a/src/gateway/gateway_process.cpp
+++ b/src/gateway/gateway_process.cpp
@@ -15,7 +15,7 @@
 #include "gateway/graceful_stop.hpp"
 #include "gateway/metrics_endpoint.hpp"
 #include "gateway/peer_exchange.hpp"
-#include "gateway/rollout_keeper.hpp"
+#include "gateway/rollout_manager.hpp"
 #include "gateway/rollout_recorder.hpp"
 #include "gateway/store_follower.hpp"
 #include "http/server.hpp"
