--- a/src/gateway/gateway_process.cpp
+++ b/src/gateway/gateway_process.cpp
@@ -70,7 +70,7 @@
           m_slots(m_runtime.executor(), m_runtime.timers(), make_broker_settings(), make_observers()),
           m_context{m_runtime.executor(), m_runtime.timers(), m_settings, current_deployment.fields,
                     m_configuration,      m_backends,         m_slots,    m_metrics},
-          m_configuration_keeper(current_deployment, m_configuration, m_slots),
+          m_configuration_manager(current_deployment, m_configuration, m_slots),
           m_rollouts(m_backends, m_slots),
           m_rollout_recorder(
               m_runtime.executor(), m_runtime.timers(), m_table, current_deployment,
@@ -78,7 +78,7 @@
           m_roster(m_runtime.executor(), m_runtime.timers(), current_deployment, m_backends, m_slots,
                    m_rollouts, m_settings.registration_life()),
           m_exchange(
-              m_runtime.executor(), m_settings.peers_listen, m_configuration_keeper, m_roster,
+              m_runtime.executor(), m_settings.peers_listen, m_configuration_manager, m_roster,
               [this] { return is_store_available(); },
               [this] { return current_role() == policy::follower_role::passive; }),
           m_configuration_follower(m_runtime.executor(), m_runtime.timers(), m_table,
@@ -135,7 +135,7 @@
                              [this] { return static_cast<double>(m_context.sessions.size()); });
         m_registry.add_gauge("borageford_gateway_configuration_version",
                              "The configuration in force; 0: none.", {},
-                             [this] { return static_cast<double>(m_configuration_keeper.version()); });
+                             [this] { return static_cast<double>(m_configuration_manager.version()); });
         m_registry.add_gauge("borageford_gateway_backend_servers", "Backend servers that are known.", {},
                              [this] { return static_cast<double>(m_backends.all().size()); });
         m_registry.add_gauge("borageford_gateway_slot_source",
@@ -207,7 +207,7 @@
         }
         // The confirmation only counts if the peer holds the same version: otherwise this gateway or the peer
         // is behind.
-        if (held.configuration == m_configuration_keeper.version()) {
+        if (held.configuration == m_configuration_manager.version()) {
             m_configuration_follower.record_confirmation({held.backends.era, held.configuration_confirmed});
         }
         if (held.backends == m_roster.position()) {
@@ -227,7 +227,7 @@
     }
 
     [[nodiscard]] coordination::slot_broker::versions held_versions() const {
-        return {m_configuration_keeper.version(),
+        return {m_configuration_manager.version(),
                 m_roster.position(),
                 is_in_touch(),
                 recent_confirmation(m_configuration_follower),
@@ -295,7 +295,7 @@
     void apply_operator_row(const store::row_change& change) {
         const auto& row = change.now;
         if (row.key == m_deployment.configuration_key && !row.value.empty()) {
-            m_configuration_keeper.apply(row.value, "store");
+            m_configuration_manager.apply(row.value, "store");
         } else if (row.key.starts_with(m_deployment.rollout_prefix)) {
             apply_rollout_order(change);
         }
@@ -382,7 +382,7 @@
     backend_directory m_backends;
     coordination::slot_broker m_slots;
     gateway_context m_context;
-    configuration_keeper m_configuration_keeper;
+    configuration_keeper m_configuration_manager;
     rollout_manager m_rollouts;
     rollout_recorder m_rollout_recorder;
     backend_roster m_roster;
