--- a/src/gateway/configuration_keeper.cpp
+++ b/src/gateway/configuration_keeper.cpp
@@ -1,4 +1,4 @@
-// Implementation of configuration_keeper: decodes a document, compares its version and puts it in force.
+// Implementation of configuration_manager: decodes a document, compares its version and puts it in force.
 #include "gateway/configuration_keeper.hpp"
 
 #include "base/hash.hpp"
@@ -23,7 +23,7 @@
 
 } // namespace
 
-void configuration_keeper::apply(std::string_view document, std::string_view source) {
+void configuration_manager::apply(std::string_view document, std::string_view source) {
     std::shared_ptr<const routing::routing_table> table;
     try {
         table = std::make_shared<const routing::routing_table>(m_deployment.decode_configuration(document));
@@ -48,7 +48,7 @@
     m_configuration.replace(std::move(table));
 }
 
-void configuration_keeper::apply_quotas(const routing::routing_table& table) {
+void configuration_manager::apply_quotas(const routing::routing_table& table) {
     std::set<policy::workspace_key> present;
     for (const auto& workspace : table.document().workspaces) {
         const auto key = hash_bytes(workspace.name);
--- a/src/gateway/configuration_keeper.hpp
+++ b/src/gateway/configuration_keeper.hpp
@@ -15,10 +15,10 @@
 
 /// Invariant: the version in force never decreases, even if a stale read or a peer with an older
 /// configuration delivers an older document.
-class configuration_keeper {
+class configuration_manager {
 public:
-    configuration_keeper(const deployment& current_deployment, routing_snapshot& configuration,
-                         coordination::slot_broker& slots)
+    configuration_manager(const deployment& current_deployment, routing_snapshot& configuration,
+                          coordination::slot_broker& slots)
         : m_deployment(current_deployment), m_configuration(configuration), m_slots(slots) {}
 
     /// Decodes a document as written by the operator and puts it in force if its version is newer. A document
--- a/src/gateway/gateway_process.cpp
+++ b/src/gateway/gateway_process.cpp
@@ -382,7 +382,7 @@
     backend_directory m_backends;
     coordination::slot_broker m_slots;
     gateway_context m_context;
-    configuration_keeper m_configuration_manager;
+    configuration_manager m_configuration_manager;
     rollout_manager m_rollouts;
     rollout_recorder m_rollout_recorder;
     backend_roster m_roster;
--- a/src/gateway/peer_exchange.cpp
+++ b/src/gateway/peer_exchange.cpp
@@ -146,7 +146,7 @@
 }
 
 peer_exchange::peer_exchange(asio::any_io_executor executor, const asio::ip::tcp::endpoint& local,
-                             configuration_keeper& configuration, backend_roster& backends,
+                             configuration_manager& configuration, backend_roster& backends,
                              std::function<bool()> is_store_available, std::function<bool()> relies_on_peers)
     : m_executor(std::move(executor)),
       m_local(local),
--- a/src/gateway/peer_exchange.hpp
+++ b/src/gateway/peer_exchange.hpp
@@ -29,7 +29,7 @@
     /// changes from peers only.
 public:
     peer_exchange(boost::asio::any_io_executor executor, const boost::asio::ip::tcp::endpoint& local,
-                  configuration_keeper& configuration, backend_roster& backends,
+                  configuration_manager& configuration, backend_roster& backends,
                   std::function<bool()> is_store_available, std::function<bool()> relies_on_peers);
 
     void start();
@@ -79,7 +79,7 @@
 
     boost::asio::any_io_executor m_executor;
     boost::asio::ip::tcp::endpoint m_local;
-    configuration_keeper& m_configuration;
+    configuration_manager& m_configuration;
     backend_roster& m_backends;
     std::function<bool()> m_is_store_available;
     /// Whether changes are learned from peers, and the store isn't polled.
