--- a/src/gateway/gateway_process.cpp
+++ b/src/gateway/gateway_process.cpp
@@ -8,7 +8,7 @@
 #include "gateway/backend_directory.hpp"
 #include "gateway/backend_roster.hpp"
 #include "gateway/client_session.hpp"
-#include "gateway/configuration_keeper.hpp"
+#include "gateway/configuration_manager.hpp"
 #include "gateway/gateway_context.hpp"
 #include "gateway/gateway_metrics.hpp"
 #include "gateway/gateway_settings.hpp"
--- a/src/gateway/peer_exchange.hpp
+++ b/src/gateway/peer_exchange.hpp
@@ -3,7 +3,7 @@
 #pragma once
 
 #include "gateway/backend_roster.hpp"
-#include "gateway/configuration_keeper.hpp"
+#include "gateway/configuration_manager.hpp"
 #include "gateway/send_budget.hpp"
 #include "http/server.hpp"
 
