--- a/src/gateway/heads.cpp
+++ b/src/gateway/heads.cpp
@@ -1,5 +1,5 @@
 // Implementation of the functions that compose HTTP heads.
-#include "gateway/heads.hpp"
+#include "gateway/http_heads.hpp"
 
 #include <algorithm>
 #include <array>
--- a/src/gateway/request_exchange.cpp
+++ b/src/gateway/request_exchange.cpp
@@ -5,7 +5,7 @@
 #include "base/hash.hpp"
 #include "base/request_error.hpp"
 #include "gateway/backend_directory.hpp"
-#include "gateway/heads.hpp"
+#include "gateway/http_heads.hpp"
 #include "http/message.hpp"
 
 #include <algorithm>
