--- a/src/policy/coordinator_election.hpp
+++ b/src/policy/coordinator_election.hpp
@@ -78,7 +78,7 @@
     void hear(member_key member, const member_status& status, time_point now);
 
     /// Restarts the probation after a suspension, and removes learned members that have timed out. To be
-    /// called every 50 ms: a longer gap between two calls means that this process was suspended.
+    /// called every 50 ms: a gap of more than 200 ms between two calls means that this process was suspended.
     void tick(time_point now);
 
     /// Sets whether this process acts as coordinator, which it reports to the other members.
