--- a/measure/bench/bench_snapshot.cpp
+++ b/measure/bench/bench_snapshot.cpp
@@ -1,5 +1,6 @@
-// How long a reader takes to get hold of the current snapshot while a writer replaces it, for the ways that
-// docs/design/read_copy_update.md compares. Prints one line a case; judged by people, not by CI.
+// Measures how long a thread takes to read the current snapshot of a value while another thread keeps
+// replacing it, for each implementation that docs/design/read_copy_update.md compares. Prints one line for
+// each implementation and number of reader threads. CI doesn't run it: its figures are compared by hand.
 #include <urcu/urcu-memb.h>
 
 #include <algorithm>
@@ -18,18 +19,25 @@
 
 using steady = std::chrono::steady_clock;
 
+/// Duration of one repetition.
 constexpr std::chrono::milliseconds case_time{200};
+/// Time between two replacements of the snapshot.
 constexpr std::chrono::milliseconds write_period{1};
-constexpr int repetitions = 5;
+constexpr int repetitions = 5; ///< of each case; the median is printed
 constexpr std::array reader_counts{1, 2, 4, 8};
 
+/// The data of a snapshot.
 struct value {
     std::array<std::uint64_t, 64> numbers{};
 };
 
+/// Keeps a snapshot alive.
 using handle = std::shared_ptr<const value>;
 
-/// The standard library's atomic pointer: a handle that outlives the read.
+// Each of the following classes is one implementation. Reader threads call enter() first, read() in a loop
+// and leave() at the end; the writer calls replace().
+
+/// std::atomic of a shared pointer. The reader owns the handle, so it may keep it after the read.
 class atomic_pointer {
 public:
     static constexpr const char* name = "atomic_shared_ptr";
@@ -42,6 +50,7 @@
     std::atomic<handle> m_current = std::make_shared<const value>();
 };
 
+/// A shared pointer that is copied and replaced under a mutex.
 class mutex_pointer {
 public:
     static constexpr const char* name = "mutex_shared_ptr";
@@ -65,7 +74,8 @@
     handle m_current = std::make_shared<const value>();
 };
 
-/// What both uses of liburcu share: a pointer to a handle, freed after a grace period.
+/// Common base of the implementations with liburcu: a pointer to a handle. A replaced handle is deleted after
+/// a grace period, when no reader can still be using it.
 class urcu_base {
 public:
     urcu_base() = default;
@@ -87,7 +97,8 @@
     handle* m_current = new handle(std::make_shared<const value>());
 };
 
-/// A handle is copied inside the read section, so that a coroutine may keep it while it is suspended.
+/// Copies the handle inside the read-side critical section. A coroutine may keep the copy while it is
+/// suspended.
 class urcu_handle : public urcu_base {
 public:
     static constexpr const char* name = "urcu_shared_ptr";
@@ -99,7 +110,8 @@
     }
 };
 
-/// The value is used inside the read section and not kept: not possible across a suspension.
+/// Uses the value inside the read-side critical section and keeps no handle. A coroutine can't hold the value
+/// this way while it is suspended.
 class urcu_section : public urcu_base {
 public:
     static constexpr const char* name = "urcu_section";
@@ -111,7 +123,7 @@
     }
 };
 
-/// Each thread keeps a handle and takes the shared one only when the version has changed.
+/// Each thread caches a handle and copies the shared one, under a mutex, only when the version has changed.
 class cached_pointer {
 public:
     static constexpr const char* name = "cached_shared_ptr";
@@ -145,7 +157,8 @@
 
 thread_local cached_pointer::cache cached_pointer::t_cache;
 
-/// The same, but each thread's handle counts its users by itself, so that readers share no cache line.
+/// Like `cached_pointer`, but each thread's handle has a reference count of its own. Reader threads therefore
+/// don't write to a common cache line.
 class cached_own_count {
 public:
     static constexpr const char* name = "cached_own_count";
@@ -183,7 +196,7 @@
 
 thread_local cached_own_count::cache cached_own_count::t_cache;
 
-/// Nanoseconds a read takes one thread, from `readers` threads reading at once.
+/// Mean duration of a read in nanoseconds when `readers` threads read at the same time.
 template <typename Snapshot>
 double measure_once(int readers) {
     Snapshot snapshot;
@@ -218,6 +231,7 @@
     return nanoseconds * readers / static_cast<double>(std::max<std::uint64_t>(reads + (sum & 0), 1));
 }
 
+/// Prints the median, lowest and highest result of the repetitions for each number of reader threads.
 template <typename Snapshot>
 void measure() {
     for (const int readers : reader_counts) {
--- a/measure/load/borageford_load.cpp
+++ b/measure/load/borageford_load.cpp
@@ -1,5 +1,6 @@
-// The load client: offers a seeded plan of requests to the entries in an open loop and writes one line a
-// request.
+// The load client of scripts/measure: sends the requests of a seeded load plan to the entries at their
+// planned times and writes a CSV file with one line for each request. With --summary it only prints the
+// totals of the plan.
 #include "load/caller.hpp"
 #include "load/load_plan.hpp"
 #include "support/answer_text.hpp"
@@ -23,8 +24,10 @@
 
 namespace {
 
+/// Names in the results file, in the order of `call_outcome`.
 constexpr std::array<std::string_view, 5> outcome_names{"whole", "refused", "failed", "lost", "wrong"};
 
+/// Runs a load plan and writes the results.
 class load_run {
 public:
     load_run(asio::io_context& context, const load_plan& plan, const caller_options& options,
@@ -34,7 +37,8 @@
                  "retry_after_s,resends,prompt_bytes,output_tokens,fingerprint,chapter,entry\n";
     }
 
-    /// Open loop: a request is sent at its time, whatever became of those before it.
+    /// Sends every request at its planned time, whether or not earlier requests have been answered (an open
+    /// loop).
     asio::awaitable<void> run() {
         const auto begin = steady_clock::now();
         asio::steady_timer timer(m_context);
@@ -66,6 +70,7 @@
     std::ostream& m_out;
 };
 
+/// Parses a list such as "127.0.0.1:8080,127.0.0.2:8080".
 std::vector<http::endpoint> read_entries(std::string_view list) {
     std::vector<http::endpoint> entries;
     while (!list.empty()) {
--- a/measure/load/caller.cpp
+++ b/measure/load/caller.cpp
@@ -1,4 +1,4 @@
-// The exchange, and what its end means.
+// Builds a caller's HTTP request, runs the exchange with the entry and classifies the way in which it ended.
 #include "load/caller.hpp"
 
 #include "load/event_reader.hpp"
@@ -17,10 +17,11 @@
 
 namespace {
 
-constexpr unsigned most_resends = 6;
+constexpr unsigned most_resends = 6; ///< after the first attempt
+/// Pause before the next attempt.
 constexpr std::chrono::milliseconds resend_pause{250};
 constexpr unsigned status_ok = 200;
-/// Tokens after which a caller that is planned to loses its connection.
+/// A request that is planned to lose its connection closes it after this number of tokens.
 constexpr std::size_t tokens_before_loss = 4;
 
 double milliseconds_since(steady_clock::time_point begin, steady_clock::time_point end) {
@@ -47,6 +48,7 @@
     return call;
 }
 
+/// The error code in the body of an error response, or "none".
 std::string kind_in(std::string_view body) {
     constexpr std::string_view key = R"("code":")";
     const auto found = body.find(key);
@@ -57,11 +59,14 @@
     return std::string(body.substr(begin, body.find('"', begin) - begin));
 }
 
+/// Whether the body of an error response states that the request didn't run.
 bool says_not_run(std::string_view body) {
     return body.find(R"("ran":"no")") != std::string_view::npos;
 }
 
-/// Reads the answer to its end. Returns whether the result stands; false: the connection was lost.
+/// Reads the answer to its end and fills `result`. With `loses_connection`, returns false after a few tokens:
+/// the caller drops the connection on purpose and has to send the request again. Throws http::exchange_error
+/// when the connection breaks.
 asio::awaitable<bool> read_answer(http::client_exchange& exchange, const http::response_head& head,
                                   const planned_request& planned, steady_clock::time_point arrival,
                                   bool loses_connection, call_result& result) {
--- a/measure/load/compare_hashing.cpp
+++ b/measure/load/compare_hashing.cpp
@@ -1,6 +1,6 @@
-// Compares ways to give each prefix a home: how evenly they follow the servers' weights, how many prefixes
-// move when a server leaves or its weight changes, and what one choice costs. docs/design/placement.md quotes
-// it.
+// Compares hashing methods that assign each prompt prefix to a home server. For each method it prints how
+// closely the shares of the servers follow their weights, how many prefixes move when a server is removed or
+// its weight is halved, and the time of one choice. docs/design/placement.md quotes the output.
 #include "base/hash.hpp"
 #include "policy/rendezvous.hpp"
 
@@ -25,13 +25,14 @@
 };
 
 using servers = std::vector<server>;
+/// Returns the index of the home server of a key.
 using chooser = std::function<std::size_t(std::uint64_t, const servers&)>;
 
 std::uint64_t hash_number(std::uint64_t number, std::uint64_t seed) {
     return hash_bytes(std::string_view(reinterpret_cast<const char*>(&number), sizeof number), seed);
 }
 
-/// A position in [0, 1).
+/// Maps a hash to a position in [0, 1).
 double position(std::uint64_t hash) {
     return static_cast<double>(hash >> 11U) * 0x1p-53;
 }
@@ -53,6 +54,7 @@
     return best;
 }
 
+/// Rendezvous hashing that gives all servers the same weight.
 std::size_t choose_unweighted(std::uint64_t key, const servers& all) {
     auto equal = all;
     for (auto& one : equal) {
@@ -61,8 +63,9 @@
     return choose_rendezvous(key, equal);
 }
 
-/// The logarithmic method: the lowest -ln(1 - ((server - key) mod 1)) / weight over the copies of each
-/// server.
+/// The logarithmic method of weighted consistent hashing. Each server has `copies` positions on a ring of
+/// length 1; the server with the lowest -ln(1 - d) / weight is chosen, d being the distance from the key to
+/// one of its positions.
 std::size_t choose_logarithmic(std::uint64_t key, const servers& all, std::uint64_t copies) {
     const double at = position(key);
     std::size_t best = 0;
@@ -89,6 +92,7 @@
     return all;
 }
 
+/// The home servers of all keys, by the hash of the server's name.
 std::vector<std::uint64_t> choose_all(const chooser& choose, const servers& all) {
     std::vector<std::uint64_t> homes;
     homes.reserve(key_count);
@@ -98,6 +102,7 @@
     return homes;
 }
 
+/// Share of the keys that have different home servers in the two lists.
 double moved(const std::vector<std::uint64_t>& before, const std::vector<std::uint64_t>& after) {
     std::size_t count = 0;
     for (std::size_t key = 0; key < key_count; ++key) {
@@ -106,6 +111,9 @@
     return static_cast<double>(count) / key_count;
 }
 
+/// Prints one line about a method with `count` servers. The fullest and the emptiest server are given
+/// relative to the shares that their weights call for; "least" is the share of keys that any method has to
+/// move.
 void compare(const char* name, const chooser& choose, std::size_t count) {
     const auto all = make_servers(count);
     const auto begun = std::chrono::steady_clock::now();
--- a/measure/load/decision_cost.cpp
+++ b/measure/load/decision_cost.cpp
@@ -1,5 +1,6 @@
-// Makes one kind of decision many times, for counting instructions: run it under valgrind --tool=callgrind
-// with two counts and divide the difference (scripts/count-instructions).
+// Makes one kind of decision a given number of times, so that valgrind can count the instructions of a
+// decision. scripts/count-instructions runs it with two counts and divides the difference of the instructions
+// by that of the counts.
 #include "policy/adaptive_limit.hpp"
 #include "policy/coordinator_election.hpp"
 #include "policy/offer_queue.hpp"
@@ -24,8 +25,10 @@
 
 const time_point start_time = time_point{} + 1h;
 
-// Each returns a sum over its decisions, so that the compiler can't leave them out.
+// Each of the following functions returns a sum over its decisions, so that the compiler can't optimize them
+// away.
 
+/// Decides the placement of requests among `servers` servers.
 std::size_t place(std::size_t servers, std::size_t count) {
     std::size_t checksum = 0;
     std::vector<placement_candidate> candidates(servers);
@@ -48,6 +51,7 @@
     return checksum;
 }
 
+/// Adds an offer to a queue of 100 waiting offers and takes the next one out.
 std::size_t queue(std::size_t count) {
     std::size_t checksum = 0;
     offer_queue waiting({});
@@ -67,6 +71,7 @@
     return checksum;
 }
 
+/// Admits a request to an `adaptive_limit`, records its latencies and releases it.
 std::size_t limit(std::size_t count) {
     std::size_t checksum = 0;
     adaptive_limit limits({});
@@ -82,7 +87,7 @@
     return checksum;
 }
 
-/// A prompt of 2,000 tokens: hashed, looked up and recorded.
+/// Hashes a prompt of 8,000 bytes (about 2,000 tokens), looks its prefix up and records it.
 std::size_t find_prefix(std::size_t count) {
     std::size_t checksum = 0;
     prefix_index index;
@@ -96,6 +101,7 @@
     return checksum;
 }
 
+/// Checks a request against the limits of its workspace and records its end.
 std::size_t admit_workspace(std::size_t count) {
     std::size_t checksum = 0;
     workspace_limits limits;
@@ -111,7 +117,7 @@
     return checksum;
 }
 
-/// One request asks and one is released, while some hundred wait: as a coordinator does under overload.
+/// Adds a slot request and releases a slot while 300 requests wait, as at an overloaded coordinator.
 std::size_t grant_slots(std::size_t servers, std::size_t count) {
     constexpr service_key service = 1;
     constexpr slot_ticket waiting = 300;
@@ -142,7 +148,7 @@
     return checksum;
 }
 
-/// A coordinator hears a heartbeat and names the candidates in its reply.
+/// Records a heartbeat at a coordinator and lists the candidates that its reply names.
 std::size_t answer_heartbeats(std::size_t members, std::size_t count) {
     coordinator_election election(1, 0.19, {}, start_time);
     std::size_t checksum = 0;
@@ -155,6 +161,7 @@
     return checksum;
 }
 
+/// Makes the named kind of decision `count` times; none when there is no such kind.
 std::optional<std::size_t> run(std::string_view name, std::size_t count) {
     if (name == "place_12") {
         return place(12, count);
--- a/measure/load/event_reader.cpp
+++ b/measure/load/event_reader.cpp
@@ -1,4 +1,4 @@
-// Server-sent events of a chat completion, read line by line.
+// Splits the body of a streamed chat completion into lines and reads the event in each "data: " line.
 #include "load/event_reader.hpp"
 
 #include <algorithm>
@@ -38,7 +38,7 @@
         m_has_error = m_has_error || line.find(error_key) != std::string_view::npos;
         return;
     }
-    // The engine's stand-in writes tokens that need no escapes.
+    // The stand-in engine's tokens contain no characters that JSON escapes, so the next quote ends the text.
     const auto begin = found + content_key.size();
     m_text += line.substr(begin, line.find('"', begin) - begin);
     m_token_times.push_back(now);
--- a/measure/load/load_plan.cpp
+++ b/measure/load/load_plan.cpp
@@ -1,4 +1,5 @@
-// Poisson arrivals over chapters that are used several times, drawn from one seeded generator.
+// Draws a load plan from one seeded generator: Poisson arrivals of requests that share chapters, so that
+// engines can reuse cached prefixes.
 #include "load/load_plan.hpp"
 
 #include "base/hash.hpp"
@@ -14,16 +15,20 @@
 namespace {
 
 constexpr double bytes_per_token = 4;
-constexpr std::size_t open_chapters = 40; ///< of one workspace, that further tasks are about
+/// Number of recent chapters of a workspace that further requests may be about.
+constexpr std::size_t open_chapters = 40;
+/// Length of the instructions that begin every prompt of a workspace.
 constexpr std::size_t preamble_bytes = 640;
 
-/// Two workspaces are large.
+/// Shares of the requests by workspace; the first two workspaces send most of them.
 constexpr std::array<double, workspace_count> workspace_weights{0.4, 0.3, 0.12, 0.1, 0.08};
+/// Shares of the requests by tier.
 constexpr std::array<double, tier_count> tier_weights{0.15, 0.25, 0.3, 0.3};
 
+/// What a request asks the model to do with its chapter.
 struct task {
     std::string_view instruction;
-    double notes_share; ///< its output against that of beta notes
+    double notes_share; ///< output tokens relative to beta-reading notes
 };
 constexpr std::array<task, 3> tasks{task{"Summarise the chapter for its page.", 0.25},
                                     task{"Suggest tags for the chapter.", 0.1},
@@ -49,7 +54,7 @@
     struct chapter {
         std::string text;
         std::size_t number = 0;
-        std::size_t used = 0;
+        std::size_t used = 0; ///< requests about this chapter so far
     };
 
     double uniform() { return std::uniform_real_distribution<double>(0, 1)(m_random); }
@@ -59,13 +64,14 @@
             std::discrete_distribution<int>(weights.begin(), weights.end())(m_random));
     }
 
-    /// Between the bounds, long values rare and large.
+    /// A draw from the Pareto distribution bounded by `least` and `most`.
     double pareto(double least, double most, double exponent) {
         const double low = std::pow(least, -exponent);
         const double high = std::pow(most, -exponent);
         return std::pow(low - uniform() * (low - high), -1 / exponent);
     }
 
+    /// Seconds until the next arrival.
     double next_gap(double now) {
         const auto& burst = m_options.burst;
         const bool in_burst = now >= burst.begins && now < burst.begins + burst.lasts;
@@ -73,7 +79,8 @@
         return std::exponential_distribution<double>(rate)(m_random);
     }
 
-    /// Text that nothing else in the plan shares a block with.
+    /// Pseudo-random text that depends only on the name and the seed. Texts with different names have no
+    /// block of tokens in common, so that no engine finds one of them in its prefix cache because of another.
     std::string make_text(std::string_view name, std::size_t bytes) {
         std::string text(name);
         text += ' ';
@@ -87,6 +94,7 @@
         return text;
     }
 
+    /// A new chapter or a recent one of the workspace.
     chapter& choose_chapter(unsigned workspace) {
         auto& open = m_chapters.at(workspace);
         if (open.empty() || uniform() < m_options.new_chapter_share) {
@@ -138,7 +146,7 @@
         plan.requests.push_back(std::move(request));
     }
 
-    /// "system", "user" and the line ends around the messages.
+    /// Bytes that the role names "system" and "user" and the line breaks around the messages add to a prompt.
     static constexpr std::size_t role_bytes = 15;
 
     load_options m_options;
--- a/measure/policy/policy_trials.cpp
+++ b/measure/policy/policy_trials.cpp
@@ -1,4 +1,6 @@
-// Prints what callers get under heavy loads, for policies side by side.
+// Simulates the slot scheduler under heavy load with `emulator::play` and prints, for each scenario, the mean
+// result of each request class over several seeds. Command line arguments, as pairs of NAME VALUE, override
+// the scheduler's limits.
 #include "emulator/policy_trial.hpp"
 
 #include <cstdio>
@@ -11,6 +13,8 @@
 
 namespace {
 
+/// Load and engines of the scenario "tinta": 12 engines of 8 slots, every third one faster. `scale`
+/// multiplies the arrival rates.
 trial_options tinta(double scale, std::uint64_t seed) {
     trial_options options;
     engine_model model;
@@ -36,6 +40,8 @@
     return options;
 }
 
+/// Load and engines of the scenario "haian": 9 engines of 7 slots, every third one faster. `scale`
+/// multiplies the arrival rates.
 trial_options haian(double scale, std::uint64_t seed) {
     trial_options options;
     engine_model model;
@@ -61,6 +67,8 @@
     return options;
 }
 
+/// Plays one scenario with four seeds and prints a line with the means: the earned share of the possible
+/// worth and, for each class, the percentages of requests by outcome and the mean times.
 void show(const std::string& name, trial_options (*make)(double, std::uint64_t), double scale,
           const policy::slot_scheduler_limits& limits, const std::vector<engine_outage>& outages,
           slot_layout layout = slot_layout::one_coordinator, std::size_t gateways = 4) {
