--- a/measure/load/borageford_load.cpp
+++ b/measure/load/borageford_load.cpp
@@ -86,13 +86,13 @@
     load.seed = static_cast<std::uint64_t>(reader.number("seed", 1));
     load.seconds = reader.number("seconds", load.seconds);
     load.requests_per_second = reader.number("rate", load.requests_per_second);
-    load.burst.begins = reader.number("burst-begins", 0);
-    load.burst.lasts = reader.number("burst-lasts", 0);
+    load.burst.start_seconds = reader.number("burst-begins", 0);
+    load.burst.length_seconds = reader.number("burst-lasts", 0);
     load.burst.factor = reader.number("burst-factor", 1);
-    load.shortest_chapter = reader.number("shortest-chapter", load.shortest_chapter);
-    load.shortest_notes = reader.number("shortest-notes", load.shortest_notes);
-    load.longest_chapter = reader.number("longest-chapter", load.longest_chapter);
-    load.longest_notes = reader.number("longest-notes", load.longest_notes);
+    load.min_chapter_tokens = reader.number("shortest-chapter", load.min_chapter_tokens);
+    load.min_notes_tokens = reader.number("shortest-notes", load.min_notes_tokens);
+    load.max_chapter_tokens = reader.number("longest-chapter", load.max_chapter_tokens);
+    load.max_notes_tokens = reader.number("longest-notes", load.max_notes_tokens);
     load.lost_connection_share = reader.number("lost-connections", load.lost_connection_share);
     return load;
 }
--- a/measure/load/caller.cpp
+++ b/measure/load/caller.cpp
@@ -17,7 +17,7 @@
 
 namespace {
 
-constexpr unsigned most_resends = 6; ///< after the first attempt
+constexpr unsigned max_resends = 6; ///< after the first attempt
 /// Pause before the next attempt.
 constexpr std::chrono::milliseconds resend_pause{250};
 constexpr unsigned status_ok = 200;
@@ -49,7 +49,7 @@
 }
 
 /// The error code in the body of an error response, or "none".
-std::string kind_in(std::string_view body) {
+std::string find_error_code(std::string_view body) {
     constexpr std::string_view key = R"("code":")";
     const auto found = body.find(key);
     if (found == std::string_view::npos) {
@@ -60,7 +60,7 @@
 }
 
 /// Whether the body of an error response states that the request didn't run.
-bool says_not_run(std::string_view body) {
+bool is_not_run(std::string_view body) {
     return body.find(R"("ran":"no")") != std::string_view::npos;
 }
 
@@ -87,14 +87,14 @@
     }
     result.total_ms = milliseconds_since(arrival, steady_clock::now());
     if (head.status != status_ok || events.has_error()) {
-        result.kind = kind_in(body);
-        result.outcome = says_not_run(body) ? call_outcome::refused : call_outcome::failed;
+        result.kind = find_error_code(body);
+        result.outcome = is_not_run(body) ? call_outcome::refused : call_outcome::failed;
         const auto retry = http::find_header(head.headers, "Retry-After");
         result.retry_after_s = retry ? std::stod(std::string(*retry)) : 0;
         co_return true;
     }
     const bool is_own = events.text() == answer_text(fingerprint_of(planned.body), planned.output_tokens);
-    result.outcome = events.has_ended() && is_own ? call_outcome::whole : call_outcome::wrong;
+    result.outcome = events.has_ended() && is_own ? call_outcome::complete : call_outcome::wrong;
     if (events.tokens() > 0) {
         result.first_token_ms = milliseconds_since(arrival, events.first_token());
         result.gap_percentile_ms = events.gap_percentile();
@@ -109,19 +109,19 @@
                                       steady_clock::time_point arrival) {
     const auto call = make_request(options, planned, number);
     call_result result;
-    for (unsigned attempt = 0; attempt <= most_resends; ++attempt) {
+    for (unsigned attempt = 0; attempt <= max_resends; ++attempt) {
         result.resends = attempt;
         const auto& entry = options.entries.at((planned.entry + attempt) % options.entries.size());
-        bool is_settled = false;
+        bool is_answered = false;
         try {
             http::client_exchange exchange(executor, {});
             const auto head = co_await exchange.send(entry, call);
-            const bool loses = planned.loses_connection && attempt == 0;
-            is_settled = co_await read_answer(exchange, head, planned, arrival, loses, result);
+            const bool drops_connection = planned.loses_connection && attempt == 0;
+            is_answered = co_await read_answer(exchange, head, planned, arrival, drops_connection, result);
         } catch (const http::exchange_error&) {
-            is_settled = false;
+            is_answered = false;
         }
-        if (is_settled) {
+        if (is_answered) {
             co_return result;
         }
         asio::steady_timer pause(executor, resend_pause);
--- a/measure/load/caller.hpp
+++ b/measure/load/caller.hpp
@@ -18,11 +18,11 @@
 /// How a request of the load client ended. The results file of `borageford_load` names the outcomes in this
 /// order.
 enum class call_outcome : std::uint8_t {
-    whole,   ///< the complete and correct answer arrived
-    refused, ///< an error whose body says that the request didn't run (`"ran":"no"`)
-    failed,  ///< any other error response, or an error event inside the stream
-    lost,    ///< the connection broke in every attempt, the last resend included
-    wrong,   ///< a successful response whose text differs from the expected one or lacks the end event
+    complete, ///< the complete and correct answer arrived
+    refused,  ///< an error whose body says that the request didn't run (`"ran":"no"`)
+    failed,   ///< any other error response, or an error event inside the stream
+    lost,     ///< the connection broke in every attempt, the last resend included
+    wrong,    ///< a successful response whose text differs from the expected one or lacks the end event
 };
 
 /// What the load client records about one request. Times are 0 when they weren't measured.
--- a/measure/load/event_reader.cpp
+++ b/measure/load/event_reader.cpp
@@ -15,13 +15,14 @@
 } // namespace
 
 void event_reader::add(std::string_view bytes, time_point now) {
-    m_rest.append(bytes);
+    m_incomplete_line.append(bytes);
     std::size_t begin = 0;
-    for (auto end = m_rest.find('\n'); end != std::string::npos; end = m_rest.find('\n', begin)) {
-        read_event(std::string_view(m_rest).substr(begin, end - begin), now);
+    for (auto end = m_incomplete_line.find('\n'); end != std::string::npos;
+         end = m_incomplete_line.find('\n', begin)) {
+        read_event(std::string_view(m_incomplete_line).substr(begin, end - begin), now);
         begin = end + 1;
     }
-    m_rest.erase(0, begin);
+    m_incomplete_line.erase(0, begin);
 }
 
 void event_reader::read_event(std::string_view line, time_point now) {
--- a/measure/load/event_reader.hpp
+++ b/measure/load/event_reader.hpp
@@ -33,7 +33,7 @@
 private:
     void read_event(std::string_view line, time_point now);
 
-    std::string m_rest; ///< bytes of the last, still incomplete line
+    std::string m_incomplete_line; ///< bytes of the last, still incomplete line
     std::string m_text;
     std::vector<time_point> m_token_times;
     bool m_has_ended = false;
--- a/measure/load/load_plan.cpp
+++ b/measure/load/load_plan.cpp
@@ -16,7 +16,7 @@
 
 constexpr double bytes_per_token = 4;
 /// Number of recent chapters of a workspace that further requests may be about.
-constexpr std::size_t open_chapters = 40;
+constexpr std::size_t max_recent_chapters = 40;
 /// Length of the instructions that begin every prompt of a workspace.
 constexpr std::size_t preamble_bytes = 640;
 
@@ -28,15 +28,15 @@
 /// What a request asks the model to do with its chapter.
 struct task {
     std::string_view instruction;
-    double notes_share; ///< output tokens relative to beta-reading notes
+    double relative_output; ///< output tokens relative to beta-reading notes
 };
 constexpr std::array<task, 3> tasks{task{"Summarise the chapter for its page.", 0.25},
                                     task{"Suggest tags for the chapter.", 0.1},
                                     task{"Write beta-reading notes for the author.", 1.0}};
 
-class plan_maker {
+class load_plan_generator {
 public:
-    explicit plan_maker(const load_options& options) : m_options(options), m_random(options.seed) {}
+    explicit load_plan_generator(const load_options& options) : m_options(options), m_random(options.seed) {}
 
     load_plan make() {
         load_plan plan;
@@ -54,7 +54,7 @@
     struct chapter {
         std::string text;
         std::size_t number = 0;
-        std::size_t used = 0; ///< requests about this chapter so far
+        std::size_t request_count = 0; ///< requests about this chapter so far
     };
 
     double uniform() { return std::uniform_real_distribution<double>(0, 1)(m_random); }
@@ -74,7 +74,7 @@
     /// Seconds until the next arrival.
     double next_gap(double now) {
         const auto& burst = m_options.burst;
-        const bool in_burst = now >= burst.begins && now < burst.begins + burst.lasts;
+        const bool in_burst = now >= burst.start_seconds && now < burst.start_seconds + burst.length_seconds;
         const double rate = m_options.requests_per_second * (in_burst ? burst.factor : 1);
         return std::exponential_distribution<double>(rate)(m_random);
     }
@@ -96,19 +96,19 @@
 
     /// A new chapter or a recent one of the workspace.
     chapter& choose_chapter(unsigned workspace) {
-        auto& open = m_chapters.at(workspace);
-        if (open.empty() || uniform() < m_options.new_chapter_share) {
-            const double tokens =
-                pareto(m_options.shortest_chapter, m_options.longest_chapter, m_options.chapter_tail);
+        auto& recent = m_chapters.at(workspace);
+        if (recent.empty() || uniform() < m_options.new_chapter_share) {
+            const double tokens = pareto(m_options.min_chapter_tokens, m_options.max_chapter_tokens,
+                                         m_options.chapter_exponent);
             const auto name = "Chapter " + std::to_string(++m_chapter_count);
-            open.push_back(
+            recent.push_back(
                 {make_text(name, static_cast<std::size_t>(tokens * bytes_per_token)), m_chapter_count});
-            if (open.size() > open_chapters) {
-                open.pop_front();
+            if (recent.size() > max_recent_chapters) {
+                recent.pop_front();
             }
-            return open.back();
+            return recent.back();
         }
-        return open.at(static_cast<std::size_t>(uniform() * static_cast<double>(open.size())));
+        return recent.at(static_cast<std::size_t>(uniform() * static_cast<double>(recent.size())));
     }
 
     void add_request(load_plan& plan, double now) {
@@ -117,32 +117,33 @@
         request.workspace = pick(workspace_weights);
         request.tier = pick(tier_weights);
         request.entry = static_cast<unsigned>(m_random());
-        auto& about = choose_chapter(request.workspace);
-        request.chapter = about.number;
+        auto& subject = choose_chapter(request.workspace);
+        request.chapter = subject.number;
         const auto& chosen = tasks.at(static_cast<std::size_t>(uniform() * tasks.size()));
-        const double notes = pareto(m_options.shortest_notes, m_options.longest_notes, m_options.notes_tail);
-        request.output_tokens = std::max(8U, static_cast<unsigned>(notes * chosen.notes_share));
+        const double notes =
+            pareto(m_options.min_notes_tokens, m_options.max_notes_tokens, m_options.notes_exponent);
+        request.output_tokens = std::max(8U, static_cast<unsigned>(notes * chosen.relative_output));
         request.loses_connection = uniform() < m_options.lost_connection_share;
 
         const auto preamble =
             make_text("Instructions of workspace " + std::to_string(request.workspace), preamble_bytes);
-        const auto last_words =
+        const auto task_text =
             std::string(chosen.instruction) + " Request " + std::to_string(plan.requests.size()) + ".";
-        request.prompt_bytes = preamble.size() + about.text.size() + last_words.size() + role_bytes;
+        request.prompt_bytes = preamble.size() + subject.text.size() + task_text.size() + role_bytes;
         request.body = R"({"model":"pluma","stream":true,"max_tokens":)" +
                        std::to_string(request.output_tokens) +
                        R"(,"messages":[{"role":"system","content":")" + preamble +
-                       R"("},{"role":"user","content":")" + about.text + "\\n" + last_words + R"("}]})";
+                       R"("},{"role":"user","content":")" + subject.text + "\\n" + task_text + R"("}]})";
 
         auto& summary = plan.summary;
         const double prompt_tokens = static_cast<double>(request.prompt_bytes) / bytes_per_token;
         summary.prompt_tokens += prompt_tokens;
-        summary.fresh_prompt_tokens += about.used > 0
-                                           ? static_cast<double>(last_words.size()) / bytes_per_token
+        summary.fresh_prompt_tokens += subject.request_count > 0
+                                           ? static_cast<double>(task_text.size()) / bytes_per_token
                                            : prompt_tokens - preamble_bytes / bytes_per_token;
         summary.output_tokens += request.output_tokens;
         ++summary.requests;
-        ++about.used;
+        ++subject.request_count;
         plan.requests.push_back(std::move(request));
     }
 
@@ -158,7 +159,7 @@
 } // namespace
 
 load_plan make_load_plan(const load_options& options) {
-    return plan_maker(options).make();
+    return load_plan_generator(options).make();
 }
 
 } // namespace borageford::test
--- a/measure/load/load_plan.hpp
+++ b/measure/load/load_plan.hpp
@@ -11,8 +11,8 @@
 
 /// An interval of the run in which the arrival rate is multiplied by a factor.
 struct load_burst {
-    double begins = 0; ///< seconds after the start of the run
-    double lasts = 0;  ///< duration in seconds
+    double start_seconds = 0;  ///< seconds after the start of the run
+    double length_seconds = 0; ///< duration in seconds
     double factor = 1;
 };
 
@@ -27,14 +27,14 @@
     /// its workspace.
     double new_chapter_share = 0.3;
     /// Bounds of a chapter's length in tokens. Lengths are drawn from a bounded Pareto distribution.
-    double shortest_chapter = 40;
-    double longest_chapter = 4000;
-    double chapter_tail = 0.8; ///< exponent of the distribution
+    double min_chapter_tokens = 40;
+    double max_chapter_tokens = 4000;
+    double chapter_exponent = 0.8; ///< exponent of the distribution
     /// Bounds of the output tokens of a request for beta-reading notes, drawn from a bounded Pareto
     /// distribution as well. A summary has a quarter and tags a tenth of the drawn number.
-    double shortest_notes = 80;
-    double longest_notes = 800;
-    double notes_tail = 1.3; ///< exponent of the distribution
+    double min_notes_tokens = 80;
+    double max_notes_tokens = 800;
+    double notes_exponent = 1.3; ///< exponent of the distribution
     /// Share of the requests whose caller loses the connection during the answer and sends the request again.
     double lost_connection_share = 0.02;
 };
--- a/measure/policy/policy_trials.cpp
+++ b/measure/policy/policy_trials.cpp
@@ -69,9 +69,9 @@
 
 /// Plays one scenario with four seeds and prints a line with the means: the earned share of the possible
 /// worth and, for each class, the percentages of requests by outcome and the mean times.
-void show(const std::string& name, trial_options (*make)(double, std::uint64_t), double scale,
-          const policy::slot_scheduler_limits& limits, const std::vector<engine_outage>& outages,
-          slot_layout layout = slot_layout::one_coordinator, std::size_t gateways = 4) {
+void run_scenario(const std::string& name, trial_options (*make)(double, std::uint64_t), double scale,
+                  const policy::slot_scheduler_limits& limits, const std::vector<engine_outage>& outages,
+                  slot_layout layout = slot_layout::one_coordinator, std::size_t gateways = 4) {
     constexpr std::uint64_t seeds = 4;
     double worth = 0;
     std::vector<class_result> sum(3);
@@ -96,23 +96,24 @@
         }
     }
     std::printf("%-28s %.3f |", name.c_str(), worth);
-    for (const auto& of : sum) {
-        const double asked = static_cast<double>(of.asked) / 100;
+    for (const auto& total : sum) {
+        const double asked = static_cast<double>(total.asked) / 100;
         std::printf(" %.3f (in time %2.0f late %2.0f refused %2.0f again %2.0f lost %2.0f, first %3.0f, "
                     "refusal %4.0f ms) |",
-                    of.worth, of.in_time / asked, of.late / asked, of.refused / asked,
-                    of.refused_again / asked, of.lost / asked, of.mean_first_ms, of.mean_refusal_ms);
+                    total.worth, total.in_time / asked, total.late / asked, total.refused / asked,
+                    total.refused_again / asked, total.lost / asked, total.mean_first_ms,
+                    total.mean_refusal_ms);
     }
     std::printf("\n");
 }
 
 } // namespace
 
-int main(int count, char** words) {
+int main(int count, char** arguments) {
     policy::slot_scheduler_limits limits;
     for (int index = 1; index + 1 < count; index += 2) {
-        const std::string name = words[index];
-        const double value = std::atof(words[index + 1]);
+        const std::string name = arguments[index];
+        const double value = std::atof(arguments[index + 1]);
         if (name == "outstanding")
             limits.outstanding_per_slot = value;
         if (name == "lowest_in_small")
@@ -127,22 +128,22 @@
             limits.patience_of_returned = value;
     }
     const std::vector<engine_outage> crash{{1, 10500ms, 2s}, {4, 10500ms, 2s}, {9, 10500ms, 2s}};
-    show("tinta 1.0", tinta, 1.0, limits, {});
-    show("tinta 1.0 crash", tinta, 1.0, limits, crash);
-    show("tinta 1.3", tinta, 1.3, limits, {});
-    show("haian 1.0", haian, 1.0, limits, {});
-    show("haian 1.3", haian, 1.3, limits, {});
+    run_scenario("tinta 1.0", tinta, 1.0, limits, {});
+    run_scenario("tinta 1.0 crash", tinta, 1.0, limits, crash);
+    run_scenario("tinta 1.3", tinta, 1.3, limits, {});
+    run_scenario("haian 1.0", haian, 1.0, limits, {});
+    run_scenario("haian 1.3", haian, 1.3, limits, {});
 
     const std::vector<std::pair<std::string, slot_layout>> layouts{
         {"one coordinator", slot_layout::one_coordinator},
         {"divided", slot_layout::divided},
-        {"told after 50 ms", slot_layout::told},
+        {"reported after 50 ms", slot_layout::told},
         {"owned", slot_layout::owned},
         {"offered to two", slot_layout::offered}};
     for (const auto& [name, layout] : layouts) {
-        show("tinta, " + name, tinta, 1.0, limits, {}, layout);
-        show("haian, " + name, haian, 1.0, limits, {}, layout);
+        run_scenario("tinta, " + name, tinta, 1.0, limits, {}, layout);
+        run_scenario("haian, " + name, haian, 1.0, limits, {}, layout);
     }
-    show("tinta, divided by 12", tinta, 1.0, limits, {}, slot_layout::divided, 12);
-    show("tinta, told, 12 gateways", tinta, 1.0, limits, {}, slot_layout::told, 12);
+    run_scenario("tinta, divided by 12", tinta, 1.0, limits, {}, slot_layout::divided, 12);
+    run_scenario("tinta, reported, 12 gateways", tinta, 1.0, limits, {}, slot_layout::told, 12);
 }
