--- a/measure/load/compare_hashing.cpp
+++ b/measure/load/compare_hashing.cpp
@@ -103,7 +103,7 @@
 }
 
 /// Share of the keys that have different home servers in the two lists.
-double moved(const std::vector<std::uint64_t>& before, const std::vector<std::uint64_t>& after) {
+double moved_share(const std::vector<std::uint64_t>& before, const std::vector<std::uint64_t>& after) {
     std::size_t count = 0;
     for (std::size_t key = 0; key < key_count; ++key) {
         count += before[key] == after[key] ? 0 : 1;
@@ -126,8 +126,8 @@
     double fullest = 0;
     double emptiest = 1e9;
     for (const auto& one : all) {
-        const auto won = static_cast<double>(std::ranges::count(homes, one.name_hash));
-        const double share = won / key_count / (one.weight / weights);
+        const auto assigned = static_cast<double>(std::ranges::count(homes, one.name_hash));
+        const double share = assigned / key_count / (one.weight / weights);
         fullest = std::max(fullest, share);
         emptiest = std::min(emptiest, share);
     }
@@ -139,8 +139,8 @@
     const double lost_share = own_share - slower[4].weight / (weights - slower[4].weight);
     std::printf("%-22s servers %3zu fullest %.2f emptiest %.2f moved_on_leave %.4f (least %.4f) "
                 "moved_on_halved_weight %.4f (least %.4f) us_a_choice %.2f\n",
-                name, count, fullest, emptiest, moved(homes, choose_all(choose, without)), own_share,
-                moved(homes, choose_all(choose, slower)), lost_share, took.count() / key_count);
+                name, count, fullest, emptiest, moved_share(homes, choose_all(choose, without)), own_share,
+                moved_share(homes, choose_all(choose, slower)), lost_share, took.count() / key_count);
 }
 
 } // namespace
--- a/measure/load/decision_cost.cpp
+++ b/measure/load/decision_cost.cpp
@@ -29,7 +29,7 @@
 // away.
 
 /// Decides the placement of requests among `servers` servers.
-std::size_t place(std::size_t servers, std::size_t count) {
+std::size_t place_requests(std::size_t servers, std::size_t count) {
     std::size_t checksum = 0;
     std::vector<placement_candidate> candidates(servers);
     random_sequence random(1);
@@ -52,7 +52,7 @@
 }
 
 /// Adds an offer to a queue of 100 waiting offers and takes the next one out.
-std::size_t queue(std::size_t count) {
+std::size_t queue_offers(std::size_t count) {
     std::size_t checksum = 0;
     offer_queue waiting({});
     auto now = start_time;
@@ -72,7 +72,7 @@
 }
 
 /// Admits a request to an `adaptive_limit`, records its latencies and releases it.
-std::size_t limit(std::size_t count) {
+std::size_t admit_requests(std::size_t count) {
     std::size_t checksum = 0;
     adaptive_limit limits({});
     auto now = start_time;
@@ -162,18 +162,18 @@
 }
 
 /// Makes the named kind of decision `count` times; none when there is no such kind.
-std::optional<std::size_t> run(std::string_view name, std::size_t count) {
+std::optional<std::size_t> run_decisions(std::string_view name, std::size_t count) {
     if (name == "place_12") {
-        return place(12, count);
+        return place_requests(12, count);
     }
     if (name == "place_75") {
-        return place(75, count);
+        return place_requests(75, count);
     }
     if (name == "queue") {
-        return queue(count);
+        return queue_offers(count);
     }
     if (name == "limit") {
-        return limit(count);
+        return admit_requests(count);
     }
     if (name == "prefix") {
         return find_prefix(count);
@@ -197,9 +197,9 @@
 } // namespace borageford::test
 
 int main(int count, char** arguments) {
-    const auto result = count == 3
-                            ? borageford::test::run(arguments[1], std::strtoull(arguments[2], nullptr, 10))
-                            : std::nullopt;
+    const auto result =
+        count == 3 ? borageford::test::run_decisions(arguments[1], std::strtoull(arguments[2], nullptr, 10))
+                   : std::nullopt;
     if (!result) {
         std::fputs(
             "borageford_decision_cost place_12|place_75|queue|limit|prefix|workspace|grant_50|grant_3000|"
