--- a/measure/load/event_reader.cpp
+++ b/measure/load/event_reader.cpp
@@ -1,4 +1,4 @@
-// Server-sent events of a chat completion, read line by line.
+// Splits the body of a streamed chat completion into lines and reads the event in each "data: " line.
 #include "load/event_reader.hpp"
 
 #include <algorithm>
@@ -15,13 +15,14 @@
 } // namespace
 
 void event_reader::add(std::string_view bytes, time_point now) {
-    m_rest.append(bytes);
+    m_incomplete_line.append(bytes);
     std::size_t begin = 0;
-    for (auto end = m_rest.find('\n'); end != std::string::npos; end = m_rest.find('\n', begin)) {
-        read_event(std::string_view(m_rest).substr(begin, end - begin), now);
+    for (auto end = m_incomplete_line.find('\n'); end != std::string::npos;
+         end = m_incomplete_line.find('\n', begin)) {
+        read_event(std::string_view(m_incomplete_line).substr(begin, end - begin), now);
         begin = end + 1;
     }
-    m_rest.erase(0, begin);
+    m_incomplete_line.erase(0, begin);
 }
 
 void event_reader::read_event(std::string_view line, time_point now) {
@@ -38,7 +39,7 @@
         m_has_error = m_has_error || line.find(error_key) != std::string_view::npos;
         return;
     }
-    // The engine's stand-in writes tokens that need no escapes.
+    // The stand-in engine's tokens contain no characters that JSON escapes, so the next quote ends the text.
     const auto begin = found + content_key.size();
     m_text += line.substr(begin, line.find('"', begin) - begin);
     m_token_times.push_back(now);
