--- a/src/base/compression.hpp
+++ b/src/base/compression.hpp
@@ -1,4 +1,5 @@
-// Deflated text, for what is large, alike in its lines, and sent to every node.
+// Compresses text with zlib and encodes bytes as base64. Used for configurations, which are large, have many
+// similar lines and are sent to every node.
 #pragma once
 
 #include <cstddef>
@@ -11,21 +12,24 @@
 
 namespace borageford {
 
-/// Bytes that aren't what deflate_text() makes, or that grow past the limit.
+/// Thrown when the input is not valid deflated data or base64, when the inflated text exceeds its limit, or
+/// when zlib fails.
 class compression_error : public std::runtime_error {
 public:
     using std::runtime_error::runtime_error;
 };
 
+/// Compresses the text into a zlib stream. Throws compression_error when zlib fails.
 [[nodiscard]] std::vector<std::uint8_t> deflate_text(std::string_view text);
 
-/// Throws compression_error. Reads no further than `size_limit` bytes of text, so that a few bytes from a
-/// damaged or hostile peer can't fill the memory.
+/// Decompresses what deflate_text() returned. Throws compression_error when the data is invalid or truncated,
+/// or when the text is larger than `size_limit` bytes. The limit keeps a small message from a faulty or
+/// malicious peer from exhausting the memory.
 [[nodiscard]] std::string inflate_text(std::span<const std::uint8_t> packed, std::size_t size_limit);
 
-/// For bytes that must be part of a JSON string.
+/// Encodes bytes as base64 with padding, for example to store them in a JSON string.
 [[nodiscard]] std::string encode_base64(std::span<const std::uint8_t> bytes);
-/// Throws compression_error.
+/// Decodes padded base64. Throws compression_error when the text isn't valid base64.
 [[nodiscard]] std::vector<std::uint8_t> decode_base64(std::string_view text);
 
 } // namespace borageford
--- a/src/base/error_kind.cpp
+++ b/src/base/error_kind.cpp
@@ -1,4 +1,5 @@
-// The table from error kind to answer.
+// Defines the table that maps each error kind to its HTTP status, retry advice and summary, and the look-ups
+// in it.
 #include "base/error_kind.hpp"
 
 #include <algorithm>
--- a/src/base/error_kind.hpp
+++ b/src/base/error_kind.hpp
@@ -1,5 +1,6 @@
-// The closed list of the errors that a caller, an operator or a peer can be told, and the table from each
-// kind to its answer. docs/ERRORS.md shows the same table; a test holds the two together.
+// Lists every kind of error that can be sent to a caller, an operator or a peer, and maps each kind to its
+// error response. docs/ERRORS.md documents the same table; tests/unit/test_error_page.cpp checks that both
+// agree.
 #pragma once
 
 #include <cstdint>
@@ -9,7 +10,7 @@
 
 namespace borageford {
 
-/// Every way in which a request can end without its answer.
+/// The reasons for which a request can fail.
 enum class error_kind : std::uint8_t {
     bad_request,
     unauthorized,
@@ -46,34 +47,34 @@
     internal
 };
 
-/// Whether the request had run when the error was answered.
+/// Whether the request had been run by a backend server when the error response was sent.
 enum class run_state : std::uint8_t { no, yes, unknown };
 
-/// What a caller can usefully do next.
+/// Tells the caller whether and how to retry the request.
 enum class retry_advice : std::uint8_t {
-    do_not_retry,    ///< the same request will fail again
-    retry_later,     ///< safe to send again after Retry-After
+    do_not_retry,    ///< the same request would fail again
+    retry_later,     ///< safe to send again after the time in Retry-After
     retry_with_key,  ///< safe to send again only with the same Idempotency-Key
-    ask_an_operator, ///< only a person can clear the cause
+    ask_an_operator, ///< the request fails until an operator removes the cause
 };
 
-/// One row of the table from kind to answer.
+/// The error response for one error kind: a row of the table returned by error_answers().
 struct error_answer {
     error_kind kind;
-    std::string_view name; ///< machine-readable, stable
+    std::string_view name; ///< identifies the kind in error responses; doesn't change between versions
     unsigned http_status;
     run_state ran;
     retry_advice retry;
-    std::string_view summary; ///< one sentence for people
+    std::string_view summary; ///< human-readable description, one sentence
 };
 
 /// The whole table, one row for each kind, in the order of the enumeration.
 [[nodiscard]] std::span<const error_answer> error_answers() noexcept;
 
-/// The row of one kind.
+/// The error response for a kind; the one for error_kind::internal when the value is out of range.
 [[nodiscard]] const error_answer& answer_for(error_kind kind) noexcept;
 
-/// The kind with this name, or nothing.
+/// The kind with this name; std::nullopt when there is none.
 [[nodiscard]] std::optional<error_kind> find_error_kind(std::string_view name) noexcept;
 
 [[nodiscard]] std::string_view to_string(error_kind kind) noexcept;
--- a/src/base/hash.cpp
+++ b/src/base/hash.cpp
@@ -1,4 +1,4 @@
-// XXH3 behind a narrow face.
+// Implements hash_bytes() with the xxHash library.
 #include "base/hash.hpp"
 
 #include <xxhash.h>
--- a/src/base/identifier.cpp
+++ b/src/base/identifier.cpp
@@ -1,4 +1,4 @@
-// Drawing, printing and reading identifiers.
+// Generates, parses and formats 128-bit identifiers.
 #include "base/identifier.hpp"
 
 #include <array>
--- a/src/base/identifier.hpp
+++ b/src/base/identifier.hpp
@@ -1,4 +1,4 @@
-// Random 128-bit identifiers: requests, dispatches, incarnations.
+// Random 128-bit identifiers for requests, dispatches and process starts.
 #pragma once
 
 #include <compare>
@@ -11,26 +11,28 @@
 
 namespace borageford {
 
-/// An identifier that no two processes draw alike; the zero value means "none".
+/// A random 128-bit identifier, unique across processes for practical purposes. Zero means "none".
 struct identifier {
     std::uint64_t high = 0;
     std::uint64_t low = 0;
 
-    /// Draws a new one from the operating system's random source, reseeded per thread.
+    /// Generates a new identifier. Each thread has its own generator, seeded once from the operating system's
+    /// random source.
     [[nodiscard]] static identifier random();
 
-    /// Reads 32 hexadecimal digits; nothing for any other text.
+    /// Parses 32 hexadecimal digits; returns std::nullopt for any other text.
     [[nodiscard]] static std::optional<identifier> parse(std::string_view text) noexcept;
 
     [[nodiscard]] bool is_none() const noexcept { return high == 0 && low == 0; }
+    /// 32 lower-case hexadecimal digits.
     [[nodiscard]] std::string to_string() const;
 
     auto operator<=>(const identifier&) const = default;
 };
 
-/// Names one attempt to run a request at one backend server.
+/// Identifies one attempt to run a request on one backend server.
 using dispatch_id = identifier;
-/// Names a caller's request; shown to the caller.
+/// Identifies a caller's request; returned to the caller in the response.
 using request_id = identifier;
 
 } // namespace borageford
--- a/src/base/log.cpp
+++ b/src/base/log.cpp
@@ -1,4 +1,4 @@
-// Lines in text ("event key=value") or JSON, written through log4cplus.
+// Formats log lines as text ("event key=value") or JSON and writes them with log4cplus.
 #include "base/log.hpp"
 
 #include <boost/json.hpp>
--- a/src/base/log.hpp
+++ b/src/base/log.hpp
@@ -1,4 +1,4 @@
-// Structured log lines over log4cplus: one line a change of state, with fields in a fixed form.
+// Structured logging with log4cplus. Each line names one event and has named fields.
 #pragma once
 
 #include <cstdint>
@@ -8,19 +8,22 @@
 
 namespace borageford::log {
 
+/// The severity of a log line.
 enum class level : std::uint8_t { debug, info, warning, error };
+/// Whether lines are written as "event key=value" or as one JSON object per line.
 enum class format : std::uint8_t { text, json };
 
-/// One named value of a line.
+/// A named value in a log line.
 struct field {
     std::string_view name;
     std::string value;
 };
 
-/// Sets where lines go (standard error) and how they look. Call once, before any thread starts.
+/// Sets the line format and the lowest level that is written; lines go to standard error. `process` is added
+/// to JSON lines. Call once, before any thread starts.
 void start(format line_format, level lowest, std::string_view process);
 
-/// Writes one line: what happened, and its fields.
+/// Writes one line with the name of the event and its fields, unless the level is disabled.
 void write(level severity, std::string_view event, std::initializer_list<field> fields = {});
 
 inline void info(std::string_view event, std::initializer_list<field> fields = {}) {
--- a/src/base/pause.cpp
+++ b/src/base/pause.cpp
@@ -1,4 +1,4 @@
-// The timer's callback resumes the coroutine.
+// Implements pause(): a timer callback resumes the suspended coroutine.
 #include "base/pause.hpp"
 
 #include <boost/asio/async_result.hpp>
--- a/src/base/pause.hpp
+++ b/src/base/pause.hpp
@@ -1,4 +1,4 @@
-// A wait inside a coroutine, through the timer service.
+// Lets a coroutine wait for a time with timer_service.
 #pragma once
 
 #include "base/timer_service.hpp"
@@ -7,7 +7,7 @@
 
 namespace borageford {
 
-/// Returns after the delay, on the coroutine's own executor.
+/// Suspends the calling coroutine for `delay`; it resumes on its own executor.
 boost::asio::awaitable<void> pause(timer_service& timers, timer_service::clock::duration delay);
 
 } // namespace borageford
--- a/src/base/request_error.hpp
+++ b/src/base/request_error.hpp
@@ -1,4 +1,4 @@
-// The exception that carries an error kind to the place where the answer is written.
+// The exception that ends a request with an error response; the code that writes the response catches it.
 #pragma once
 
 #include "base/error_kind.hpp"
@@ -10,7 +10,8 @@
 
 namespace borageford {
 
-/// Ends a request with an answer from the table of error kinds.
+/// Ends a request with the error response for `kind` (answer_for()). what() is `detail`, or the kind's
+/// summary when `detail` is empty.
 class request_error : public std::runtime_error {
 public:
     explicit request_error(error_kind kind, const std::string& detail = {},
@@ -21,7 +22,7 @@
 
     [[nodiscard]] error_kind kind() const noexcept { return m_kind; }
 
-    /// When it is worth asking again, where that is known.
+    /// After how long the caller should retry; std::nullopt when that isn't known.
     [[nodiscard]] std::optional<std::chrono::milliseconds> retry_after() const noexcept {
         return m_retry_after;
     }
--- a/src/base/sha256.cpp
+++ b/src/base/sha256.cpp
@@ -1,4 +1,4 @@
-// SHA-256 by OpenSSL.
+// Implements sha256_hex() with OpenSSL.
 #include "base/sha256.hpp"
 
 #include <array>
--- a/src/base/snapshot.hpp
+++ b/src/base/snapshot.hpp
@@ -1,5 +1,6 @@
-// An immutable value that many threads read on a request's path while another replaces it (read, copy,
-// update). docs/design/read_copy_update.md has the ways compared and their measurements.
+// An immutable value that many threads read while another thread replaces it (read-copy-update), cheap enough
+// to be read for each request. docs/design/read_copy_update.md compares the alternatives and their
+// measurements.
 #pragma once
 
 #include <array>
@@ -12,20 +13,22 @@
 
 namespace borageford {
 
-/// Readers take the current value and keep it as long as they like, also while a coroutine is suspended; a
-/// writer swaps in a new one. A read that begins after replace() has returned gets the new value or a newer.
+/// Readers get a shared pointer to the current value and may keep it for as long as they need it, also while
+/// a coroutine is suspended. A writer replaces the value. A read that starts after replace() has returned
+/// gets the new value or a newer one.
 ///
-/// Each thread keeps a handle of its own and looks at the shared one only when the version has changed. The
-/// handle counts its users by itself: were all threads to count on one place, that cache line would cost
-/// more than everything else they read.
+/// Each thread caches a shared pointer to the value and reloads it only after the version has changed. The
+/// cached pointer has a reference count of its own: with one count for all threads, the contended cache line
+/// would cost more than everything else in a read.
 ///
-/// Invariants: never empty; the version grows with each replacement. A thread that reads no more keeps the
-/// last value it read, one for each cache slot, until it ends.
+/// Invariants: the value is never null; the version grows with each replacement. Every cache entry of a
+/// thread keeps the last value read through it alive until it is overwritten or the thread ends.
 template <typename Value>
 class snapshot {
 public:
     explicit snapshot(Value initial) : m_current(std::make_shared<const Value>(std::move(initial))) {}
 
+    /// The current value, never null. Safe to call from any thread.
     [[nodiscard]] std::shared_ptr<const Value> read() const noexcept {
         auto& own = find_slot();
         if (own.owner != m_identity || own.version != m_version.load(std::memory_order_acquire)) {
@@ -34,6 +37,7 @@
         return own.held;
     }
 
+    /// Makes `next` the current value. Safe to call from any thread.
     void replace(Value next) {
         auto fresh = std::make_shared<const Value>(std::move(next));
         const std::scoped_lock lock(m_mutex);
@@ -42,17 +46,19 @@
     }
 
 private:
-    /// What a thread keeps of one snapshot.
+    /// A thread's cached pointer to the value of one snapshot.
     struct slot {
         std::uint64_t owner = 0;
         std::uint64_t version = 0;
         std::shared_ptr<const Value> held;
     };
 
-    /// Snapshots of one type in a process are few; more of them than this only read more slowly.
+    /// Cache entries per thread and value type. A process has few snapshots of one type; with more of them
+    /// than entries, snapshots share entries and reads take the lock more often.
     static constexpr std::size_t slot_count = 8;
 
-    /// Numbers are never used twice, so a snapshot at the address of a former one isn't taken for it.
+    /// Returns a number that is never used again. Entries are matched by this number instead of the address,
+    /// since a new snapshot may be created at the address of a destroyed one and would get its cached value.
     static std::uint64_t next_identity() {
         static std::atomic<std::uint64_t> last = 0;
         return ++last;
--- a/src/base/timer_service.cpp
+++ b/src/base/timer_service.cpp
@@ -1,4 +1,4 @@
-// Subscriptions over Asio's steady timer.
+// Implements timer subscriptions with Asio's steady timer.
 #include "base/timer_service.hpp"
 
 #include <boost/asio/dispatch.hpp>
@@ -61,7 +61,7 @@
         return;
     }
     m_state->active.store(false);
-    // The timer itself belongs to the subscriber's executor; touching it from another thread would race.
+    // Asio timers aren't thread-safe, so the timer is cancelled on the subscriber's executor.
     boost::asio::post(m_state->timer.get_executor(), [shared = m_state] { shared->timer.cancel(); });
     m_state.reset();
 }
--- a/src/base/timer_service.hpp
+++ b/src/base/timer_service.hpp
@@ -1,4 +1,4 @@
-// The one place where time passes: parts subscribe to be called after a delay or at a steady period.
+// Calls functions after a delay or periodically.
 #pragma once
 
 #include <boost/asio/any_io_executor.hpp>
@@ -9,14 +9,15 @@
 
 namespace borageford {
 
-/// Ends its subscription when destroyed. After the destructor returns on the subscriber's own executor,
-/// the callback isn't called again.
+/// Keeps a timer callback registered; destroying the object cancels the subscription. When it is destroyed on
+/// the subscriber's executor, the callback isn't called any more after that.
 class timer_subscription {
 public:
     timer_subscription() = default;
 
-    /// Ends the subscription early; harmless when repeated.
+    /// Cancels the subscription. Further calls have no effect.
     void cancel() noexcept;
+    /// False once the subscription was cancelled or its only call has begun.
     [[nodiscard]] bool is_active() const noexcept;
 
     struct state;
@@ -31,19 +32,19 @@
     std::shared_ptr<state> m_state;
 };
 
-/// Calls subscribers on the executor that each of them names, so that a part guarded by a strand needs no
-/// lock for its timers.
+/// Calls each subscriber on the executor that it passed. Code that runs on a strand therefore needs no lock
+/// against its timer callbacks.
 class timer_service {
 public:
     using callback = std::function<void()>;
     using clock = std::chrono::steady_clock;
 
-    /// Calls once, after the delay.
+    /// Calls `call` once, after `delay`.
     [[nodiscard]] timer_subscription after(const boost::asio::any_io_executor& executor,
                                            clock::duration delay, callback call);
 
-    /// Calls again and again; the period runs from the end of one call to the start of the next, so a slow
-    /// subscriber never piles calls up.
+    /// Calls `call` repeatedly. The period is counted from the end of one call to the start of the next, so
+    /// calls to a slow subscriber don't accumulate.
     [[nodiscard]] timer_subscription every(const boost::asio::any_io_executor& executor,
                                            clock::duration period, callback call);
 };
