--- a/src/net/byte_buffer.cpp
+++ b/src/net/byte_buffer.cpp
@@ -1,4 +1,5 @@
-// Moving the rest to the front is cheaper than growing, as long as the rest is small.
+// Implements byte_buffer. prepare() first moves the unread bytes to the front and allocates only when that
+// doesn't make enough space; moving is cheap because few bytes are usually unread.
 #include "net/byte_buffer.hpp"
 
 #include <algorithm>
--- a/src/net/byte_buffer.hpp
+++ b/src/net/byte_buffer.hpp
@@ -1,4 +1,4 @@
-// Bytes that arrive at the back and are consumed at the front, always contiguous.
+// A buffer whose bytes are appended at the end, consumed at the front and always contiguous in memory.
 #pragma once
 
 #include <cstddef>
@@ -8,23 +8,29 @@
 
 namespace borageford::net {
 
-/// Invariant: m_begin <= m_end <= m_bytes.size().
+/// A growing byte queue for socket input and output.
+///
+/// Invariant: m_begin <= m_end <= m_bytes.size(). The unread bytes are [m_begin, m_end).
 class byte_buffer {
 public:
+    /// The bytes that were appended and not consumed yet. Valid until the next call of a modifying function.
     [[nodiscard]] std::string_view readable() const noexcept {
         return {m_bytes.data() + m_begin, m_end - m_begin};
     }
     [[nodiscard]] std::size_t size() const noexcept { return m_end - m_begin; }
     [[nodiscard]] bool is_empty() const noexcept { return m_begin == m_end; }
 
-    /// Room for at least `wanted` more bytes; what is readable may move.
+    /// Returns free space for at least `wanted` bytes behind the readable ones. May move the readable bytes.
     [[nodiscard]] std::span<char> prepare(std::size_t wanted);
+    /// Makes the first `count` bytes of the space from prepare() readable.
     void commit(std::size_t count) noexcept { m_end += count; }
-    /// Leaves prepared room where it is: a read may be writing there.
+    /// Removes up to `count` bytes from the front. Doesn't move the prepared space, since an asynchronous
+    /// read may be writing into it.
     void consume(std::size_t count) noexcept;
+    /// Copies bytes to the end.
     void append(std::string_view bytes);
 
-    /// Gives memory back when empty and grown beyond `kept` bytes.
+    /// Frees the memory if the buffer is empty and has more than `kept` bytes allocated.
     void shrink(std::size_t kept);
 
 private:
--- a/src/net/connection.cpp
+++ b/src/net/connection.cpp
@@ -1,4 +1,5 @@
-// Reads are asynchronous; writes are tried at once, since the kernel nearly always takes them.
+// Implements connection. Reads are asynchronous. Writes are attempted synchronously first, because the kernel
+// nearly always accepts all bytes at once.
 #include "net/connection.hpp"
 
 #include <boost/asio/buffer.hpp>
@@ -15,9 +16,10 @@
 
 namespace {
 
-/// Room for a usual request head; an idle connection holds this much.
+/// Initial size of a read in bytes: enough for a typical request head. An idle connection keeps a buffer of
+/// this size.
 constexpr std::size_t usual_read_size = 4096;
-/// Pieces of one gathered write; more are queued.
+/// Largest number of pieces passed to one gathered write; further pieces are queued.
 constexpr std::size_t gathered_pieces = 8;
 
 } // namespace
@@ -119,7 +121,7 @@
         written = write_now(pieces, error);
         m_sent_bytes += written;
         if (error) {
-            // Reported later: the caller is in the middle of its own step.
+            // Reported from a posted callback, because handlers are never called from within send().
             asio::post(m_socket.get_executor(),
                        [self = shared_from_this()] { self->report_end(connection_end::failed); });
             return;
--- a/src/net/connection.hpp
+++ b/src/net/connection.hpp
@@ -1,5 +1,5 @@
-// One TCP connection for code that reacts to bytes: buffered input, output that is written at once where the
-// kernel takes it, and one report of its end.
+// A TCP connection with callbacks: it buffers input, writes output at once as far as the kernel accepts it
+// and queues the remaining bytes, and reports its end once.
 #pragma once
 
 #include "net/byte_buffer.hpp"
@@ -17,22 +17,23 @@
 
 namespace borageford::net {
 
-/// How a connection came to its end, as seen from here.
+/// How a connection ended.
 enum class connection_end : std::uint8_t {
-    closed_by_peer, ///< an orderly end of the peer's bytes
-    failed,         ///< reset, timed out, unreachable
+    closed_by_peer, ///< the peer has closed its sending side in order
+    failed,         ///< the connection was reset, timed out or became unreachable
 };
 
-/// Belongs to one thread's executor. Callbacks run on it, never from within a call of a member function, so a
-/// caller needn't fear to be entered again; after close() none is called.
+/// A connection used on the executor of a single thread; create it with std::make_shared. Handlers run on
+/// that executor and never from within a call of a member function, so callers need no protection against
+/// re-entrance. No handler is called after close().
 class connection : public std::enable_shared_from_this<connection> {
 public:
     struct handlers {
-        /// New bytes are in input().
+        /// New bytes were appended to input().
         std::function<void()> on_input;
-        /// Called once; input() may still hold bytes.
+        /// The connection has ended; called once. input() may still contain unread bytes.
         std::function<void(connection_end)> on_end;
-        /// All that was queued has gone to the kernel.
+        /// All queued output has been passed to the kernel.
         std::function<void()> on_drained;
     };
 
@@ -43,39 +44,44 @@
     connection(connection&&) = delete;
     connection& operator=(connection&&) = delete;
 
-    /// Replaces the callbacks; a pooled connection changes hands this way.
+    /// Replaces the handlers, for example when a pooled connection gets a new user.
     void set_handlers(handlers to_call);
 
-    /// Starts, or goes on, to read.
+    /// Starts or resumes reading.
     void read();
-    /// No further read is begun; one under way may still deliver.
+    /// Stops reading. A read that is in progress may still call on_input once.
     void pause_reading() noexcept { m_wants_input = false; }
 
-    /// Bytes that one read asks for at least; larger for long bodies.
+    /// Sets the minimum buffer space for one read in bytes; a larger size suits long bodies.
     void set_read_size(std::size_t bytes) noexcept { m_read_size = bytes; }
 
+    /// The bytes that were received and not consumed yet.
     [[nodiscard]] std::string_view input() const noexcept { return m_input.readable(); }
+    /// Removes `count` bytes from the front of input().
     void consume(std::size_t count);
 
-    /// Writes the pieces in order, or queues what the kernel doesn't take.
+    /// Writes the pieces in order and queues the bytes that the kernel doesn't accept. Does nothing once the
+    /// connection has ended; a write error is reported with on_end.
     void send(std::span<const std::string_view> pieces);
     void send(std::string_view bytes) { send(std::span(&bytes, 1)); }
 
-    /// Bytes queued here because the kernel took no more.
+    /// Number of queued bytes for which no write has been started yet.
     [[nodiscard]] std::size_t unsent() const noexcept { return m_output.size(); }
-    /// False until the kernel has taken the first byte of what was sent: nothing has left this process.
+    /// Whether the kernel has accepted any byte. While it is false, nothing has left this process.
     [[nodiscard]] bool has_sent() const noexcept { return m_sent_bytes > 0; }
+    /// Number of bytes that the kernel has accepted since the connection was opened.
     [[nodiscard]] std::uint64_t sent_bytes() const noexcept { return m_sent_bytes; }
 
     [[nodiscard]] bool is_open() const noexcept { return m_socket.is_open(); }
-    /// When this side took it as open.
+    /// When this object was created.
     [[nodiscard]] std::chrono::steady_clock::time_point opened_at() const noexcept { return m_opened_at; }
 
-    /// Ends the connection at once.
+    /// Closes the connection immediately and discards queued output.
     void close() noexcept;
 
-    /// Sends what is queued, then ends this side's bytes, and closes when the peer has ended its own or after
-    /// `linger`. A close with unread bytes would reset the connection and could destroy an answer under way.
+    /// Sends the queued output, shuts down the sending side, and closes the connection when the peer has shut
+    /// down its own or after `linger`. Closing a socket with unread input would reset the connection, and the
+    /// peer could lose an answer that is still in transit.
     void close_gently(std::chrono::milliseconds linger);
 
 private:
@@ -90,18 +96,18 @@
 
     boost::asio::ip::tcp::socket m_socket;
     std::chrono::steady_clock::time_point m_opened_at = std::chrono::steady_clock::now();
-    /// Shared, so that a callback may replace the callbacks while it runs.
+    /// Shared, so that a handler stays valid while it replaces the handlers.
     std::shared_ptr<const handlers> m_handlers;
     byte_buffer m_input;
-    byte_buffer m_output;
-    byte_buffer m_writing; ///< what an asynchronous write holds
+    byte_buffer m_output;  ///< queued bytes for which no write has been started
+    byte_buffer m_writing; ///< the bytes of the asynchronous write in progress
     std::size_t m_read_size;
     std::uint64_t m_sent_bytes = 0;
     bool m_wants_input = false;
     bool m_reads = false;
     bool m_writes = false;
     bool m_has_ended = false;
-    bool m_shuts_down = false; ///< input is discarded; the connection ends with the peer's bytes
+    bool m_shuts_down = false; ///< close_gently() was called: input is discarded until the peer closes
 };
 
 } // namespace borageford::net
--- a/src/net/tcp_options.cpp
+++ b/src/net/tcp_options.cpp
@@ -1,4 +1,4 @@
-// The options as the kernel knows them.
+// Sets the socket options with Asio. Asio has no types of its own for the Linux liveness options.
 #include "net/tcp_options.hpp"
 
 #include <netinet/in.h>
--- a/src/net/tcp_options.hpp
+++ b/src/net/tcp_options.hpp
@@ -1,4 +1,4 @@
-// Options that every TCP connection of a process gets, so that a dead path is noticed in time.
+// Socket options for TCP connections, which let the process notice a lost network path within seconds.
 #pragma once
 
 #include <boost/asio/ip/tcp.hpp>
@@ -7,19 +7,21 @@
 
 namespace borageford::net {
 
-/// When a connection counts as dead although no reset came. A firewall or a lost machine may drop packets
-/// without a word; a write then succeeds into the kernel's buffer and nothing ever answers.
+/// When the kernel ends a connection that was not closed or reset. A firewall may drop packets without a
+/// reset, or a machine may fail: writes into the kernel's buffer then still succeed, but the peer never
+/// answers.
 struct liveness_limits {
-    /// Bytes sent and not acknowledged for this long end the connection (TCP_USER_TIMEOUT). Two
-    /// retransmissions fit into it on a path with some hundred milliseconds of retransmission timeout.
+    /// The connection ends when sent bytes aren't acknowledged for this long (TCP_USER_TIMEOUT). The time is
+    /// enough for two retransmissions on a path with a retransmission timeout of some hundred milliseconds.
     std::chrono::milliseconds unacknowledged{2000};
-    /// A connection without traffic is probed after this long, and then at the same interval.
+    /// Time without traffic before the first keep-alive probe, and between two probes.
     std::chrono::seconds probe_interval{1};
-    /// So many probes without an answer end it.
+    /// Number of keep-alive probes without a reply after which the connection ends.
     int probes = 2;
 };
 
-/// Sets non-blocking mode, TCP_NODELAY and the liveness options. Failures are left to the next read or write.
+/// Sets non-blocking mode, TCP_NODELAY and the liveness options. Errors are ignored here: a broken socket
+/// fails at the next read or write.
 void prepare_socket(boost::asio::ip::tcp::socket& socket, const liveness_limits& limits = {});
 
 } // namespace borageford::net
--- a/src/wire/message.cpp
+++ b/src/wire/message.cpp
@@ -1,4 +1,5 @@
-// Framing and FlatBuffers coding of the messages between our processes.
+// Encodes and decodes the messages between borageford's processes with FlatBuffers, each in a frame with its
+// length in front.
 #include "wire/message.hpp"
 
 #include <algorithm>
@@ -12,7 +13,7 @@
 constexpr std::size_t initial_buffer_size = 1024;
 constexpr int bits_per_byte = 8;
 
-/// Moves the table that the union holds into the variant.
+/// Moves the message out of a FlatBuffers union that holds a `Message`.
 template <typename Message>
 message take(payloadUnion& held) {
     return std::move(*static_cast<Message*>(held.value));
@@ -20,14 +21,14 @@
 
 using taker = message (*)(payloadUnion&);
 
-/// In the order of the union in messages.fbs, after NONE.
+/// One function for each alternative of `message`. Index 0 belongs to the union's first member after NONE.
 constexpr std::array<taker, std::variant_size_v<message>> takers =
     []<std::size_t... Index>(std::index_sequence<Index...>) {
         return std::array<taker, sizeof...(Index)>{&take<std::variant_alternative_t<Index, message>>...};
     }(std::make_index_sequence<std::variant_size_v<message>>{});
 
 static_assert(static_cast<std::size_t>(payload::MAX) == std::variant_size_v<message>,
-              "the variant lists the union's messages in the union's order");
+              "wire::message must list the members of the union in messages.fbs in the same order");
 
 void write_length(std::span<std::byte> header, std::size_t length) {
     for (std::size_t index = 0; index < frame_header_size; ++index) {
@@ -44,15 +45,15 @@
         [&builder](const auto& held) {
             using held_type = std::decay_t<decltype(held)>;
             using table = typename held_type::TableType;
-            // A copy: the generated constant has no definition that a reference could bind to.
+            // Copied, because the generated constant has no definition that a reference could bind to.
             const auto type = payloadTraits<table>::enum_value;
             return std::pair(type, table::Pack(builder, &held).Union());
         },
         content);
     builder.Finish(Createframe(builder, revision, type, offset));
     if (builder.GetSize() > frame_size_limit) {
-        throw frame_error("message of " + std::to_string(builder.GetSize()) +
-                          " bytes is over the frame limit");
+        throw frame_error("the message of " + std::to_string(builder.GetSize()) +
+                          " bytes is larger than the frame limit");
     }
     std::vector<std::byte> bytes(frame_header_size + builder.GetSize());
     write_length(bytes, builder.GetSize());
@@ -77,12 +78,12 @@
     const auto* data = reinterpret_cast<const std::uint8_t*>(bytes.data());
     flatbuffers::Verifier verifier(data, bytes.size());
     if (!VerifyframeBuffer(verifier)) {
-        throw frame_error("frame fails verification");
+        throw frame_error("the frame is not a valid FlatBuffers message");
     }
     const auto* received = Getframe(data);
     const auto type = received->payload_type();
     if (type == payload::NONE || type > payload::MAX || received->payload() == nullptr) {
-        throw frame_error("frame without a known message");
+        throw frame_error("the frame contains no message or one of an unknown type");
     }
     payloadUnion held;
     held.type = type;
--- a/src/wire/peer_connection.cpp
+++ b/src/wire/peer_connection.cpp
@@ -1,4 +1,4 @@
-// Reading, writing and watching one connection between two of our processes.
+// Reads and writes the frames of a peer_connection and closes it when the peer stops responding.
 #include "wire/peer_connection.hpp"
 
 #include <boost/asio/bind_executor.hpp>
@@ -19,7 +19,7 @@
 
 namespace {
 
-/// Bytes of a frame's buffer that a connection keeps for the next frame.
+/// Largest receive buffer, in bytes, that a connection keeps for the next frame.
 constexpr std::size_t kept_body_capacity = 64U * 1024;
 
 } // namespace
@@ -56,8 +56,9 @@
 void peer_connection::set_socket_options() {
     boost::system::error_code ignored;
     m_socket.set_option(asio::ip::tcp::no_delay(true), ignored);
-    // A peer that is only sent to, as an entry by a streaming sidecar, is not asked for heartbeats. Should
-    // the path to it be lost, the kernel sees that nothing is acknowledged any more and ends the connection.
+    // A process that only sends to its peer, such as a sidecar that streams an answer to an entry, requests
+    // no heartbeats. If the network path is lost, the kernel notices that the sent bytes aren't acknowledged
+    // and ends the connection.
     const auto limit = static_cast<int>(m_heartbeat.silence_limit.count());
     ::setsockopt(m_socket.native_handle(), IPPROTO_TCP, TCP_USER_TIMEOUT, &limit, sizeof(limit));
 }
@@ -111,7 +112,8 @@
                       asio::bind_executor(m_strand, std::move(done)));
 }
 
-/// Fills the buffer, then takes the next step, which throws frame_error for what no peer would send.
+/// Reads until `target` is full and then calls `next_step`. A frame_error thrown by `next_step` closes the
+/// connection.
 void peer_connection::read_into(asio::mutable_buffer target, void (peer_connection::*next_step)()) {
     auto done = [self = shared_from_this(), next_step](const boost::system::error_code& error, std::size_t) {
         if (self->m_finished) {
@@ -142,7 +144,7 @@
 void peer_connection::take_body() {
     handle(decode(m_body));
     if (m_body.capacity() > kept_body_capacity) {
-        m_body = {}; // one large frame must not hold its memory for as long as the connection lives
+        m_body = {}; // otherwise one large frame would occupy its memory until the connection closes
     }
     if (!m_finished) {
         read_header();
@@ -168,7 +170,7 @@
     if (m_finished) {
         return;
     }
-    // Heartbeats are passed on too: they carry the peer's revision.
+    // Heartbeats are passed on as well, because their envelope contains the peer's configuration revision.
     m_calls.received(std::move(received));
 }
 
@@ -219,19 +221,21 @@
         }
         return;
     }
-    // The peer had its chance to answer: silence counts from a period before the heartbeat on, which for a
-    // connection with work is when something was received last.
+    // The timeout starts one period before the first unanswered heartbeat, so an idle connection isn't closed
+    // before its peer could reply. On a connection with work, that is about when a message was last received.
     if (m_asked &&
         now - std::max(m_last_received, *m_asked - m_heartbeat.period) > m_heartbeat.silence_limit) {
         finish("silent");
         return;
     }
-    // Who waits for answers must hear something; what it sends itself proves nothing. Who only sends leaves
-    // a lost path to the kernel (set_socket_options).
+    // A side that waits for answers needs to receive messages: successful writes don't show that the peer
+    // responds. A side that only sends counts its writes as activity and leaves a lost network path to the
+    // kernel, see set_socket_options().
     const auto last_sign = m_calls.has_work ? m_last_received : std::max(m_last_received, m_last_written);
     const auto quiet_limit =
         has_work(now) ? m_heartbeat.period : m_heartbeat.idle_periods * m_heartbeat.period;
-    // A period is measured from the end of the last one and so never quite reached.
+    // Half a period is subtracted because the timer's ticks vary by a little: an age of exactly one period
+    // could otherwise be missed until the next tick.
     if (m_asked || now - last_sign > quiet_limit - m_heartbeat.period / 2) {
         m_asked = m_asked.value_or(now);
         send_heartbeat(false);
@@ -249,8 +253,8 @@
     m_socket.close(ignored);
     m_outgoing.clear();
     m_calls.closed(reason);
-    // Dropped later: one of the callbacks may be running now, with the close called from inside it, and its
-    // captures must outlive it.
+    // The callbacks are released in a later step: finish() may have been called from one of them, and its
+    // captures must stay valid until it returns.
     asio::post(m_strand, [self = shared_from_this()] { self->m_calls = {}; });
 }
 
--- a/src/wire/peer_connection.hpp
+++ b/src/wire/peer_connection.hpp
@@ -1,5 +1,5 @@
-// One TCP connection between two of our processes: frames out in order, frames in to one receiver, a
-// handshake first and heartbeats while it lives.
+// A TCP connection between two borageford processes. It starts with a handshake, exchanges messages in order
+// and uses heartbeats to detect a peer that no longer responds.
 #pragma once
 
 #include "base/timer_service.hpp"
@@ -19,46 +19,56 @@
 
 namespace borageford::wire {
 
-/// When a connection counts as silent. Heartbeats are sent only where nothing has come for a while: with
-/// hundreds of peers a process would otherwise send little else (docs/CAPACITY.md).
+/// When heartbeats are sent and when an unresponsive connection is closed. A heartbeat is sent only after a
+/// time without messages: with hundreds of peers a process would otherwise send little else
+/// (docs/CAPACITY.md).
 struct heartbeat_settings {
-    /// A connection with work that was quiet for this long is sent a heartbeat, and one without work when it
-    /// was quiet for `idle_periods` of it.
+    /// Time without messages after which a heartbeat is sent on a connection that has work; see
+    /// peer_connection::callbacks::has_work.
     std::chrono::milliseconds period{1000};
-    /// Nothing received for this long, heartbeats notwithstanding: the connection is abandoned, since
-    /// something between the two ends may have lost track of it while new ones work.
+    /// The connection is closed when nothing is received for this long although a heartbeat was sent. A
+    /// device between the two ends may have dropped the state of this connection while new connections work.
     std::chrono::milliseconds silence_limit{3000};
+    /// The connection is closed when the peer's hello doesn't arrive within this time.
     std::chrono::milliseconds handshake_limit{2000};
+    /// Number of periods without messages after which a heartbeat is sent on a connection without work.
     unsigned idle_periods = 30;
-    unsigned work_periods =
-        10; ///< a connection of which nobody can say more has work for so long after a message
+    /// Without a `has_work` callback, a connection has work for this number of periods after the last message
+    /// in either direction.
+    unsigned work_periods = 10;
 };
 
-/// Invariants: `m_outgoing` and the callbacks are touched only on the strand; after `closed` was called
-/// nothing more is delivered; at most `outgoing_limit` bytes wait to be sent.
+/// A connection to a peer process; create it with std::make_shared.
+///
+/// Invariants: `m_outgoing` and the callbacks are used only on the strand; no message is delivered after
+/// `closed` was called; at most `outgoing_limit` bytes wait to be sent.
 class peer_connection : public std::enable_shared_from_this<peer_connection> {
 public:
-    /// A peer that doesn't read isn't given more than this; its connection is closed instead.
+    /// Largest number of bytes queued for a peer. The connection is closed when a slow or stuck peer would
+    /// need more.
     static constexpr std::size_t outgoing_limit = 64U * 1024 * 1024;
 
     struct callbacks {
-        /// The peer's hello has come and fits; called once, before any message.
+        /// Called once, before any message, when the peer's hello has arrived and has the right protocol
+        /// version.
         std::function<void(const hello_message&)> opened;
-        /// A message other than hello and heartbeat.
+        /// Called for each message but the hello; also for heartbeats, whose envelope has the peer's
+        /// revision.
         std::function<void(envelope)> received;
-        /// The connection has ended; called once, last. The reason is for logs.
+        /// Called once when the connection has ended. `reason` is meant for logs.
         std::function<void(const std::string& reason)> closed;
-        /// Whether somebody waits for what comes on this connection. Empty: for as long as messages came or
-        /// went within `work_periods`.
+        /// Returns whether this process waits for messages from the peer. If empty, the connection has work
+        /// while messages other than heartbeats were sent or received in the last
+        /// `heartbeat_settings::work_periods`.
         std::function<bool()> has_work;
-        /// The load to send with each heartbeat; may be empty.
+        /// Returns the load report to send with each heartbeat; may be empty.
         std::function<std::unique_ptr<load_report_message>()> current_load;
-        /// A heartbeat's load has come; may be empty.
+        /// Called with the load report of each heartbeat that contains one; may be empty.
         std::function<void(const load_report_message&)> load_received;
     };
 
-    /// `revision` gives the sender's configuration revision for every frame.
-    /// All callbacks run on `strand`, which the owner may share among its connections.
+    /// `revision` returns the configuration revision of this process, which is sent with every frame; send()
+    /// calls it on the caller's thread. All callbacks run on `strand`, which several connections may share.
     peer_connection(boost::asio::ip::tcp::socket socket,
                     boost::asio::strand<boost::asio::any_io_executor> strand, timer_service& timers,
                     heartbeat_settings heartbeat, hello_message own_hello,
@@ -69,13 +79,15 @@
     peer_connection& operator=(peer_connection&&) = delete;
     ~peer_connection() = default;
 
-    /// Sends the hello and starts reading and heartbeats.
+    /// Sends the hello and starts to read messages and to check for an unresponsive peer.
     void start();
 
-    /// Queues a message; messages arrive in the order of the calls. From any thread.
+    /// Queues a message; messages are delivered in the order of the calls. Safe to call from any thread.
+    /// Throws frame_error when the message is larger than a frame may be.
     void send(message content);
 
-    /// Ends the connection after what is queued has been written (or at once when `discard`).
+    /// Closes the connection and discards the messages that haven't been written yet. `reason` is passed to
+    /// the `closed` callback. Safe to call from any thread.
     void close(const std::string& reason);
 
 private:
@@ -116,8 +128,10 @@
     std::vector<std::byte> m_body;
     std::chrono::steady_clock::time_point m_last_received;
     std::chrono::steady_clock::time_point m_last_written;
-    std::chrono::steady_clock::time_point m_last_message; ///< either way, heartbeats left out
-    /// The first heartbeat since something was received; nothing while none is unanswered.
+    std::chrono::steady_clock::time_point
+        m_last_message; ///< last message sent or received, except heartbeats
+    /// When the first heartbeat was sent that hasn't been followed by a received message; std::nullopt when
+    /// there is none.
     std::optional<std::chrono::steady_clock::time_point> m_asked;
     timer_subscription m_heartbeat_timer;
 };
