--- a/src/wire/peer_connection.cpp
+++ b/src/wire/peer_connection.cpp
@@ -234,8 +234,8 @@
     const auto last_sign = m_calls.has_work ? m_last_received : std::max(m_last_received, m_last_written);
     const auto quiet_limit =
         has_work(now) ? m_heartbeat.period : m_heartbeat.idle_periods * m_heartbeat.period;
-    // Half a period is subtracted because the timer's ticks vary by a little: an age of exactly one period
-    // could otherwise be missed until the next tick.
+    // Half a period is subtracted because this function runs once per period: a reply that arrived just after
+    // the previous call is slightly less than a full period old now.
     if (m_asked || now - last_sign > quiet_limit - m_heartbeat.period / 2) {
         m_asked = m_asked.value_or(now);
         send_heartbeat(false);
--- a/src/wire/peer_connection.hpp
+++ b/src/wire/peer_connection.hpp
@@ -128,8 +128,7 @@
     std::vector<std::byte> m_body;
     std::chrono::steady_clock::time_point m_last_received;
     std::chrono::steady_clock::time_point m_last_written;
-    std::chrono::steady_clock::time_point
-        m_last_message; ///< last message sent or received, except heartbeats
+    std::chrono::steady_clock::time_point m_last_message; ///< last message but heartbeats, sent or received
     /// When the first heartbeat was sent that hasn't been followed by a received message; std::nullopt when
     /// there is none.
     std::optional<std::chrono::steady_clock::time_point> m_asked;
