--- a/src/http/client.cpp
+++ b/src/http/client.cpp
@@ -1,4 +1,4 @@
-// The client over Beast.
+// Implements the HTTP client with Boost.Beast.
 #include "http/client.hpp"
 
 #include "net/tcp_options.hpp"
@@ -19,7 +19,9 @@
 
 namespace {
 
+/// Largest number of body bytes returned by one call of read_some().
 constexpr std::size_t piece_size = 16U * 1024;
+/// Largest accepted response head in bytes.
 constexpr std::uint32_t head_limit = 64U * 1024;
 
 beast::http::request<beast::http::string_body> to_library(const endpoint& server, const request& call) {
--- a/src/http/client.hpp
+++ b/src/http/client.hpp
@@ -1,4 +1,5 @@
-// An HTTP/1.1 client for one exchange at a time, read whole or piece by piece.
+// An HTTP/1.1 client. Each exchange uses a connection of its own; the response is read completely or in
+// pieces.
 #pragma once
 
 #include "http/message.hpp"
@@ -16,20 +17,22 @@
 
 using endpoint = boost::asio::ip::tcp::endpoint;
 
-/// Where an exchange failed, which decides whether the server can have acted on the request.
+/// The stage at which an exchange failed. It determines whether the server can have acted on the request.
 enum class exchange_stage : std::uint8_t {
     connecting, ///< nothing was sent
-    sending,    ///< some of the request may have arrived
-    waiting,    ///< all was sent, no head came
-    reading,    ///< the answer was cut in the middle
+    sending,    ///< a part of the request may have arrived
+    waiting,    ///< the request was sent, but no response head was received
+    reading,    ///< the response body was truncated
 };
 
-/// A connection refused, cut, silent past its limit, or an answer that isn't HTTP.
+/// Thrown when the connection was refused or broke, when a step exceeded its time limit, or when the response
+/// isn't valid HTTP or its body is larger than allowed.
 class exchange_error : public std::runtime_error {
 public:
     exchange_error(exchange_stage stage, bool timed_out, const std::string& text)
         : std::runtime_error(text), m_stage(stage), m_timed_out(timed_out) {}
     [[nodiscard]] exchange_stage stage() const noexcept { return m_stage; }
+    /// Whether a step exceeded its limit in exchange_limits.
     [[nodiscard]] bool has_timed_out() const noexcept { return m_timed_out; }
 
 private:
@@ -37,17 +40,20 @@
     bool m_timed_out;
 };
 
-/// Times within which each step must make progress.
+/// Time limits for the steps of an exchange, and the largest body.
 struct exchange_limits {
+    /// Longest time to connect.
     std::chrono::milliseconds connect{2000};
-    /// From the request's last byte to the answer's head.
+    /// Longest time from the start of sending the request to the end of the response head.
     std::chrono::milliseconds head{30000};
-    /// Between two pieces of the body.
+    /// Longest time between two pieces of the response body.
     std::chrono::milliseconds idle{30000};
+    /// Largest response body in bytes.
     std::size_t body_limit = 64U * 1024 * 1024;
 };
 
-/// One exchange whose answer is read as it comes. Not for use from two coroutines at once.
+/// One request and its response, which is read in pieces as it arrives. Must not be used by two coroutines at
+/// the same time.
 class client_exchange {
 public:
     client_exchange(const boost::asio::any_io_executor& executor, exchange_limits limits);
@@ -57,14 +63,15 @@
     client_exchange(client_exchange&&) = delete;
     client_exchange& operator=(client_exchange&&) = delete;
 
-    /// Connects, sends the request and reads the head of the answer. Throws exchange_error.
+    /// Connects, sends the request and reads the head of the response. Throws exchange_error.
     boost::asio::awaitable<response_head> send(const endpoint& server, const request& call);
 
-    /// The next piece of the body; empty only at the body's true end. Throws exchange_error when the body
-    /// is cut short of its length or its last chunk.
+    /// Returns the next piece of the response body, or an empty string at the end of the body. Throws
+    /// exchange_error when the connection ends before the full length or the last chunk was received.
     boost::asio::awaitable<std::string> read_some();
 
-    /// Ends the exchange at once; a read that waits throws. On the exchange's own executor only.
+    /// Closes the connection; a pending call throws exchange_error. Must be called on the exchange's
+    /// executor.
     void cancel() noexcept;
 
 private:
@@ -72,13 +79,16 @@
     std::unique_ptr<state> m_state;
 };
 
-/// A whole exchange. Throws exchange_error. The executor is a value: a reference to a converted temporary
-/// would be gone when the coroutine first runs. `server` and `call` must outlive it.
+/// Sends a request and returns the complete response. Throws exchange_error. `server` and `call` must exist
+/// until the coroutine ends. The executor is passed by value, because a reference could bind to a converted
+/// temporary that is destroyed before the coroutine first runs.
 boost::asio::awaitable<response> fetch(boost::asio::any_io_executor executor, const endpoint& server,
                                        const request& call, exchange_limits limits);
 
-/// Reads "address:port", an IP number and a port. Throws std::invalid_argument.
+/// Parses an IP address and a port, such as "127.0.0.1:8080" or "[::1]:8080". Host names aren't resolved.
+/// Throws std::invalid_argument.
 [[nodiscard]] endpoint parse_endpoint(const std::string& text);
+/// Formats an address in the form that parse_endpoint() reads.
 [[nodiscard]] std::string to_string(const endpoint& address);
 
 } // namespace borageford::http
--- a/src/http/event_splitter.cpp
+++ b/src/http/event_splitter.cpp
@@ -1,4 +1,4 @@
-// An event ends with an empty line.
+// Implements event_splitter. An event in a stream ends with an empty line.
 #include "http/event_splitter.hpp"
 
 #include <algorithm>
@@ -8,7 +8,8 @@
 
 constexpr std::string_view id_field = "id:";
 
-/// The end of the first event in the bytes, its empty line included; npos when it hasn't come.
+/// The position behind the empty line that ends the first event after `from`; npos when there is no complete
+/// event.
 std::size_t find_end(std::string_view bytes, std::size_t from) {
     for (auto line_end = bytes.find('\n', from); line_end != std::string_view::npos;
          line_end = bytes.find('\n', line_end + 1)) {
--- a/src/http/event_splitter.hpp
+++ b/src/http/event_splitter.hpp
@@ -1,4 +1,4 @@
-// Cuts a stream of server-sent events into whole events, so that no part of one is ever passed on.
+// Splits a stream of server-sent events into complete events, so that no partial event is forwarded.
 #pragma once
 
 #include <cstddef>
@@ -9,25 +9,28 @@
 
 namespace borageford::http {
 
+/// Collects the bytes of one stream and returns the events that are complete.
 class event_splitter {
 public:
-    /// Takes bytes; returns all whole events that are there, valid until the next call.
+    /// Appends bytes and returns all events that are complete now and weren't returned before. The result is
+    /// valid until the next call.
     [[nodiscard]] std::string_view add(std::string_view bytes);
 
-    /// Bytes of an event whose end hasn't come.
+    /// Whether the stream so far ends with an incomplete event.
     [[nodiscard]] bool has_part() const noexcept { return m_passed < m_bytes.size(); }
 
-    /// The id of the last whole event; nothing before the first that has one.
+    /// The last event id in the complete events; std::nullopt when none of them had an id.
     [[nodiscard]] const std::optional<std::string>& last_id() const noexcept { return m_last_id; }
-    /// The id of the first event that was seen.
+    /// The first event id in the complete events; std::nullopt when none of them had an id.
     [[nodiscard]] const std::optional<std::string>& first_id() const noexcept { return m_first_id; }
+    /// Number of complete events.
     [[nodiscard]] std::uint64_t count() const noexcept { return m_count; }
 
 private:
     void take_event(std::string_view event);
 
     std::string m_bytes;
-    std::size_t m_passed = 0; ///< of m_bytes, given out by the last call
+    std::size_t m_passed = 0; ///< number of bytes at the front of m_bytes that the last add() returned
     std::optional<std::string> m_first_id;
     std::optional<std::string> m_last_id;
     std::uint64_t m_count = 0;
--- a/src/http/field_list.cpp
+++ b/src/http/field_list.cpp
@@ -1,4 +1,5 @@
-// Lookups compare sizes first: a head has some ten fields, so a table would cost more than it saves.
+// Implements field_list. Lookups search the fields in order, comparing the lengths of names first: a message
+// has about ten fields, so a hash table would cost more than it saves.
 #include "http/field_list.hpp"
 
 #include <algorithm>
--- a/src/http/field_list.hpp
+++ b/src/http/field_list.hpp
@@ -1,4 +1,5 @@
-// The header fields of one message as they came: one text, and the place of each name and value in it.
+// The header fields of one HTTP message in the order of arrival. All names and values are stored in one
+// string, with their positions beside it, to avoid an allocation for each field.
 #pragma once
 
 #include <cstddef>
@@ -10,9 +11,10 @@
 
 namespace borageford::http {
 
-/// Compares two names without case, as header fields are compared.
+/// Compares two header field names, ignoring the case of ASCII letters.
 [[nodiscard]] bool is_same_name(std::string_view left, std::string_view right) noexcept;
 
+/// A list of header fields. Views into it are valid until the list is modified.
 class field_list {
 public:
     struct field {
@@ -24,10 +26,12 @@
     void clear() noexcept;
 
     [[nodiscard]] std::size_t size() const noexcept { return m_places.size(); }
+    /// The field at the index. Throws std::out_of_range.
     [[nodiscard]] field at(std::size_t index) const;
 
-    /// The value of the first field of this name; nothing when there is none.
+    /// The value of the first field with this name, ignoring case; std::nullopt when there is none.
     [[nodiscard]] std::optional<std::string_view> find(std::string_view name) const;
+    /// Number of fields with this name, ignoring case.
     [[nodiscard]] std::size_t count(std::string_view name) const;
 
 private:
@@ -37,7 +41,7 @@
         std::uint32_t value_size;
     };
 
-    std::string m_text; ///< names and values, one after the other
+    std::string m_text; ///< the concatenated names and values of all fields
     std::vector<place> m_places;
 };
 
--- a/src/http/message.cpp
+++ b/src/http/message.cpp
@@ -1,4 +1,4 @@
-// Looking things up in HTTP messages.
+// Look-ups in headers and request targets, and helpers that build responses.
 #include "http/message.hpp"
 
 #include <boost/beast/core/string.hpp>
--- a/src/http/message.hpp
+++ b/src/http/message.hpp
@@ -1,4 +1,4 @@
-// HTTP requests and responses as plain values, so that no other part sees the library behind them.
+// HTTP requests and responses as plain structs, so that other code doesn't depend on the HTTP library.
 #pragma once
 
 #include <chrono>
@@ -17,7 +17,7 @@
 
 using header_fields = std::vector<header_field>;
 
-/// The first field of this name, compared without case; nothing when there is none.
+/// The value of the first header field with this name, ignoring case; std::nullopt when there is none.
 [[nodiscard]] std::optional<std::string_view> find_header(const header_fields& headers,
                                                           std::string_view name);
 
@@ -38,16 +38,17 @@
     std::string body;
 };
 
-/// A response with a body of this type.
+/// Returns a response with this status, body and Content-Type.
 [[nodiscard]] response make_response(unsigned status, std::string_view content_type, std::string body);
 
-/// A duration as Retry-After has it, in seconds with a fraction.
+/// Formats a duration in seconds with three decimals, such as "1.250", for the Retry-After header.
 [[nodiscard]] std::string to_seconds_text(std::chrono::milliseconds span);
 
-/// The part of a target before "?".
+/// The path of a request target: the text before "?".
 [[nodiscard]] std::string_view path_of(std::string_view target);
 
-/// The decoded value of a query parameter; nothing when it is absent.
+/// The percent-decoded value of the first query parameter with this name; std::nullopt when there is none or
+/// when the target is malformed.
 [[nodiscard]] std::optional<std::string> query_value(std::string_view target, std::string_view name);
 
 } // namespace borageford::http
--- a/src/http/request_reader.cpp
+++ b/src/http/request_reader.cpp
@@ -1,4 +1,5 @@
-// Beast's parser does the grammar; what it tolerates and a proxy must not is refused here.
+// Parses requests with Boost.Beast's parser and refuses ambiguous input that Beast accepts but a proxy must
+// not.
 #include "http/request_reader.hpp"
 
 #include "base/request_error.hpp"
@@ -33,7 +34,7 @@
     void on_response_impl(int, string_view, int, error_code&) override {}
     void on_field_impl(beast::http::field name, string_view name_text, string_view value,
                        error_code&) override {
-        // Any other coding leaves the body's length to guesswork.
+        // With any other transfer coding the length of the body would be unknown.
         if (name == beast::http::field::transfer_encoding &&
             !is_same_name({value.data(), value.size()}, "chunked")) {
             m_has_refused_coding = true;
@@ -59,7 +60,8 @@
     bool m_has_refused_coding = false;
 };
 
-/// A line that ends in LF alone, a CR inside a line, a folded line or a zero byte: servers differ on each.
+/// Whether the head contains a line that ends in LF without CR, a CR inside a line, a folded line or a null
+/// byte. HTTP servers interpret each of these differently.
 bool has_ambiguous_line(std::string_view head) {
     for (std::size_t index = 0; index < head.size(); ++index) {
         const char c = head[index];
--- a/src/http/request_reader.hpp
+++ b/src/http/request_reader.hpp
@@ -1,5 +1,5 @@
-// Reads one HTTP/1.1 request from bytes as they arrive, strictly: what two parsers could read in two ways is
-// refused, so that nothing can be hidden inside another request.
+// An incremental parser for one HTTP/1.1 request. It refuses input that two parsers could interpret
+// differently, so that a request can't be smuggled inside another one.
 #pragma once
 
 #include "http/field_list.hpp"
@@ -11,20 +11,22 @@
 
 namespace borageford::http {
 
+/// Largest accepted sizes of a request's head and body in bytes.
 struct request_limits {
     std::size_t header_bytes = 16U * 1024;
     std::size_t body_bytes = 4U * 1024 * 1024;
 };
 
-/// A request as it came, its body without transfer coding.
+/// A request as it was received; the chunked coding is removed from its body.
 struct received_request {
     std::string method;
     std::string target;
     field_list fields;
     std::string body;
-    bool keeps_connection = true;
+    bool keeps_connection = true; ///< whether the client wants to send further requests on the connection
 };
 
+/// Reads one request; create a new reader for the next one.
 class request_reader {
 public:
     explicit request_reader(request_limits limits);
@@ -34,17 +36,20 @@
     request_reader(request_reader&&) noexcept;
     request_reader& operator=(request_reader&&) noexcept;
 
-    /// Reads from the front of the bytes; returns how many were used. Throws request_error with bad_request,
-    /// headers_too_large or body_too_large; the reader is of no more use then.
+    /// Parses bytes from the front of `bytes` and returns how many it consumed. The caller passes the bytes
+    /// that weren't consumed again, together with newly received ones. Throws request_error with bad_request,
+    /// headers_too_large or body_too_large; the reader must not be used after that.
     std::size_t read(std::string_view bytes);
 
     [[nodiscard]] bool has_head() const noexcept;
     [[nodiscard]] bool is_complete() const noexcept;
-    /// True when the client waits for "100 Continue" before it sends the body.
+    /// Whether the client waits for "100 Continue" before it sends the body.
     [[nodiscard]] bool expects_continue() const noexcept;
-    /// Bytes of the body still to come, as far as its length was told; for the size of the next read.
+    /// Number of body bytes that haven't been received yet; 0 when the request states no length or its head
+    /// isn't complete. Used to choose the size of the next read.
     [[nodiscard]] std::size_t missing_bytes() const noexcept;
 
+    /// The request; its head is valid once has_head(), its body once is_complete().
     [[nodiscard]] received_request& message() noexcept;
 
 private:
--- a/src/http/response_reader.cpp
+++ b/src/http/response_reader.cpp
@@ -1,4 +1,4 @@
-// Beast's parser does the work.
+// Implements response_reader with Boost.Beast's parser.
 #include "http/response_reader.hpp"
 
 #include <boost/beast/http/basic_parser.hpp>
@@ -12,7 +12,8 @@
 
 namespace {
 
-/// Far over what servers send; a head without end must not fill the memory.
+/// Largest accepted response head in bytes. It is far larger than usual heads and keeps an endless head from
+/// exhausting the memory.
 constexpr std::uint32_t head_limit = 64U * 1024;
 
 class library_parser : public beast::http::basic_parser<false> {
@@ -20,7 +21,7 @@
     unsigned status_code = 0;
     std::string reason_text;
     field_list fields;
-    std::string* body = nullptr; ///< where put() appends
+    std::string* body = nullptr; ///< the string to which body bytes are appended; set before put() is called
 
 private:
     using string_view = beast::string_view;
--- a/src/http/response_reader.hpp
+++ b/src/http/response_reader.hpp
@@ -1,4 +1,4 @@
-// Reads one HTTP/1.1 response from bytes as they arrive, and hands its body on without transfer coding.
+// An incremental parser for one HTTP/1.1 response. It removes the chunked coding from the body.
 #pragma once
 
 #include "http/field_list.hpp"
@@ -13,15 +13,17 @@
 
 namespace borageford::http {
 
-/// Bytes that are no response, or a response that ended before its time.
+/// Thrown for bytes that aren't an HTTP response and for a truncated response.
 class response_error : public std::runtime_error {
 public:
     using std::runtime_error::runtime_error;
 };
 
+/// Reads one response; create a new reader for the next one.
 class response_reader {
 public:
-    enum class body_rule { expected, none /**< the answer to a HEAD request */ };
+    /// Whether the response has a body; `none` is for the response to a HEAD request.
+    enum class body_rule { expected, none };
 
     explicit response_reader(body_rule rule);
     ~response_reader();
@@ -30,18 +32,21 @@
     response_reader(response_reader&&) noexcept;
     response_reader& operator=(response_reader&&) noexcept;
 
-    /// Reads from the front of the bytes and appends what belongs to the body; returns how many bytes were
-    /// used. Throws response_error.
+    /// Parses bytes from the front of `bytes`, appends the body bytes among them to `body` and returns how
+    /// many bytes it consumed. Throws response_error.
     std::size_t read(std::string_view bytes, std::string& body);
 
-    /// The server has ended its bytes in order. Throws response_error when the response isn't complete by it.
+    /// Tells the reader that the server has closed its sending side in order. Throws response_error when the
+    /// response is incomplete.
     void read_end();
 
     [[nodiscard]] bool has_head() const noexcept;
     [[nodiscard]] bool is_complete() const noexcept;
-    /// The body has no length of its own and ends with the connection.
+    /// Whether the body has neither a length nor chunks and ends when the server closes the connection.
     [[nodiscard]] bool ends_with_connection() const noexcept;
+    /// Whether the server accepts further requests on the connection.
     [[nodiscard]] bool keeps_connection() const noexcept;
+    /// The body's length in bytes from the head; std::nullopt when the head doesn't state it.
     [[nodiscard]] std::optional<std::size_t> content_length() const noexcept;
 
     [[nodiscard]] unsigned status() const noexcept;
@@ -53,7 +58,8 @@
     std::unique_ptr<state> m_state;
 };
 
-/// How long the server keeps an idle connection, from a Keep-Alive field; nothing when it doesn't tell.
+/// How long the server keeps an idle connection open according to its Keep-Alive header; std::nullopt when it
+/// doesn't state this.
 [[nodiscard]] std::optional<std::chrono::seconds> idle_time(const field_list& fields);
 
 } // namespace borageford::http
--- a/src/http/server.cpp
+++ b/src/http/server.cpp
@@ -1,4 +1,5 @@
-// The server over Beast: one coroutine, on a strand of its own, for each connection.
+// Implements the HTTP server with Boost.Beast. Each connection has a coroutine that runs on a strand of its
+// own.
 #include "http/server.hpp"
 
 #include "base/log.hpp"
@@ -34,7 +35,7 @@
     bool begun = false;
     bool chunked = false;
     bool ended = false;
-    bool is_over = false; ///< the request is done with, and `stream` may be gone
+    bool is_over = false; ///< the request has ended; `stream` may have been destroyed
 };
 
 namespace {
@@ -42,6 +43,7 @@
 using stream_pointer = std::shared_ptr<beast::tcp_stream>;
 
 constexpr std::size_t read_size = 4096;
+/// How many bytes, and for how long, the server reads from a caller after it has refused its request.
 constexpr std::size_t linger_bytes = 16U * 1024 * 1024;
 constexpr std::chrono::seconds linger_time{2};
 constexpr std::string_view continue_line = "HTTP/1.1 100 Continue\r\n\r\n";
@@ -65,8 +67,8 @@
     return call;
 }
 
-/// The time that a request has to arrive. Used on its connection's strand; the stream outlives it until
-/// `is_over`.
+/// The timer that limits how long a request may take to arrive. Used on the connection's strand only. The
+/// stream must exist until `is_over` is set.
 struct request_limit {
     explicit request_limit(const asio::any_io_executor& executor) : timer(executor) {}
 
@@ -80,7 +82,8 @@
     bool has_passed = false;
 };
 
-/// What reading a request's bytes ran into, as a kind to answer; nothing when the caller just went away.
+/// The error kind for a request that couldn't be read; std::nullopt when the caller has closed the
+/// connection.
 std::optional<error_kind> refusal_for(const beast::error_code& error) {
     if (error == beast::http::error::header_limit) {
         return error_kind::headers_too_large;
@@ -127,7 +130,7 @@
 
 asio::awaitable<void> response_writer::write_piece(std::string_view piece) {
     if (piece.empty()) {
-        co_return; // an empty chunk would mark the end
+        co_return; // an empty chunk would mark the end of the response
     }
     m_state->stream.expires_after(m_state->write_time);
     co_await asio::async_write(m_state->stream, beast::http::make_chunk(asio::buffer(piece)),
@@ -167,13 +170,14 @@
     while (!shared->ended && !shared->is_over) {
         beast::error_code error;
         co_await socket.async_wait(tcp::socket::wait_read, asio::redirect_error(asio::use_awaitable, error));
-        // Bytes that come after the answer wake this wait when the connection may be gone: it is touched only
-        // while the request lasts.
+        // Bytes that arrive after the response also end the wait, when the connection may have been
+        // destroyed. The connection is therefore used only while the request is in progress.
         if (error || shared->ended || shared->is_over) {
             co_return;
         }
-        // The wait can end although nothing has come (readiness left over from the request's own bytes). A
-        // read that blocks then would hold this thread, and every request on it, until the caller leaves.
+        // The wait can end although no bytes have arrived, when the socket was still marked as readable
+        // because of the request's own bytes. A blocking read would then stop this thread, and all requests
+        // on it, until the caller disconnects.
         socket.non_blocking(true, error);
         char next = 0;
         socket.receive(asio::buffer(&next, 1), tcp::socket::message_peek, error);
@@ -183,7 +187,8 @@
         if (error) {
             co_return;
         }
-        // Bytes of a next request: they are read after this answer. Until then the caller counts as there.
+        // These are bytes of the next request, which is read after this response. Until then the caller
+        // counts as connected, so the check is repeated after a pause.
         asio::steady_timer pause(socket.get_executor(), std::chrono::milliseconds(250));
         co_await pause.async_wait(asio::redirect_error(asio::use_awaitable, error));
     }
@@ -221,8 +226,8 @@
     std::atomic<std::size_t> connections = 0;
     std::atomic<std::size_t> in_progress = 0;
 
-    /// Connections that wait for a next request; drain() ends them. Guarded by `idle_mutex`.
     std::mutex idle_mutex;
+    /// Connections that wait for a request; drain() closes them. Guarded by `idle_mutex`.
     std::set<stream_pointer> idle;
 };
 
@@ -236,7 +241,8 @@
             if (draining.load() || error == asio::error::operation_aborted) {
                 co_return;
             }
-            // Out of descriptors, most likely: wait for some to be closed instead of spinning.
+            // The process has most likely run out of file descriptors. The pause avoids a busy loop until
+            // some are closed.
             asio::steady_timer pause(acceptor.get_executor(), std::chrono::milliseconds(50));
             co_await pause.async_wait(asio::redirect_error(asio::use_awaitable, error));
             continue;
@@ -261,7 +267,8 @@
             }
         }
     } catch (const std::exception&) {
-        // The caller went away in the middle; whoever worked on its request was told by the writer.
+        // The caller has disconnected during a request. The handler that worked on the request has already
+        // got the exception from response_writer.
     }
     --connections;
 }
@@ -287,7 +294,8 @@
     co_return !error;
 }
 
-/// Ends the reading of a request that takes too long; the connection stays for the refusal.
+/// Starts the timer that cancels the reading of a request after `limits.request_time`. The connection stays
+/// open for the error response.
 std::shared_ptr<request_limit> server::state::start_request_limit(beast::tcp_stream& stream) const {
     auto limit = std::make_shared<request_limit>(stream.get_executor());
     limit->timer.expires_after(limits.request_time);
@@ -304,7 +312,7 @@
     beast::http::request_parser<beast::http::string_body> parser;
     parser.header_limit(static_cast<std::uint32_t>(limits.header_bytes));
     parser.body_limit(limits.body_bytes);
-    // The stream's own timeout would close the socket, and the caller would never be told why.
+    // The stream's own timeout would close the socket, and the caller would get no error response.
     stream.expires_never();
     const auto limit = start_request_limit(stream);
     beast::error_code error;
@@ -341,7 +349,7 @@
     try {
         co_await handle(call, writer);
     } catch (const boost::system::system_error&) {
-        writer.cut(); // the caller is gone
+        writer.cut(); // the caller has disconnected
     } catch (const std::exception& problem) {
         failed = true;
         why = problem.what();
@@ -366,8 +374,9 @@
     co_await linger(stream);
 }
 
-// Closing a socket while the caller still sends resets the connection, and the caller may never see the
-// refusal just written. Reading what it sends, for a bounded time and size, lets the answer arrive.
+// Closing a socket while the caller still sends would reset the connection, and the caller might never
+// receive the error response that was just written. Reading and discarding the caller's bytes, for a limited
+// time and size, lets the response arrive.
 asio::awaitable<void> server::state::linger(beast::tcp_stream& stream) {
     beast::error_code error;
     stream.socket().shutdown(tcp::socket::shutdown_send, error);
--- a/src/http/server.hpp
+++ b/src/http/server.hpp
@@ -1,5 +1,5 @@
-// A bounded HTTP/1.1 server: accepts connections, reads whole requests within limits, hands each to one
-// handler, and writes whole or streamed answers.
+// An HTTP/1.1 server with limits on connections and requests. It reads each request completely, calls one
+// handler and writes complete or streamed responses.
 #pragma once
 
 #include "base/error_kind.hpp"
@@ -17,63 +17,69 @@
 
 namespace borageford::http {
 
-/// Bounds on what one connection may take.
+/// Limits on the size and duration of requests and on the number of connections.
 struct server_limits {
     std::size_t header_bytes = 16U * 1024;
     std::size_t body_bytes = 4U * 1024 * 1024;
-    /// From a request's first byte to its last.
+    /// Longest time from the first byte of a request to its last.
     std::chrono::milliseconds request_time{10000};
-    /// A kept-alive connection without a request.
+    /// How long a connection is kept open without a request.
     std::chrono::milliseconds idle_time{60000};
-    /// One write that makes no progress.
+    /// Longest time for one write.
     std::chrono::milliseconds write_time{30000};
+    /// Largest number of open connections.
     std::size_t connections = 10000;
 };
 
-/// Writes the one answer to a request. Every call throws boost::system::system_error once the caller is
-/// gone.
+/// Writes the response to a request. The coroutines that write throw boost::system::system_error when the
+/// caller has disconnected.
 class response_writer {
 public:
     struct state;
     explicit response_writer(std::shared_ptr<state> shared) noexcept : m_state(std::move(shared)) {}
 
-    /// The whole answer at once.
+    /// Writes a complete response.
     boost::asio::awaitable<void> write(const response& answer);
 
-    /// Starts an answer whose length isn't known; its end is marked by finish() alone, so a part can't be
-    /// taken for the whole.
+    /// Writes the head of a response whose length isn't known and that is sent in chunks. Only finish() marks
+    /// its end, so the caller can detect a truncated response.
     boost::asio::awaitable<void> begin(const response_head& head);
+    /// Writes the next bytes of the body after begin(). An empty piece is ignored.
     boost::asio::awaitable<void> write_piece(std::string_view piece);
+    /// Writes the end marker of a response that was started with begin().
     boost::asio::awaitable<void> finish();
 
-    /// Bytes as they are, for emulators of servers that misbehave; the connection ends with them unless
-    /// `keeps_connection`.
+    /// Writes the bytes unchanged, for emulators of faulty servers. Shuts the connection down afterwards
+    /// unless `keeps_connection` is true.
     boost::asio::awaitable<void> write_raw(std::string bytes, bool keeps_connection);
 
-    /// Ends the connection without the end marker: the caller sees a cut answer.
+    /// Closes the connection without an end marker, so that the caller sees a truncated response.
     void cut() noexcept;
 
-    /// Returns when the caller has closed its connection, or when the answer has been written. Run it
-    /// beside the handler's work, on the same executor.
+    /// Returns when the caller has closed its connection or when the response has been written. Run it
+    /// concurrently with the handler's work, on the same executor.
     boost::asio::awaitable<void> wait_for_disconnect();
 
-    /// True once begin() or write() was called: the status can't change any more.
+    /// True once begin(), write() or write_raw() was called: the status can't change any more.
     [[nodiscard]] bool has_begun() const noexcept;
 
 private:
-    /// Shared, since the wait for a disconnect may end after the request does.
+    /// Shared, because wait_for_disconnect() may return after the request has ended.
     std::shared_ptr<state> m_state;
 };
 
-/// Produces the answer to one request. An exception that leaves it is answered with the kind `internal`,
-/// or cuts the answer when it has begun.
+/// Writes the response to one request. If it throws, the server responds with error_kind::internal, or aborts
+/// the response if its head has already been written.
 using handler = std::function<boost::asio::awaitable<void>(const request&, response_writer&)>;
 
-/// Writes the answer to a request that the server itself refuses (malformed, too large, too slow, too many
-/// connections).
+/// Builds the response to a request that the server itself refuses because it is malformed, too large or too
+/// slow, or because there are too many connections.
 using refusal_formatter = std::function<response(error_kind, std::string_view detail)>;
 
-/// Invariant: no more than `limits.connections` connections are open.
+/// The HTTP server. The destructor calls drain().
+///
+/// Invariant: at most `limits.connections` connections are served. Further ones get an error response and are
+/// closed.
 class server {
 public:
     server(const boost::asio::any_io_executor& executor, server_limits limits, handler handle,
@@ -84,14 +90,16 @@
     server(server&&) = delete;
     server& operator=(server&&) = delete;
 
-    /// Starts to accept. Port 0 lets the kernel choose; returns the address in use.
+    /// Starts to accept connections and returns the address in use. With port 0 the kernel chooses the port.
+    /// Throws boost::system::system_error when the address can't be used.
     boost::asio::ip::tcp::endpoint listen(const boost::asio::ip::tcp::endpoint& address);
 
-    /// Stops accepting and closes idle connections; requests in progress go on to their end.
+    /// Stops accepting connections and closes idle ones. Requests in progress are completed.
     void drain();
 
-    /// Requests being handled.
+    /// Number of requests whose handler is running.
     [[nodiscard]] std::size_t requests_in_progress() const noexcept;
+    /// Number of open connections, including those that are being refused.
     [[nodiscard]] std::size_t open_connections() const noexcept;
 
 private:
