--- a/src/backend/answer_checker.cpp
+++ b/src/backend/answer_checker.cpp
@@ -1,4 +1,4 @@
-// Checking answers event by event.
+// Checks the answers of model engines and reads their token counts.
 #include "backend/answer_checker.hpp"
 
 #include <boost/json.hpp>
@@ -12,10 +12,12 @@
 namespace json = boost::json;
 
 constexpr std::string_view data_field = "data:";
+/// The data of the last event of every complete answer.
 constexpr std::string_view closing_event = "[DONE]";
-/// The other fields that a server-sent event may have, and the comment line.
+/// The line beginnings that server-sent events allow besides `data_field`. ":" begins a comment.
 constexpr std::array<std::string_view, 4> other_fields{"event:", "id:", "retry:", ":"};
 
+/// Throws backend_error with failure::garbled when the text isn't a JSON object.
 json::object parse_object(std::string_view text) {
     boost::system::error_code error;
     auto value = json::parse({text.data(), text.size()}, error);
@@ -25,6 +27,7 @@
     return std::move(value.get_object());
 }
 
+/// Reads a token count; 0 when it is missing, negative or not an integer.
 std::uint32_t read_count(const json::object& from, std::string_view key) {
     const auto* value = from.if_contains({key.data(), key.size()});
     if (value == nullptr || !value->is_int64() || value->get_int64() < 0) {
@@ -33,6 +36,7 @@
     return static_cast<std::uint32_t>(std::min<std::int64_t>(value->get_int64(), UINT32_MAX));
 }
 
+/// Reads the token counts from the object "usage" of an answer or event. Returns false when there is none.
 bool read_usage(const json::object& answer, usage& out) {
     const auto* found = answer.if_contains("usage");
     if (found == nullptr || !found->is_object()) {
@@ -48,6 +52,7 @@
     return true;
 }
 
+/// Whether an event contains generated tokens.
 bool has_choices(const json::object& event) {
     const auto* choices = event.if_contains("choices");
     return choices != nullptr && choices->is_array() && !choices->get_array().empty();
@@ -67,7 +72,7 @@
     }
     m_partial_line.append(piece);
     if (m_partial_line.size() > line_limit) {
-        throw backend_error(failure::garbled, "the backend server sent an endless line");
+        throw backend_error(failure::garbled, "the backend server sent a line longer than the limit");
     }
     return tokens;
 }
@@ -80,7 +85,8 @@
         return false;
     }
     if (m_is_done) {
-        throw backend_error(failure::garbled, "the backend server sent more after the end of its answer");
+        throw backend_error(failure::garbled,
+                            "the backend server sent data after the closing event of its answer");
     }
     if (line.starts_with(data_field)) {
         return take_event(line.substr(data_field.size()));
@@ -89,7 +95,8 @@
         return line.starts_with(field);
     };
     if (std::ranges::none_of(other_fields, is_other)) {
-        throw backend_error(failure::garbled, "the backend server sent text that is not an event");
+        throw backend_error(failure::garbled,
+                            "the backend server sent a line that is not part of a server-sent event");
     }
     return false;
 }
--- a/src/backend/answer_checker.hpp
+++ b/src/backend/answer_checker.hpp
@@ -1,4 +1,4 @@
-// Checks that an engine's answer is what its protocol promises, and reads its token counts.
+// Checks that the answer of a model engine is complete and well-formed, and reads its token counts.
 #pragma once
 
 #include "backend/backend_types.hpp"
@@ -9,22 +9,25 @@
 
 namespace borageford::backend {
 
-/// Follows one streamed answer. An engine that is restarted, overloaded or faulty may end its stream early
-/// with a correct HTTP end, or send text that isn't an event; only the events themselves tell a whole
-/// answer from a part, so without this check a caller could get a part as if it were the whole.
-/// Throws backend_error with failure::garbled.
+/// Checks one streamed answer while it arrives. An engine that is restarted, overloaded or faulty may end its
+/// HTTP response correctly although the answer is incomplete, or send text that isn't an event. Only the
+/// closing event shows that an answer is complete, so without this check a caller could mistake a truncated
+/// answer for a complete one. Failed checks throw backend_error with failure::garbled.
 class event_stream_checker {
 public:
-    /// A line longer than this isn't an event of any engine.
+    /// Longest accepted line in bytes; no engine sends events that long.
     static constexpr std::size_t line_limit = 1024U * 1024;
 
-    /// Takes the next bytes of the body, cut anywhere. Returns how many token events they ended.
+    /// Checks the next bytes of the body, which may begin and end anywhere in a line. Returns the number of
+    /// events with tokens that are completed by these bytes.
     std::size_t take(std::string_view piece);
 
-    /// The body has ended. Throws unless the closing event had come.
+    /// Call this at the end of the body. Throws when the closing event hasn't arrived.
     void finish() const;
 
+    /// The token counts that the engine has reported so far, or that were set by set_measured().
     [[nodiscard]] const usage& measured() const noexcept { return m_usage; }
+    /// Replaces the token counts.
     void set_measured(const usage& counts) noexcept { m_usage = counts; }
 
 private:
@@ -36,8 +39,8 @@
     usage m_usage;
 };
 
-/// Reads the token counts of an answer that isn't streamed. Throws backend_error with failure::garbled when
-/// it isn't a JSON object.
+/// Reads the token counts of an answer that wasn't streamed; they are 0 when the engine reported none. Throws
+/// backend_error with failure::garbled when the body isn't a JSON object.
 [[nodiscard]] usage check_whole_answer(std::string_view body);
 
 } // namespace borageford::backend
--- a/src/backend/answer_stream.cpp
+++ b/src/backend/answer_stream.cpp
@@ -1,4 +1,4 @@
-// Reading an answer, with the failures of HTTP turned into what they mean for a dispatch.
+// Reads an answer through http::client_exchange and converts its errors to backend_error.
 #include "backend/answer_stream.hpp"
 
 #include "backend/http_exchange.hpp"
--- a/src/backend/answer_stream.hpp
+++ b/src/backend/answer_stream.hpp
@@ -1,4 +1,4 @@
-// One answer of a backend server, read piece by piece.
+// Reads the answer of a backend server in pieces.
 #pragma once
 
 #include "backend/backend_types.hpp"
@@ -12,26 +12,27 @@
 
 namespace borageford::backend {
 
-/// When an answer counts as stuck.
+/// Time limits for the steps of an answer, and the size of its body.
 struct stream_limits {
-    std::chrono::milliseconds connect{1000};
-    std::chrono::milliseconds head{60'000}; ///< from the call's last byte to the answer's head
-    std::chrono::milliseconds idle{10'000}; ///< between two pieces
+    std::chrono::milliseconds connect{1000}; ///< longest time to connect
+    std::chrono::milliseconds head{60'000};  ///< longest time from sending the call to the head of the answer
+    std::chrono::milliseconds idle{10'000};  ///< longest time between two pieces of the answer
     std::size_t body_bytes = 16U * 1024 * 1024;
 };
 
-/// Runs on the executor it was made with, and is cancelled there. Every call throws backend_error.
+/// The answer to one call. All functions must be called on the executor that was passed to the constructor;
+/// open() and read_some() throw backend_error.
 class answer_stream {
 public:
     answer_stream(const boost::asio::any_io_executor& executor, stream_limits limits);
 
-    /// Sends the request and reads the head.
+    /// Sends the request and reads the head of the answer.
     boost::asio::awaitable<answer_head> open(const http::endpoint& server, const http::request& request);
 
-    /// The next piece; empty only at the answer's true end.
+    /// Returns the next piece of the answer, or an empty string at its end.
     boost::asio::awaitable<std::string> read_some();
 
-    /// Ends it at once: a call that waits throws.
+    /// Closes the connection; a pending call throws.
     void cancel() noexcept;
 
 private:
--- a/src/backend/backend_server.cpp
+++ b/src/backend/backend_server.cpp
@@ -1,4 +1,4 @@
-// Passing calls on to the kind of backend server that is there.
+// Forwards each call to the current model_engine or plain_service.
 #include "backend/backend_server.hpp"
 
 #include <type_traits>
--- a/src/backend/backend_server.hpp
+++ b/src/backend/backend_server.hpp
@@ -1,4 +1,4 @@
-// The one backend server beside a sidecar, whichever kind it is.
+// The backend server that a sidecar works for, which is either a model engine or a plain service.
 #pragma once
 
 #include "backend/model_engine.hpp"
@@ -13,7 +13,8 @@
 
 namespace borageford::backend {
 
-/// Calls that a kind can't serve say so: a plain service knows no streams to resume or cancel.
+/// The common interface of model_engine and plain_service. A plain service can't resume or cancel an answer:
+/// resume() then returns std::nullopt and cancel() returns false.
 class backend_server {
 public:
     using server = std::variant<model_engine, plain_service>;
@@ -25,22 +26,28 @@
     backend_server& operator=(backend_server&&) = delete;
     ~backend_server() = default;
 
-    /// The configuration says that another kind stands here.
+    /// Uses another server from now on; called when the configuration names another kind of backend server.
     void replace(server kind);
 
     [[nodiscard]] bool is_engine() const noexcept;
     /// Null for a plain service.
     [[nodiscard]] model_engine* as_engine() noexcept;
 
+    /// Makes a call under the dispatch's id and reads the head of the answer into `stream`. Throws
+    /// backend_error.
     boost::asio::awaitable<answer_head> run(answer_stream& stream, dispatch_id dispatch, const call& work);
+    /// See model_engine::resume().
     boost::asio::awaitable<std::optional<answer_head>> resume(answer_stream& stream, dispatch_id dispatch,
                                                               std::uint64_t offset);
+    /// See model_engine::cancel().
     boost::asio::awaitable<bool> cancel(dispatch_id dispatch);
+    /// Whether the server answers a health check in time.
     boost::asio::awaitable<bool> is_healthy();
 
 private:
-    /// The last one is in force. Those before it stay: a call in progress, such as the health check at the
-    /// start, still uses the kind that it began with, and destroying that one under it let requests hang.
+    /// All servers that were set; the last one is in use. The previous ones are kept because a call in
+    /// progress, such as the health check at the start, still uses the object it was started on; destroying
+    /// that object made requests hang.
     std::deque<server> m_kinds;
 };
 
--- a/src/backend/http_exchange.cpp
+++ b/src/backend/http_exchange.cpp
@@ -1,10 +1,11 @@
-// Small exchanges with a backend server.
+// Implements the HTTP calls that model_engine and plain_service share.
 #include "backend/http_exchange.hpp"
 
 namespace borageford::backend {
 namespace {
 
 constexpr unsigned status_ok = 200;
+/// Largest accepted answer to a control call in bytes.
 constexpr std::size_t control_body_limit = 4U * 1024 * 1024;
 
 } // namespace
--- a/src/backend/http_exchange.hpp
+++ b/src/backend/http_exchange.hpp
@@ -1,4 +1,4 @@
-// What the calls to engines and to plain services have in common.
+// HTTP calls that model_engine and plain_service share.
 #pragma once
 
 #include "backend/backend_types.hpp"
@@ -12,18 +12,19 @@
 
 namespace borageford::backend {
 
-/// What a failed exchange means for the dispatch that it served.
+/// Maps an HTTP error to the failure of a call to a backend server.
 [[nodiscard]] failure meaning_of(const http::exchange_error& error) noexcept;
 
-/// The request that carries a dispatch's call.
+/// Builds the HTTP request for a call. The dispatch's id is sent in the header X-Request-Id.
 [[nodiscard]] http::request make_call(dispatch_id dispatch, const call& work);
 
-/// One small exchange, each of its steps within `limit`. Throws backend_error.
+/// Sends a request and returns the complete response. Each step (connecting, waiting for the head, and each
+/// piece of the body) may take up to `limit`. Throws backend_error.
 boost::asio::awaitable<http::response> exchange(const boost::asio::any_io_executor& executor,
                                                 const http::endpoint& server, const http::request& request,
                                                 std::chrono::milliseconds limit);
 
-/// Whether GET /health is answered with 200 in time.
+/// Whether the server answers GET /health with status 200; each step may take up to `limit`.
 boost::asio::awaitable<bool> answers_health(const boost::asio::any_io_executor& executor,
                                             const http::endpoint& server, std::chrono::milliseconds limit);
 
--- a/src/backend/model_engine.cpp
+++ b/src/backend/model_engine.cpp
@@ -1,4 +1,4 @@
-// The calls to a model engine, over HTTP and JSON.
+// Implements the calls to a model engine with HTTP and JSON.
 #include "backend/model_engine.hpp"
 
 #include "backend/http_exchange.hpp"
@@ -20,16 +20,20 @@
 constexpr unsigned status_conflict = 409;
 constexpr int hexadecimal = 16;
 
+/// Parses the answer to a control call. Throws backend_error with failure::garbled when its status isn't 200
+/// or its body isn't a JSON object.
 json::object parse_answer(const http::response& answer) {
     boost::system::error_code error;
     auto value = json::parse(answer.body, error);
     if (answer.head.status != status_ok || error || !value.is_object()) {
         throw backend_error(failure::garbled, "the engine answered a control call with status " +
-                                                  std::to_string(answer.head.status) + " or no JSON object");
+                                                  std::to_string(answer.head.status) +
+                                                  ", or the body is not a JSON object");
     }
     return std::move(value.get_object());
 }
 
+/// Reads a number; 0 when it is missing or invalid.
 std::uint64_t read_number(const json::object& from, std::string_view key) {
     const auto* value = from.if_contains({key.data(), key.size()});
     if (value == nullptr) {
@@ -40,11 +44,13 @@
     return error ? 0 : number;
 }
 
+/// Reads a string; empty when it is missing or not a string.
 std::string read_text(const json::object& from, std::string_view key) {
     const auto* value = from.if_contains({key.data(), key.size()});
     return value != nullptr && value->is_string() ? std::string(value->get_string()) : std::string();
 }
 
+/// Reads an array; empty when it is missing or not an array.
 json::array read_array(const json::object& from, std::string_view key) {
     const auto* value = from.if_contains({key.data(), key.size()});
     return value != nullptr && value->is_array() ? value->get_array() : json::array();
--- a/src/backend/model_engine.hpp
+++ b/src/backend/model_engine.hpp
@@ -1,4 +1,4 @@
-// The model engine's protocol, as docs/INTERFACES.md describes it.
+// A client for the protocol of model engines, which docs/INTERFACES.md describes.
 #pragma once
 
 #include "backend/answer_stream.hpp"
@@ -13,30 +13,39 @@
 
 namespace borageford::backend {
 
-/// Every call throws backend_error when the engine doesn't answer it as it should.
+/// Calls one model engine. All coroutines but is_healthy() throw backend_error when the engine can't be
+/// reached, doesn't answer in time or answers with an error.
 class model_engine {
 public:
     model_engine(boost::asio::any_io_executor executor, http::endpoint address,
                  std::chrono::milliseconds control_timeout);
 
-    /// Runs a call under the dispatch's id.
+    /// Makes a call under the dispatch's id and returns the head of the answer; the body is read from
+    /// `stream`.
     boost::asio::awaitable<answer_head> run(answer_stream& stream, dispatch_id dispatch, const call& work);
 
-    /// The answer of a dispatch that it ran or runs, from byte `offset` on. Nothing when it doesn't know it.
+    /// Requests the answer of a dispatch that is running or has run, from byte `offset` on. Returns
+    /// std::nullopt when the engine doesn't know the dispatch.
     boost::asio::awaitable<std::optional<answer_head>> resume(answer_stream& stream, dispatch_id dispatch,
                                                               std::uint64_t offset);
 
-    /// Ends a dispatch. Returns whether the engine knew it.
+    /// Cancels a dispatch. Returns whether the engine knew it.
     boost::asio::awaitable<bool> cancel(dispatch_id dispatch);
 
+    /// Reads the engine's load.
     boost::asio::awaitable<engine_load> load();
+    /// Reads the cache events after the number `after`, which is the `next` of the previous batch.
     boost::asio::awaitable<cache_event_batch> cache_events(std::uint64_t after);
+    /// Reads the engine's loaded models and adapters and its role.
     boost::asio::awaitable<engine_state> state();
-    /// Must be answered within `limit`: an order is worth nothing after its lease.
+    /// Sends an order. The engine must answer within `limit`, because the order is void when the sender's
+    /// lease has expired.
     boost::asio::awaitable<order_result> give_order(const order& command, std::chrono::milliseconds limit);
+    /// Whether the engine answers a health check in time.
     boost::asio::awaitable<bool> is_healthy();
 
 private:
+    /// Sends a request to the engine and returns the response; throws backend_error.
     boost::asio::awaitable<http::response> ask(std::string method, std::string target, std::string body,
                                                std::chrono::milliseconds limit);
 
--- a/src/backend/plain_service.cpp
+++ b/src/backend/plain_service.cpp
@@ -1,4 +1,4 @@
-// The calls to a plain service.
+// Implements the calls to a plain service.
 #include "backend/plain_service.hpp"
 
 #include "backend/http_exchange.hpp"
--- a/src/backend/plain_service.hpp
+++ b/src/backend/plain_service.hpp
@@ -1,4 +1,4 @@
-// A plain service's protocol: any HTTP call, without resuming or orders.
+// A client for plain services: they accept any HTTP call, but can't resume answers and get no orders.
 #pragma once
 
 #include "backend/answer_stream.hpp"
@@ -12,13 +12,16 @@
 
 namespace borageford::backend {
 
+/// Calls one plain service.
 class plain_service {
 public:
     plain_service(boost::asio::any_io_executor executor, http::endpoint address,
                   std::chrono::milliseconds control_timeout);
 
-    /// Makes a call under the dispatch's id. Throws backend_error.
+    /// Makes a call under the dispatch's id and returns the head of the answer; the body is read from
+    /// `stream`. Throws backend_error.
     boost::asio::awaitable<answer_head> run(answer_stream& stream, dispatch_id dispatch, const call& work);
+    /// Whether the service answers a health check in time.
     boost::asio::awaitable<bool> is_healthy();
 
 private:
