--- a/src/metrics/histogram_state.cpp
+++ b/src/metrics/histogram_state.cpp
@@ -1,4 +1,4 @@
-// Adding samples to a histogram and reading quantiles from it.
+// Adds samples to a histogram and computes its bucket counts and quantiles.
 #include "metrics/histogram_state.hpp"
 
 #include <algorithm>
@@ -12,7 +12,9 @@
     : m_accumulators(accumulator::tag::extended_p_square::probabilities = estimated_quantiles) {}
 
 void histogram::state::record(double seconds) {
-    // A clock that stepped back or a division by zero upstream must not spoil the sums for good.
+    // A single infinite or NaN sample, for example from a division by zero in the caller, would make the sum
+    // useless until the process restarts. Negative samples, which a clock that was set back could cause,
+    // count as zero.
     if (!std::isfinite(seconds)) {
         return;
     }
--- a/src/metrics/histogram_state.hpp
+++ b/src/metrics/histogram_state.hpp
@@ -1,5 +1,6 @@
-// What a histogram keeps: fixed buckets that collectors can add up over processes, and quantiles estimated
-// by Boost.Accumulators for a reader of one process. Kept out of the public header for its compile time.
+// The state of a histogram: fixed buckets, which a metrics collector can add up over processes, and quantiles
+// of this process, which Boost.Accumulators estimates. It is separate from registry.hpp to keep
+// Boost.Accumulators, which is slow to compile, out of that header.
 #pragma once
 
 #include "metrics/registry.hpp"
@@ -19,22 +20,26 @@
 
 namespace borageford::metrics {
 
-/// Upper bounds in seconds. 0.068 and 1.1 are the default targets between tokens and for the first token, so
-/// that the share of samples within target can be read off exactly.
+/// Upper bounds of the buckets in seconds. 0.068 and 1.1 are the default targets for the time between tokens
+/// and for the first token; with a bucket at each target, the share of samples within the target is exact.
 inline constexpr std::array bucket_bounds{0.001, 0.0025, 0.005, 0.01, 0.025, 0.05, 0.068, 0.1,  0.25,
                                           0.5,   1.0,    1.1,   2.5,  5.0,   10.0, 30.0,  60.0, 300.0};
 
+/// The quantiles that are estimated for each histogram, as fractions.
 inline constexpr std::array<double, 4> estimated_quantiles{0.5, 0.9, 0.95, 0.99};
 
+/// The bucket counts of a histogram.
 struct histogram_summary {
-    std::uint64_t count = 0;
-    double sum = 0; ///< seconds
-    /// Samples at or below each bound.
+    std::uint64_t count = 0; ///< number of samples
+    double sum = 0;          ///< of all samples, in seconds
+    /// Number of samples less than or equal to each bound in bucket_bounds.
     std::array<std::uint64_t, bucket_bounds.size()> cumulative{};
 };
 
-/// Invariant: everything is guarded by `m_mutex`, which is held for the update of one sample or the copy of
-/// the counts, never over a call to other code.
+/// The data behind a histogram.
+///
+/// Invariant: `m_mutex` guards all other members. It is held only to add one sample, to copy the counts or to
+/// compute a quantile, and never while code outside of this class is called.
 struct histogram::state {
 public:
     state();
@@ -43,8 +48,8 @@
     [[nodiscard]] double quantile(double share) const;
 
 private:
-    // The estimator needs this many samples before its markers mean anything; up to then the samples
-    // themselves are kept and quantiles are exact.
+    // Number of samples that the P-square estimator needs to initialise its markers. Until then the samples
+    // themselves are kept in m_first and quantiles are exact.
     static constexpr std::size_t marker_count = 2 * estimated_quantiles.size() + 3;
 
     using accumulators = boost::accumulators::accumulator_set<
--- a/src/metrics/registry.cpp
+++ b/src/metrics/registry.cpp
@@ -1,4 +1,5 @@
-// Metric families by name, each with its members by labels, and the text exposition.
+// Implements the registry: it stores metric families by name, each with one member per set of label values,
+// and writes the text exposition.
 #include "metrics/registry.hpp"
 
 #include "metrics/histogram_state.hpp"
@@ -16,11 +17,13 @@
 namespace borageford::metrics {
 namespace {
 
+/// The label value of the member that collects samples when a family is full.
 constexpr std::string_view overflow_value = "other";
-// A family has one type in this format, so the estimates stand in a family of their own.
+/// Appended to a histogram's name for its quantiles. The exposition format allows only one type per family,
+/// so they are written as a family of gauges.
 constexpr const char* quantile_suffix = "_quantile";
 
-/// A gauge is shared so that one can be read while another takes its place.
+/// The function that returns a gauge's value. Shared, so that it can be called while add_gauge() replaces it.
 using gauge_reader = std::shared_ptr<const std::function<double()>>;
 using metric = std::variant<std::unique_ptr<counter>, std::unique_ptr<histogram>, gauge_reader>;
 
@@ -44,7 +47,8 @@
     return {text.data(), written.ptr};
 }
 
-/// Only these characters keep the exposition readable for every collector.
+/// Whether every collector accepts the name: ASCII letters, digits and underscores, not beginning with a
+/// digit.
 bool is_valid_name(std::string_view name) {
     const auto is_allowed = [](char letter) {
         return (letter >= 'a' && letter <= 'z') || (letter >= 'A' && letter <= 'Z') ||
@@ -54,7 +58,8 @@
     return !name.empty() && !starts_with_digit && std::ranges::all_of(name, is_allowed);
 }
 
-/// Escapes as the format asks: a workspace's name with a quote in it must not forge another line.
+/// Escapes a help text or a label value as the exposition format requires. Without it, a workspace name that
+/// contains a quote or a line break could add forged lines to the exposition.
 void append_escaped(std::string& out, std::string_view value, bool is_label) {
     for (const char letter : value) {
         if (letter == '\n') {
@@ -68,12 +73,13 @@
     }
 }
 
-/// `name="value",name="value"`, which is also the key of a member in its family.
+/// Formats labels as `name="value",name="value"`. The result is also the key of the member in its family.
+/// Throws std::invalid_argument for an invalid label name.
 std::string render_labels(const labels& where) {
     std::string out;
     for (const auto& [name, value] : where) {
         if (!is_valid_name(name)) {
-            throw std::invalid_argument("not a label name: " + name);
+            throw std::invalid_argument("invalid label name: " + name);
         }
         if (!out.empty()) {
             out += ',';
@@ -85,6 +91,7 @@
     return out;
 }
 
+/// Formats the labels of a family's overflow member, whose label values are all `overflow_value`.
 std::string render_overflow_labels(const labels& where) {
     labels overflow = where;
     for (auto& [name, value] : overflow) {
@@ -128,12 +135,14 @@
     append_sample(out, name + "_count", labels_text, std::to_string(shown.count));
 }
 
-/// One member of a family as it is shown: outside the registry's lock, since a gauge may call anything.
+/// A member of a family as copied for the exposition, which is written without holding the registry's lock
+/// because a gauge may call any code.
 struct shown_member {
     std::string labels_text;
     std::variant<const counter*, const histogram*, gauge_reader> value;
 };
 
+/// A family as copied for the exposition.
 struct shown_family {
     std::string name;
     std::string help;
@@ -159,6 +168,8 @@
     return m_state->quantile(share);
 }
 
+/// The data behind a registry.
+///
 /// Invariants: a family's type never changes; members are never removed, so references to them stay valid.
 struct registry::state {
     struct family {
@@ -170,7 +181,8 @@
     mutable std::shared_mutex mutex;
     std::map<std::string, family, std::less<>> families;
 
-    /// The member, if it stands already.
+    /// The member with these labels; null when there is none. Throws std::logic_error when the family has
+    /// another type.
     const metric* find(std::string_view name, metric_type type, std::string_view labels_text) const {
         const std::shared_lock lock(mutex);
         const auto found = families.find(name);
@@ -182,10 +194,11 @@
         return member == found->second.members.end() ? nullptr : &member->second;
     }
 
-    /// The place for a member; over the bound, the family's overflow member. The caller holds the lock.
+    /// Returns the member with these labels and creates an empty one if necessary. When the family already
+    /// has `members_limit` members, returns its overflow member instead. The caller must hold the lock.
     metric& emplace(std::string_view name, std::string_view help, metric_type type, const labels& where) {
         if (!is_valid_name(name)) {
-            throw std::invalid_argument("not a metric name: " + std::string(name));
+            throw std::invalid_argument("invalid metric name: " + std::string(name));
         }
         auto& group =
             families.try_emplace(std::string(name), family{std::string(help), type, {}}).first->second;
@@ -198,6 +211,7 @@
         return group.members[is_full ? render_overflow_labels(where) : labels_text];
     }
 
+    /// Returns the counter or histogram with these labels and creates it if necessary.
     template <typename Metric>
     Metric& get(std::string_view name, std::string_view help, metric_type type, const labels& where) {
         if (const auto* found = find(name, type, render_labels(where))) {
--- a/src/metrics/registry.hpp
+++ b/src/metrics/registry.hpp
@@ -1,4 +1,5 @@
-// Counters, gauges and histograms of one process, and their text exposition.
+// The counters, gauges and histograms of a process, and their output in the Prometheus text exposition
+// format.
 #pragma once
 
 #include <atomic>
@@ -13,11 +14,13 @@
 
 namespace borageford::metrics {
 
+/// Label names and values, in the order in which they are written.
 using labels = std::vector<std::pair<std::string, std::string>>;
 
-/// Only grows.
+/// A number that only grows. Safe to use from any thread.
 class counter {
 public:
+    /// Adds `amount` to the counter.
     void add(std::uint64_t amount = 1) noexcept { m_value.fetch_add(amount, std::memory_order_relaxed); }
     [[nodiscard]] std::uint64_t value() const noexcept { return m_value.load(std::memory_order_relaxed); }
 
@@ -25,7 +28,7 @@
     std::atomic<std::uint64_t> m_value = 0;
 };
 
-/// A distribution of durations in seconds, over Boost.Accumulators. Safe from any thread.
+/// A distribution of durations in seconds. Safe to use from any thread.
 class histogram {
 public:
     histogram();
@@ -35,9 +38,12 @@
     histogram(histogram&&) = delete;
     histogram& operator=(histogram&&) = delete;
 
+    /// Adds a sample. Negative samples count as zero; infinite and NaN samples are ignored.
     void record(double seconds);
+    /// Number of samples.
     [[nodiscard]] std::uint64_t count() const;
-    /// An estimate of the value below which `share` (0 to 1) of the samples lie.
+    /// The duration in seconds that `share` (0 to 1) of the samples don't exceed; 0 without samples. Exact
+    /// for the first few samples, estimated for more.
     [[nodiscard]] double quantile(double share) const;
 
 private:
@@ -46,12 +52,14 @@
     std::unique_ptr<state> m_state;
 };
 
-/// Owns every metric of a process. A name with the same labels gives the same metric; references stay valid
-/// as long as the registry. Distinct labels per name are bounded: past the bound, samples go to one metric
-/// whose label values are "other", so that hostile input can't fill memory.
+/// Owns all metrics of a process. The same name and labels always give the same metric, and references to it
+/// stay valid as long as the registry exists. The number of distinct label sets per name is limited: when it
+/// is reached, samples with new labels go to one metric whose label values are all "other", so that malicious
+/// input can't exhaust the memory. Safe to use from any thread.
 class registry {
 public:
-    /// Members of one name, more than the workspaces times the tiers that the design is sized for.
+    /// Largest number of label sets for one name. It is larger than the number of workspaces times tiers that
+    /// the system is designed for.
     static constexpr std::size_t members_limit = 2048;
 
     registry();
@@ -61,15 +69,20 @@
     registry(registry&&) = delete;
     registry& operator=(registry&&) = delete;
 
+    /// Returns the counter with this name and these labels and creates it if necessary. Throws
+    /// std::invalid_argument for an invalid name and std::logic_error when the name belongs to a metric of
+    /// another type.
     [[nodiscard]] counter& get_counter(std::string_view name, std::string_view help,
                                        const labels& where = {});
+    /// Like get_counter(), for a histogram.
     [[nodiscard]] histogram& get_histogram(std::string_view name, std::string_view help,
                                            const labels& where = {});
-    /// A gauge is read when the metrics are shown; `read` must be safe from any thread.
+    /// Adds a gauge or replaces it. `read` is called by exposition() to get the value and must be safe to
+    /// call from any thread.
     void add_gauge(std::string_view name, std::string_view help, const labels& where,
                    std::function<double()> read);
 
-    /// All metrics in the usual text exposition format.
+    /// Returns all metrics in the text exposition format.
     [[nodiscard]] std::string exposition() const;
 
 private:
--- a/src/process/common_settings.cpp
+++ b/src/process/common_settings.cpp
@@ -1,4 +1,4 @@
-// Reading the settings that all processes share.
+// Reads the settings that all long-running processes have in common.
 #include "process/common_settings.hpp"
 
 #include "settings/section_reader.hpp"
--- a/src/process/runtime.cpp
+++ b/src/process/runtime.cpp
@@ -1,4 +1,4 @@
-// Threads, signals and the ready line.
+// Implements runtime, which runs the process's threads and handles its signals, and prints the ready line.
 #include "process/runtime.hpp"
 
 #include "base/log.hpp"
@@ -78,9 +78,9 @@
     }
     m_context.run();
     threads.clear();
-    // What still waits is not taken apart: coroutines that end with the context hold timers and strands whose
-    // services may go first, which corrupted the heap and turned a graceful stop into an abort (exit code
-    // 134). Everything that must last was written before finish().
+    // The process exits without destroying the suspended coroutines. They hold timers and strands whose Asio
+    // services may be destroyed first, which corrupted the heap and turned a graceful stop into an abort
+    // (exit code 134). All data that must be kept has been written before finish() was called.
     std::cout.flush();
     std::_Exit(EXIT_SUCCESS);
 }
--- a/src/process/runtime.hpp
+++ b/src/process/runtime.hpp
@@ -1,4 +1,5 @@
-// What a long-running process stands on: its threads, timers, incarnation and the signals that stop it.
+// The basis of a long-running process: its threads, its timers, the handling of signals and the identifier of
+// this run of the process.
 #pragma once
 
 #include "base/identifier.hpp"
@@ -16,33 +17,41 @@
 
 namespace borageford::process {
 
-/// An address that the process listens on, for its ready line.
+/// A named address that the process listens on; printed in its ready line.
 struct listener_address {
     std::string_view name;
     boost::asio::ip::tcp::endpoint address;
 };
 
-/// What a further SIGTERM does to a process that is stopping. A person at a terminal wants it to end; a
-/// platform that restarts machines in turn may ask twice, and must not cut what runs by it.
-enum class repeated_stop : std::uint8_t { ends_at_once, is_passed_over };
+/// What a second SIGTERM does while the process is already stopping. A user at a terminal expects the process
+/// to exit. A platform that restarts machines one after the other may send the signal twice, which must not
+/// abort the requests in progress.
+enum class repeated_stop : std::uint8_t {
+    ends_at_once,   ///< exit immediately
+    is_passed_over, ///< ignore the signal
+};
 
+/// Owns the threads, timers and signal handlers of a process. A process has one object of this class.
 class runtime {
 public:
+    /// `threads` is the number of threads that execute handlers, including the one that calls run().
     explicit runtime(unsigned threads);
 
+    /// Runs its work on any of the threads; use a strand where calls must not overlap.
     [[nodiscard]] boost::asio::any_io_executor executor() { return m_context.get_executor(); }
     [[nodiscard]] timer_service& timers() noexcept { return m_timers; }
-    /// Drawn anew at every start; peers learn from it that what a former process knew is gone.
+    /// A random identifier of this run of the process. It tells peers that the process was restarted and has
+    /// lost its in-memory state.
     [[nodiscard]] const identifier& incarnation() const noexcept { return m_incarnation; }
 
-    /// Runs until finish(). The first SIGTERM or SIGINT calls `stop_requested` (the graceful stop); a
-    /// second SIGINT ends the process at once with exit code 130, and so does a second SIGTERM unless
-    /// `repeated` says otherwise. Each SIGHUP calls `reload_requested`; without
-    /// one, it is logged and passed over.
+    /// Executes handlers until finish() is called and then exits the process. The first SIGTERM or SIGINT
+    /// calls `stop_requested`, which starts a graceful stop. A second SIGINT exits immediately with exit code
+    /// 130, and so does a second SIGTERM unless `repeated` is `is_passed_over`. Each SIGHUP calls
+    /// `reload_requested`; if that is empty, the signal is logged and ignored.
     [[noreturn]] void run(std::function<void()> stop_requested, std::function<void()> reload_requested = {},
                           repeated_stop repeated = repeated_stop::ends_at_once);
 
-    /// Lets run() end the process with exit code 0.
+    /// Makes run() exit the process with exit code 0.
     void finish();
 
 private:
@@ -54,13 +63,15 @@
     identifier m_incarnation = identifier::random();
     timer_service m_timers;
     boost::asio::io_context m_context;
-    /// Registered with the object, not with run(): a signal that came while a process still started ended it,
-    /// which left its machine without a process though it was only told to read its settings again.
+    /// The signals are registered when this object is created, not in run(). Otherwise a SIGHUP that arrives
+    /// while the process is starting would terminate it, although it only asks the process to reload its
+    /// settings.
     boost::asio::signal_set m_stop_signals;
     boost::asio::signal_set m_reload_signals;
 };
 
-/// Prints "ready NAME=IP:PORT ..." on standard output: whoever started the process waits for this line.
+/// Prints "ready NAME=IP:PORT ..." to standard output. The program that started this process waits for the
+/// line.
 void print_ready(std::span<const listener_address> listeners);
 
 } // namespace borageford::process
