--- a/tests/unit/test_child_process.cpp
+++ b/tests/unit/test_child_process.cpp
@@ -1,4 +1,4 @@
-// The processes that tests start.
+// Tests child_process, with which tests start and stop other processes.
 #include "support/child_process.hpp"
 
 #include <catch2/catch.hpp>
@@ -17,8 +17,8 @@
 } // namespace
 
 TEST_CASE("a process that is frozen already may be frozen again", "[support]") {
-    // A soak draws two freezes of one gateway that overlap. It waited for a second stop that never comes, and
-    // hung for good without a verdict.
+    // A soak test chose two overlapping freezes of one gateway. The second one waited for another stop of a
+    // process that was already stopped, so the test hung forever without a result.
     auto process = start_sleeper();
     process.freeze();
     process.freeze();
@@ -29,7 +29,7 @@
     CHECK_FALSE(process.is_running());
 }
 
-TEST_CASE("freezing a process that has ended doesn't hide its end", "[support]") {
+TEST_CASE("freezing a process that has ended doesn't make it appear to run", "[support]") {
     auto process = start_sleeper();
     process.kill();
     process.freeze();
--- a/tests/unit/test_clock_use.cpp
+++ b/tests/unit/test_clock_use.cpp
@@ -1,4 +1,4 @@
-// Who may read the time of day.
+// Checks which source files read the system clock.
 #include <catch2/catch.hpp>
 
 #include <algorithm>
@@ -14,6 +14,7 @@
 
 namespace fs = std::filesystem;
 
+/// Whether the file's text contains the name of a clock that shows the time of day.
 bool reads_time_of_day(const fs::path& source) {
     std::ifstream file(source);
     std::stringstream text;
@@ -29,9 +30,9 @@
 } // namespace
 
 TEST_CASE("no decision of a gateway reads the time of day", "[clock]") {
-    // The clock of a machine jumps by seconds or by an hour, forward and back. A lease, an allowance or a
-    // server's start that was judged by it would be over too soon, or never; callers would be refused, or
-    // requests sent where nobody is. Only the log may ask, and it asks for its lines alone.
+    // The system clock of a machine can jump forward or back, by seconds or by an hour. A lease, a quota or a
+    // server start measured with it would end too early or never, so callers would be refused or requests
+    // sent to a server that no longer runs. Only the event log may read it, for the times in its lines.
     const std::set<std::string> may_read{"events/event_log.cpp", "events/log_clock.cpp",
                                          "events/log_clock.hpp"};
     const fs::path root = fs::path(DOCS_FOLDER) / ".." / "src";
--- a/tests/unit/test_compression.cpp
+++ b/tests/unit/test_compression.cpp
@@ -1,4 +1,4 @@
-// Deflated text: what is packed is unpacked, and damaged or hostile bytes are refused.
+// Tests the compression of text and base64, also with damaged and malicious input.
 #include "base/compression.hpp"
 
 #include <catch2/catch.hpp>
@@ -19,7 +19,7 @@
 
 } // namespace
 
-TEST_CASE("text survives deflating and base64", "[compression]") {
+TEST_CASE("text is unchanged after compression and base64 in both directions", "[compression]") {
     for (const auto& text : {std::string(), std::string("a"), std::string("ab"), repeated_lines()}) {
         const auto packed = deflate_text(text);
         CHECK(inflate_text(decode_base64(encode_base64(packed)), generous) == text);
@@ -28,7 +28,8 @@
 }
 
 TEST_CASE("damaged deflated text is refused", "[compression]") {
-    // A row or a frame was cut or changed on its way. Half a configuration would serve half the workspaces.
+    // A stored row or a frame was truncated or changed in transit. A part of a configuration must not be
+    // used, because it would lack some of the workspaces.
     const auto packed = deflate_text(repeated_lines());
     for (const std::size_t length : {std::size_t{0}, std::size_t{1}, packed.size() / 2, packed.size() - 1}) {
         CHECK_THROWS_AS(inflate_text(std::span(packed).first(length), generous), compression_error);
@@ -37,8 +38,9 @@
     CHECK_THROWS_AS(decode_base64("????"), compression_error);
 }
 
-TEST_CASE("deflated text that grows past the limit is refused", "[compression]") {
-    // A few kilobytes can stand for gigabytes. The process would be killed for its memory.
+TEST_CASE("deflated text that is larger than the limit when inflated is refused", "[compression]") {
+    // A few kilobytes can inflate to gigabytes. Without a limit, the kernel would kill the process for its
+    // memory use.
     const auto packed = deflate_text(std::string(50U << 20U, 'x'));
     REQUIRE(packed.size() < generous);
     CHECK_THROWS_AS(inflate_text(packed, generous), compression_error);
--- a/tests/unit/test_error_page.cpp
+++ b/tests/unit/test_error_page.cpp
@@ -1,4 +1,4 @@
-// docs/ERRORS.md and the table of error kinds say the same.
+// Checks that docs/ERRORS.md documents the table of error kinds exactly.
 #include "base/error_kind.hpp"
 
 #include <catch2/catch.hpp>
@@ -11,13 +11,14 @@
 
 namespace {
 
+/// The row of the page's table that documents an error kind.
 std::string row_of(const error_answer& answer) {
     return "| `" + std::string(answer.name) + "` | " + std::to_string(answer.http_status) + " | " +
            std::string(to_string(answer.ran)) + " | " + std::string(to_string(answer.retry)) + " | " +
            std::string(answer.summary) + " |";
 }
 
-/// The rows of the page's table of kinds, in their order.
+/// The rows of the table of error kinds in docs/ERRORS.md, in the order of the page.
 std::vector<std::string> rows_of_page() {
     std::ifstream page(DOCS_FOLDER "/ERRORS.md");
     REQUIRE(page);
@@ -45,7 +46,7 @@
     CHECK(rows_of_page() == expected);
 }
 
-TEST_CASE("a kind that a name leads to is the kind of that name", "[errors]") {
+TEST_CASE("each error kind is found by its name", "[errors]") {
     for (const auto& answer : error_answers()) {
         CHECK(find_error_kind(answer.name) == answer.kind);
         CHECK(&answer_for(answer.kind) == &answer);
--- a/tests/unit/test_http_readers.cpp
+++ b/tests/unit/test_http_readers.cpp
@@ -1,4 +1,4 @@
-// Reading requests, responses and events piece by piece.
+// Tests the incremental parsers for requests, responses and server-sent events with input split into pieces.
 #include "base/request_error.hpp"
 #include "gateway/event_relay.hpp"
 #include "http/event_splitter.hpp"
@@ -15,7 +15,7 @@
 constexpr std::string_view post =
     "POST /a/b?c HTTP/1.1\r\nHost: h\r\nX-Name:  v  \r\nContent-Length: 5\r\n\r\nhello";
 
-/// Feeds the bytes in pieces of this size; returns how many were used.
+/// Passes the bytes to the reader in pieces of `piece` bytes. Returns how many bytes the reader consumed.
 std::size_t feed(request_reader& reader, std::string_view bytes, std::size_t piece) {
     std::string held;
     std::size_t used = 0;
@@ -28,6 +28,8 @@
     return used;
 }
 
+/// Parses a response in pieces of `piece` bytes and returns its body. `ends` tells the reader that the server
+/// has closed the connection. If the response is incomplete, the result begins with "incomplete: ".
 std::string read_response(std::string_view bytes, std::size_t piece, bool ends) {
     response_reader reader(response_reader::body_rule::expected);
     std::string body;
@@ -44,10 +46,11 @@
 
 } // namespace
 
-TEST_CASE("a connection that ends before its response is an error like any other",
+TEST_CASE("a connection closed before any byte of the response throws response_error",
           "[http][response_reader]") {
-    // A server closes a kept connection just as a request is sent on it. The parser must not be told of an
-    // end that follows nothing: it takes that for a mistake of its caller and ends the process.
+    // A server closes an idle connection just as a request is sent on it. Beast's parser must not be told of
+    // the end before it has received any bytes: it has an assertion against that, which would abort the
+    // process.
     response_reader reader(response_reader::body_rule::expected);
     CHECK_THROWS_AS(reader.read_end(), response_error);
 }
@@ -66,14 +69,14 @@
     }
 }
 
-TEST_CASE("a reader leaves the bytes of the next request alone", "[http][request_reader]") {
+TEST_CASE("a request reader doesn't consume bytes of the next request", "[http][request_reader]") {
     request_reader reader({});
     const auto two = std::string(post) + "GET / HTTP/1.1\r\n";
     CHECK(reader.read(two) == post.size());
     CHECK(reader.is_complete());
 }
 
-TEST_CASE("a head over its limit is refused before its end has come", "[http][request_reader]") {
+TEST_CASE("a request head over the limit is refused before its end arrives", "[http][request_reader]") {
     request_reader reader({.header_bytes = 100});
     try {
         static_cast<void>(reader.read("GET / HTTP/1.1\r\nX: " + std::string(200, 'x')));
@@ -83,7 +86,8 @@
     }
 }
 
-TEST_CASE("responses with a length, in chunks and ended by their connection", "[http][response_reader]") {
+TEST_CASE("responses are read with a length, in chunks and until the connection ends",
+          "[http][response_reader]") {
     for (const std::size_t piece : {std::size_t(1), std::size_t(5), std::size_t(1000)}) {
         CHECK(read_response("HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nabc", piece, false) == "abc");
         CHECK(read_response(
@@ -101,14 +105,14 @@
     CHECK_THROWS_AS(read_response("rubbish\r\n\r\n", 4, false), response_error);
 }
 
-TEST_CASE("the time that a server keeps an idle connection", "[http][response_reader]") {
+TEST_CASE("the idle time of a connection is read from the Keep-Alive header", "[http][response_reader]") {
     field_list fields;
     CHECK_FALSE(idle_time(fields).has_value());
     fields.add("Keep-Alive", "max=5, timeout=7");
     CHECK(idle_time(fields) == std::chrono::seconds(7));
 }
 
-TEST_CASE("only whole events leave the splitter", "[http][event_splitter]") {
+TEST_CASE("the event splitter returns only complete events", "[http][event_splitter]") {
     event_splitter splitter;
     CHECK(splitter.add("id: 1\nda").empty());
     CHECK(splitter.has_part());
@@ -119,7 +123,7 @@
     CHECK(splitter.count() == 2);
 }
 
-TEST_CASE("a stream goes on only where it broke off", "[gateway][event_relay]") {
+TEST_CASE("a broken stream is continued only with the event that follows", "[gateway][event_relay]") {
     gateway::event_relay relay;
     CHECK(relay.add("id: 1\n\nid: 2\n\nid: 3\nda") == "id: 1\n\nid: 2\n\n");
     CHECK_FALSE(relay.is_whole());
--- a/tests/unit/test_metrics.cpp
+++ b/tests/unit/test_metrics.cpp
@@ -1,4 +1,4 @@
-// Counters, histograms and their exposition.
+// Tests counters, gauges and histograms and their text exposition.
 #include "metrics/registry.hpp"
 
 #include <catch2/catch.hpp>
@@ -29,7 +29,7 @@
     CHECK_THROWS_AS(registry.get_counter("a name", ""), std::invalid_argument);
 }
 
-TEST_CASE("few samples give exact quantiles, many give close ones", "[metrics]") {
+TEST_CASE("quantiles are exact for few samples and close for many", "[metrics]") {
     metrics::registry registry;
     auto& few = registry.get_histogram("few", "");
     CHECK(few.quantile(0.5) == 0);
@@ -50,9 +50,9 @@
     CHECK(many.quantile(1.0) <= 1.0);
 }
 
-TEST_CASE("a sample that isn't a number leaves no trace", "[metrics]") {
-    // A rate divided by zero reaches a histogram. Every later sum would be "nan" and the operator's charts
-    // would stay empty until the restart.
+TEST_CASE("a histogram ignores NaN and infinite samples", "[metrics]") {
+    // The result of a division by zero is recorded in a histogram. Without the check, the sum would be "nan"
+    // and the operator's charts would be empty until the process restarts.
     metrics::histogram histogram;
     histogram.record(std::numeric_limits<double>::quiet_NaN());
     histogram.record(std::numeric_limits<double>::infinity());
@@ -80,9 +80,9 @@
     CHECK(contains(text, "# TYPE held gauge\nheld 1.5\n"));
 }
 
-TEST_CASE("labels past the bound share one metric", "[metrics]") {
-    // Callers invent a new label value with every request. Without a bound the process grows until it's
-    // killed, and every request in progress is cut.
+TEST_CASE("label sets over the limit share one metric", "[metrics]") {
+    // Callers send a new label value with every request. Without a limit, the process would use more and more
+    // memory until the kernel kills it, which aborts all requests in progress.
     metrics::registry registry;
     for (std::size_t index = 0; index < metrics::registry::members_limit; ++index) {
         registry.get_counter("asked_total", "", {{"target", std::to_string(index)}}).add();
@@ -93,7 +93,7 @@
     CHECK(contains(registry.exposition(), "asked_total{target=\"other\"} 7\n"));
 }
 
-TEST_CASE("samples from several threads all count", "[metrics]") {
+TEST_CASE("no samples from concurrent threads are lost", "[metrics]") {
     metrics::registry registry;
     {
         std::vector<std::jthread> threads;
--- a/tests/unit/test_peer_connection.cpp
+++ b/tests/unit/test_peer_connection.cpp
@@ -1,4 +1,5 @@
-// When a connection between two of our processes is asked for a sign of life, and when it is given up.
+// Tests when wire::peer_connection sends and answers heartbeats and when it closes an unresponsive
+// connection.
 #include "wire/peer_connection.hpp"
 
 #include <boost/asio/connect.hpp>
@@ -23,7 +24,7 @@
 
 namespace {
 
-constexpr auto guard = 20s; ///< only against a test that hangs
+constexpr auto guard = 20s; ///< time limit that ends a test which would otherwise hang
 
 wire::hello_message make_hello() {
     wire::hello_message hello;
@@ -31,7 +32,7 @@
     return hello;
 }
 
-/// A connection of ours whose other end is a bare socket in the test's hands.
+/// A peer_connection whose peer is a plain socket that the test reads and writes.
 struct fixture {
     boost::asio::io_context context;
     timer_service timers;
@@ -64,7 +65,7 @@
         REQUIRE(context.stopped());
     }
 
-    /// The next message that our side sent; nothing once it has closed.
+    /// Reads the next message that `connection` has sent; std::nullopt once it is closed.
     std::optional<wire::message> read_next() {
         boost::system::error_code error;
         std::array<std::byte, wire::frame_header_size> header{};
@@ -87,9 +88,9 @@
 
 } // namespace
 
-TEST_CASE("a silent connection that somebody waits on is asked and then given up", "[wire]") {
-    // Something between the two ends loses track of the connection: it stays open and nothing comes. Whoever
-    // waits for an answer on it must be told, or its caller waits to the deadline.
+TEST_CASE("an unresponsive connection with work is sent a heartbeat and then closed", "[wire]") {
+    // A network device drops the connection's state: the connection stays open, but no bytes arrive. It must
+    // be closed, or callers whose answers are expected on it would wait until their deadlines.
     fixture parts;
     parts.connect([] { return true; }, {.period = 10ms, .silence_limit = 60ms});
     parts.run();
@@ -100,16 +101,16 @@
     CHECK(std::holds_alternative<wire::heartbeat_message>(sent.back()));
 }
 
-TEST_CASE("a silent connection that nobody waits on is given up later", "[wire]") {
-    // Idle connections are asked seldom, since most of an entry's connections are idle. One that is dead must
-    // still go before it is used again for long.
+TEST_CASE("an unresponsive connection without work is closed as well", "[wire]") {
+    // Idle connections get heartbeats less often, because most of an entry's connections are idle. A broken
+    // idle connection must still be closed, so that later requests don't fail on it.
     fixture parts;
     parts.connect([] { return false; }, {.period = 10ms, .silence_limit = 60ms, .idle_periods = 3});
     parts.run();
     CHECK(parts.end_reason == "silent");
 }
 
-TEST_CASE("a heartbeat is answered", "[wire]") {
+TEST_CASE("a heartbeat is answered with a reply", "[wire]") {
     fixture parts;
     parts.connect({}, {.period = 1h});
     wire::heartbeat_message question;
--- a/tests/unit/test_snapshot.cpp
+++ b/tests/unit/test_snapshot.cpp
@@ -1,4 +1,4 @@
-// Readers always hold a whole value, and the newest that was there when they asked.
+// Tests that readers of a snapshot always get a consistent value, and the newest one at the time of the read.
 #include "base/snapshot.hpp"
 
 #include <catch2/catch.hpp>
@@ -12,7 +12,7 @@
 
 using namespace borageford;
 
-TEST_CASE("a read after a replacement gets the new value, and a handle keeps the old one", "[snapshot]") {
+TEST_CASE("a read after a replacement gets the new value, and earlier readers keep theirs", "[snapshot]") {
     snapshot<int> current(1);
     const auto old = current.read();
     current.replace(2);
@@ -23,9 +23,9 @@
     CHECK(seen_elsewhere == 2);
 }
 
-TEST_CASE("a snapshot in the place of a former one isn't taken for it", "[snapshot]") {
-    // A part of the process is taken down and built again at the same address. A thread that took the former
-    // snapshot's value for the new one's would serve by a configuration that isn't in force.
+TEST_CASE("a snapshot at the address of a destroyed one has its own value", "[snapshot]") {
+    // An object with a snapshot is destroyed and a new one is created at the same address. A thread that used
+    // the cached value of the destroyed snapshot would handle requests with an outdated configuration.
     std::optional<snapshot<int>> place;
     for (int round = 0; round < 20; ++round) {
         place.emplace(round);
@@ -33,7 +33,7 @@
     }
 }
 
-TEST_CASE("more snapshots than cache slots keep their values apart", "[snapshot]") {
+TEST_CASE("more snapshots than cache entries keep their own values", "[snapshot]") {
     std::vector<std::unique_ptr<snapshot<int>>> all;
     all.reserve(40);
     for (int index = 0; index < 40; ++index) {
@@ -46,7 +46,7 @@
     }
 }
 
-TEST_CASE("a value is released when nobody holds it any more", "[snapshot]") {
+TEST_CASE("a replaced value is destroyed when its last reader releases it", "[snapshot]") {
     const auto tracked = std::make_shared<int>(1);
     snapshot<std::shared_ptr<int>> current(tracked);
     auto held = current.read();
@@ -57,9 +57,9 @@
     CHECK(tracked.use_count() == 1);
 }
 
-TEST_CASE("readers never see a value go back or in parts", "[snapshot]") {
-    // Threads read while another replaces. A value seen in parts or out of order would let one request be
-    // judged by two revisions.
+TEST_CASE("concurrent readers never get an older or a partly replaced value", "[snapshot]") {
+    // Several threads read while another one replaces the value. A partly replaced or older value would make
+    // one request be handled with two revisions of the configuration.
     struct pair {
         std::uint64_t first = 0;
         std::uint64_t second = 0;
--- a/tests/unit/test_wire.cpp
+++ b/tests/unit/test_wire.cpp
@@ -1,11 +1,11 @@
-// The frames between our processes: what is encoded is decoded, and what no peer would send is refused.
+// Tests the encoding and decoding of the frames between borageford's processes.
 #include "wire/message.hpp"
 
 #include <catch2/catch.hpp>
 
 using namespace borageford;
 
-TEST_CASE("a message survives its coding", "[wire]") {
+TEST_CASE("decoding an encoded message gives the same message", "[wire]") {
     wire::grant_message grant;
     grant.dispatch = wire::to_wire(identifier{1, 2});
     grant.lease_ms = 250;
@@ -20,8 +20,8 @@
 }
 
 TEST_CASE("a truncated or corrupted frame is refused", "[wire]") {
-    // A peer's memory or a network device damages a frame. Nothing of it may be believed: the user would
-    // otherwise see bytes of another's answer.
+    // A faulty peer or network device damages a frame. No part of the frame may be used, because a caller
+    // could otherwise receive bytes of another caller's answer.
     wire::chunk_message chunk;
     chunk.data.assign(100, 'x');
     const auto bytes = wire::encode(1, std::move(chunk));
