--- a/src/wire/message.cpp
+++ b/src/wire/message.cpp
@@ -15,16 +15,17 @@
 
 /// Moves the message out of a FlatBuffers union that holds a `Message`.
 template <typename Message>
-message take(payloadUnion& held) {
+message extract(payloadUnion& held) {
     return std::move(*static_cast<Message*>(held.value));
 }
 
-using taker = message (*)(payloadUnion&);
+using extractor = message (*)(payloadUnion&);
 
 /// One function for each alternative of `message`. Index 0 belongs to the union's first member after NONE.
-constexpr std::array<taker, std::variant_size_v<message>> takers =
+constexpr std::array<extractor, std::variant_size_v<message>> extractors =
     []<std::size_t... Index>(std::index_sequence<Index...>) {
-        return std::array<taker, sizeof...(Index)>{&take<std::variant_alternative_t<Index, message>>...};
+        return std::array<extractor, sizeof...(Index)>{
+            &extract<std::variant_alternative_t<Index, message>>...};
     }(std::make_index_sequence<std::variant_size_v<message>>{});
 
 static_assert(static_cast<std::size_t>(payload::MAX) == std::variant_size_v<message>,
@@ -88,7 +89,7 @@
     payloadUnion held;
     held.type = type;
     held.value = payloadUnion::UnPack(received->payload(), type, nullptr);
-    return {received->revision(), takers.at(static_cast<std::size_t>(type) - 1)(held)};
+    return {received->revision(), extractors.at(static_cast<std::size_t>(type) - 1)(held)};
 }
 
 error_kind error_kind_from_wire(std::uint8_t value) {
--- a/src/wire/peer_connection.cpp
+++ b/src/wire/peer_connection.cpp
@@ -20,7 +20,7 @@
 namespace {
 
 /// Largest receive buffer, in bytes, that a connection keeps for the next frame.
-constexpr std::size_t kept_body_capacity = 64U * 1024;
+constexpr std::size_t max_kept_body_capacity = 64U * 1024;
 
 } // namespace
 
@@ -33,7 +33,7 @@
       m_heartbeat(heartbeat),
       m_own_hello(std::move(own_hello)),
       m_revision(std::move(revision)),
-      m_calls(std::move(calls)),
+      m_callbacks(std::move(calls)),
       m_last_received(std::chrono::steady_clock::now()),
       m_last_written(m_last_received),
       m_last_message(m_last_received) {}
@@ -47,7 +47,7 @@
     enqueue(encode(m_revision(), m_own_hello));
     m_heartbeat_timer = m_timers.every(m_strand, m_heartbeat.period, [weak = weak_from_this()] {
         if (const auto self = weak.lock()) {
-            self->check_silence();
+            self->check_liveness();
         }
     });
     read_header();
@@ -138,12 +138,12 @@
 
 void peer_connection::read_body() {
     m_body.resize(decode_length(m_header));
-    read_into(asio::buffer(m_body), &peer_connection::take_body);
+    read_into(asio::buffer(m_body), &peer_connection::handle_body);
 }
 
-void peer_connection::take_body() {
+void peer_connection::handle_body() {
     handle(decode(m_body));
-    if (m_body.capacity() > kept_body_capacity) {
+    if (m_body.capacity() > max_kept_body_capacity) {
         m_body = {}; // otherwise one large frame would occupy its memory until the connection closes
     }
     if (!m_finished) {
@@ -153,7 +153,7 @@
 
 void peer_connection::handle(envelope received) {
     m_last_received = std::chrono::steady_clock::now();
-    m_asked.reset();
+    m_unanswered_heartbeat.reset();
     if (const auto* hello = std::get_if<hello_message>(&received.content)) {
         handle_hello(*hello);
         return;
@@ -171,7 +171,7 @@
         return;
     }
     // Heartbeats are passed on as well, because their envelope contains the peer's configuration revision.
-    m_calls.received(std::move(received));
+    m_callbacks.received(std::move(received));
 }
 
 void peer_connection::handle_hello(const hello_message& hello) {
@@ -184,15 +184,15 @@
         return;
     }
     m_opened = true;
-    m_calls.opened(hello);
+    m_callbacks.opened(hello);
 }
 
 void peer_connection::handle_heartbeat(const heartbeat_message& heartbeat) {
     if (!heartbeat.is_reply) {
         send_heartbeat(true);
     }
-    if (heartbeat.load != nullptr && m_calls.load_received) {
-        m_calls.load_received(*heartbeat.load);
+    if (heartbeat.load != nullptr && m_callbacks.load_received) {
+        m_callbacks.load_received(*heartbeat.load);
     }
 }
 
@@ -200,20 +200,20 @@
     heartbeat_message heartbeat;
     heartbeat.sequence = ++m_heartbeat_sequence;
     heartbeat.is_reply = is_reply;
-    if (m_calls.current_load) {
-        heartbeat.load = m_calls.current_load();
+    if (m_callbacks.current_load) {
+        heartbeat.load = m_callbacks.current_load();
     }
     enqueue(encode(m_revision(), std::move(heartbeat)));
 }
 
 bool peer_connection::has_work(std::chrono::steady_clock::time_point now) const {
-    if (m_calls.has_work) {
-        return m_calls.has_work();
+    if (m_callbacks.has_work) {
+        return m_callbacks.has_work();
     }
     return now - m_last_message < m_heartbeat.work_periods * m_heartbeat.period;
 }
 
-void peer_connection::check_silence() {
+void peer_connection::check_liveness() {
     const auto now = std::chrono::steady_clock::now();
     if (!m_opened) {
         if (now - m_last_received > m_heartbeat.handshake_limit) {
@@ -223,21 +223,23 @@
     }
     // The timeout starts one period before the first unanswered heartbeat, so an idle connection isn't closed
     // before its peer could reply. On a connection with work, that is about when a message was last received.
-    if (m_asked &&
-        now - std::max(m_last_received, *m_asked - m_heartbeat.period) > m_heartbeat.silence_limit) {
+    if (m_unanswered_heartbeat &&
+        now - std::max(m_last_received, *m_unanswered_heartbeat - m_heartbeat.period) >
+            m_heartbeat.silence_limit) {
         finish("silent");
         return;
     }
     // A side that waits for answers needs to receive messages: successful writes don't show that the peer
     // responds. A side that only sends counts its writes as activity and leaves a lost network path to the
     // kernel, see set_socket_options().
-    const auto last_sign = m_calls.has_work ? m_last_received : std::max(m_last_received, m_last_written);
+    const auto last_activity =
+        m_callbacks.has_work ? m_last_received : std::max(m_last_received, m_last_written);
     const auto quiet_limit =
         has_work(now) ? m_heartbeat.period : m_heartbeat.idle_periods * m_heartbeat.period;
     // Half a period is subtracted because this function runs once per period: a reply that arrived just after
     // the previous call is slightly less than a full period old now.
-    if (m_asked || now - last_sign > quiet_limit - m_heartbeat.period / 2) {
-        m_asked = m_asked.value_or(now);
+    if (m_unanswered_heartbeat || now - last_activity > quiet_limit - m_heartbeat.period / 2) {
+        m_unanswered_heartbeat = m_unanswered_heartbeat.value_or(now);
         send_heartbeat(false);
     }
 }
@@ -252,10 +254,10 @@
     m_socket.shutdown(asio::ip::tcp::socket::shutdown_both, ignored);
     m_socket.close(ignored);
     m_outgoing.clear();
-    m_calls.closed(reason);
+    m_callbacks.closed(reason);
     // The callbacks are released in a later step: finish() may have been called from one of them, and its
     // captures must stay valid until it returns.
-    asio::post(m_strand, [self = shared_from_this()] { self->m_calls = {}; });
+    asio::post(m_strand, [self = shared_from_this()] { self->m_callbacks = {}; });
 }
 
 } // namespace borageford::wire
--- a/src/wire/peer_connection.hpp
+++ b/src/wire/peer_connection.hpp
@@ -96,13 +96,13 @@
     void write_next();
     void read_header();
     void read_body();
-    void take_body();
+    void handle_body();
     void read_into(boost::asio::mutable_buffer target, void (peer_connection::*next_step)());
     void handle(envelope received);
     void handle_hello(const hello_message& hello);
     void handle_heartbeat(const heartbeat_message& heartbeat);
     void send_heartbeat(bool is_reply);
-    void check_silence();
+    void check_liveness();
     [[nodiscard]] bool has_work(std::chrono::steady_clock::time_point now) const;
     void set_socket_options();
     void finish(const std::string& reason);
@@ -116,7 +116,7 @@
     heartbeat_settings m_heartbeat;
     hello_message m_own_hello;
     std::function<std::uint64_t()> m_revision;
-    callbacks m_calls;
+    callbacks m_callbacks;
 
     std::deque<std::vector<std::byte>> m_outgoing;
     std::size_t m_outgoing_bytes = 0;
@@ -131,7 +131,7 @@
     std::chrono::steady_clock::time_point m_last_message; ///< last message but heartbeats, sent or received
     /// When the first heartbeat was sent that hasn't been followed by a received message; std::nullopt when
     /// there is none.
-    std::optional<std::chrono::steady_clock::time_point> m_asked;
+    std::optional<std::chrono::steady_clock::time_point> m_unanswered_heartbeat;
     timer_subscription m_heartbeat_timer;
 };
 
