--- a/src/net/connection.cpp
+++ b/src/net/connection.cpp
@@ -18,21 +18,21 @@
 
 /// Initial size of a read in bytes: enough for a typical request head. An idle connection keeps a buffer of
 /// this size.
-constexpr std::size_t usual_read_size = 4096;
+constexpr std::size_t default_read_size = 4096;
 /// Largest number of pieces passed to one gathered write; further pieces are queued.
-constexpr std::size_t gathered_pieces = 8;
+constexpr std::size_t max_gathered_pieces = 8;
 
 } // namespace
 
 connection::connection(asio::ip::tcp::socket socket)
-    : m_socket(std::move(socket)), m_read_size(usual_read_size) {
+    : m_socket(std::move(socket)), m_read_size(default_read_size) {
     prepare_socket(m_socket);
 }
 
 connection::~connection() = default;
 
-void connection::set_handlers(handlers to_call) {
-    m_handlers = std::make_shared<const handlers>(std::move(to_call));
+void connection::set_handlers(handlers new_handlers) {
+    m_handlers = std::make_shared<const handlers>(std::move(new_handlers));
 }
 
 template <typename Member, typename... Arguments>
@@ -44,26 +44,26 @@
 }
 
 void connection::read() {
-    m_wants_input = true;
-    if (m_reads || m_has_ended || !m_socket.is_open()) {
+    m_is_reading_enabled = true;
+    if (m_is_reading || m_is_end_reported || !m_socket.is_open()) {
         return;
     }
-    m_reads = true;
+    m_is_reading = true;
     const auto room = m_input.prepare(m_read_size);
     m_socket.async_read_some(
         asio::buffer(room.data(), room.size()),
         [self = shared_from_this()](const boost::system::error_code& error, std::size_t count) {
-            self->take_read(error, count);
+            self->handle_read(error, count);
         });
 }
 
-void connection::take_read(const boost::system::error_code& error, std::size_t count) {
-    m_reads = false;
+void connection::handle_read(const boost::system::error_code& error, std::size_t count) {
+    m_is_reading = false;
     if (!m_socket.is_open()) {
         return;
     }
     m_input.commit(count);
-    if (m_shuts_down) {
+    if (m_is_shutting_down) {
         m_input.consume(m_input.size());
         if (error) {
             close();
@@ -77,29 +77,29 @@
     }
     if (error) {
         report_end(error == asio::error::eof ? connection_end::closed_by_peer : connection_end::failed);
-    } else if (m_wants_input) {
+    } else if (m_is_reading_enabled) {
         read();
     }
 }
 
 void connection::consume(std::size_t count) {
     m_input.consume(count);
-    if (!m_reads) {
-        m_input.shrink(usual_read_size);
+    if (!m_is_reading) {
+        m_input.shrink(default_read_size);
     }
 }
 
 void connection::report_end(connection_end how) {
-    if (m_has_ended) {
+    if (m_is_end_reported) {
         return;
     }
-    m_has_ended = true;
+    m_is_end_reported = true;
     call(&handlers::on_end, how);
 }
 
 std::size_t connection::write_now(std::span<const std::string_view> pieces,
                                   boost::system::error_code& error) {
-    std::array<asio::const_buffer, gathered_pieces> buffers;
+    std::array<asio::const_buffer, max_gathered_pieces> buffers;
     const auto gathered = std::min(pieces.size(), buffers.size());
     for (std::size_t index = 0; index < gathered; ++index) {
         buffers.at(index) = asio::buffer(pieces[index].data(), pieces[index].size());
@@ -112,11 +112,11 @@
 }
 
 void connection::send(std::span<const std::string_view> pieces) {
-    if (!m_socket.is_open() || m_has_ended) {
+    if (!m_socket.is_open() || m_is_end_reported) {
         return;
     }
     std::size_t written = 0;
-    if (!m_writes && m_output.is_empty()) {
+    if (!m_is_writing && m_output_queue.is_empty()) {
         boost::system::error_code error;
         written = write_now(pieces, error);
         m_sent_bytes += written;
@@ -130,50 +130,50 @@
     for (const auto piece : pieces) {
         const auto skipped = std::min(written, piece.size());
         written -= skipped;
-        m_output.append(piece.substr(skipped));
+        m_output_queue.append(piece.substr(skipped));
     }
-    if (!m_output.is_empty()) {
+    if (!m_output_queue.is_empty()) {
         write_queued();
     }
 }
 
 void connection::write_queued() {
-    if (m_writes) {
+    if (m_is_writing) {
         return;
     }
-    m_writes = true;
-    std::swap(m_writing, m_output);
-    const auto bytes = m_writing.readable();
+    m_is_writing = true;
+    std::swap(m_write_buffer, m_output_queue);
+    const auto bytes = m_write_buffer.readable();
     m_socket.async_write_some(
         asio::buffer(bytes.data(), bytes.size()),
         [self = shared_from_this()](const boost::system::error_code& error, std::size_t count) {
-            self->take_written(error, count);
+            self->handle_written(error, count);
         });
 }
 
-void connection::take_written(const boost::system::error_code& error, std::size_t count) {
-    m_writes = false;
+void connection::handle_written(const boost::system::error_code& error, std::size_t count) {
+    m_is_writing = false;
     if (!m_socket.is_open()) {
         return;
     }
     m_sent_bytes += count;
-    m_writing.consume(count);
+    m_write_buffer.consume(count);
     if (error) {
         report_end(connection_end::failed);
         return;
     }
-    if (!m_writing.is_empty()) {
-        m_writing.append(m_output.readable());
-        m_output.consume(m_output.size());
-        std::swap(m_writing, m_output);
+    if (!m_write_buffer.is_empty()) {
+        m_write_buffer.append(m_output_queue.readable());
+        m_output_queue.consume(m_output_queue.size());
+        std::swap(m_write_buffer, m_output_queue);
     }
-    if (!m_output.is_empty()) {
+    if (!m_output_queue.is_empty()) {
         write_queued();
         return;
     }
-    m_writing.shrink(usual_read_size);
-    m_output.shrink(usual_read_size);
-    if (m_shuts_down) {
+    m_write_buffer.shrink(default_read_size);
+    m_output_queue.shrink(default_read_size);
+    if (m_is_shutting_down) {
         shut_down_when_sent();
     } else {
         call(&handlers::on_drained);
@@ -187,7 +187,7 @@
 }
 
 void connection::shut_down_when_sent() {
-    if (m_writes || !m_output.is_empty()) {
+    if (m_is_writing || !m_output_queue.is_empty()) {
         return;
     }
     boost::system::error_code ignored;
@@ -197,15 +197,15 @@
 }
 
 void connection::close_gently(std::chrono::milliseconds linger) {
-    if (!m_socket.is_open() || m_shuts_down) {
+    if (!m_socket.is_open() || m_is_shutting_down) {
         return;
     }
-    if (m_has_ended) {
+    if (m_is_end_reported) {
         close();
         return;
     }
     m_handlers.reset();
-    m_shuts_down = true;
+    m_is_shutting_down = true;
     const auto timer = std::make_shared<asio::steady_timer>(m_socket.get_executor(), linger);
     timer->async_wait(
         [self = shared_from_this(), timer](const boost::system::error_code&) { self->close(); });
--- a/src/net/connection.hpp
+++ b/src/net/connection.hpp
@@ -45,12 +45,12 @@
     connection& operator=(connection&&) = delete;
 
     /// Replaces the handlers, for example when a pooled connection gets a new user.
-    void set_handlers(handlers to_call);
+    void set_handlers(handlers new_handlers);
 
     /// Starts or resumes reading.
     void read();
     /// Stops reading. A read that is in progress may still call on_input once.
-    void pause_reading() noexcept { m_wants_input = false; }
+    void pause_reading() noexcept { m_is_reading_enabled = false; }
 
     /// Sets the minimum buffer space for one read in bytes; a larger size suits long bodies.
     void set_read_size(std::size_t bytes) noexcept { m_read_size = bytes; }
@@ -66,7 +66,7 @@
     void send(std::string_view bytes) { send(std::span(&bytes, 1)); }
 
     /// Number of queued bytes for which no write has been started yet.
-    [[nodiscard]] std::size_t unsent() const noexcept { return m_output.size(); }
+    [[nodiscard]] std::size_t unsent() const noexcept { return m_output_queue.size(); }
     /// Whether the kernel has accepted any byte. While it is false, nothing has left this process.
     [[nodiscard]] bool has_sent() const noexcept { return m_sent_bytes > 0; }
     /// Number of bytes that the kernel has accepted since the connection was opened.
@@ -87,10 +87,10 @@
 private:
     template <typename Member, typename... Arguments>
     void call(Member member, Arguments... arguments);
-    void take_read(const boost::system::error_code& error, std::size_t count);
+    void handle_read(const boost::system::error_code& error, std::size_t count);
     void report_end(connection_end how);
     void write_queued();
-    void take_written(const boost::system::error_code& error, std::size_t count);
+    void handle_written(const boost::system::error_code& error, std::size_t count);
     void shut_down_when_sent();
     std::size_t write_now(std::span<const std::string_view> pieces, boost::system::error_code& error);
 
@@ -99,15 +99,15 @@
     /// Shared, so that a handler stays valid while it replaces the handlers.
     std::shared_ptr<const handlers> m_handlers;
     byte_buffer m_input;
-    byte_buffer m_output;  ///< queued bytes for which no write has been started
-    byte_buffer m_writing; ///< the bytes of the asynchronous write in progress
+    byte_buffer m_output_queue; ///< queued bytes for which no write has been started
+    byte_buffer m_write_buffer; ///< the bytes of the asynchronous write in progress
     std::size_t m_read_size;
     std::uint64_t m_sent_bytes = 0;
-    bool m_wants_input = false;
-    bool m_reads = false;
-    bool m_writes = false;
-    bool m_has_ended = false;
-    bool m_shuts_down = false; ///< close_gently() was called: input is discarded until the peer closes
+    bool m_is_reading_enabled = false;
+    bool m_is_reading = false;
+    bool m_is_writing = false;
+    bool m_is_end_reported = false;
+    bool m_is_shutting_down = false; ///< close_gently() was called: input is discarded until the peer closes
 };
 
 } // namespace borageford::net
