--- a/src/http/event_splitter.cpp
+++ b/src/http/event_splitter.cpp
@@ -10,7 +10,7 @@
 
 /// The position behind the empty line that ends the first event after `from`; npos when there is no complete
 /// event.
-std::size_t find_end(std::string_view bytes, std::size_t from) {
+std::size_t find_event_end(std::string_view bytes, std::size_t from) {
     for (auto line_end = bytes.find('\n', from); line_end != std::string_view::npos;
          line_end = bytes.find('\n', line_end + 1)) {
         const auto rest = bytes.substr(line_end + 1);
@@ -27,18 +27,19 @@
 } // namespace
 
 std::string_view event_splitter::add(std::string_view bytes) {
-    m_bytes.erase(0, m_passed);
-    m_passed = 0;
+    m_bytes.erase(0, m_returned_size);
+    m_returned_size = 0;
     m_bytes.append(bytes);
     const std::string_view all(m_bytes);
-    for (auto end = find_end(all, m_passed); end != std::string_view::npos; end = find_end(all, m_passed)) {
-        take_event(all.substr(m_passed, end - m_passed));
-        m_passed = end;
+    for (auto end = find_event_end(all, m_returned_size); end != std::string_view::npos;
+         end = find_event_end(all, m_returned_size)) {
+        read_id(all.substr(m_returned_size, end - m_returned_size));
+        m_returned_size = end;
     }
-    return all.substr(0, m_passed);
+    return all.substr(0, m_returned_size);
 }
 
-void event_splitter::take_event(std::string_view event) {
+void event_splitter::read_id(std::string_view event) {
     ++m_count;
     std::size_t begin = 0;
     while (begin < event.size()) {
--- a/src/http/event_splitter.hpp
+++ b/src/http/event_splitter.hpp
@@ -17,7 +17,7 @@
     [[nodiscard]] std::string_view add(std::string_view bytes);
 
     /// Whether the stream so far ends with an incomplete event.
-    [[nodiscard]] bool has_part() const noexcept { return m_passed < m_bytes.size(); }
+    [[nodiscard]] bool has_part() const noexcept { return m_returned_size < m_bytes.size(); }
 
     /// The last event id in the complete events; std::nullopt when none of them had an id.
     [[nodiscard]] const std::optional<std::string>& last_id() const noexcept { return m_last_id; }
@@ -27,10 +27,10 @@
     [[nodiscard]] std::uint64_t count() const noexcept { return m_count; }
 
 private:
-    void take_event(std::string_view event);
+    void read_id(std::string_view event);
 
     std::string m_bytes;
-    std::size_t m_passed = 0; ///< number of bytes at the front of m_bytes that the last add() returned
+    std::size_t m_returned_size = 0; ///< number of bytes at the front of m_bytes that the last add() returned
     std::optional<std::string> m_first_id;
     std::optional<std::string> m_last_id;
     std::uint64_t m_count = 0;
--- a/src/http/field_list.cpp
+++ b/src/http/field_list.cpp
@@ -19,25 +19,25 @@
 }
 
 void field_list::add(std::string_view name, std::string_view value) {
-    m_places.push_back({static_cast<std::uint32_t>(m_text.size()), static_cast<std::uint32_t>(name.size()),
-                        static_cast<std::uint32_t>(value.size())});
+    m_positions.push_back({static_cast<std::uint32_t>(m_text.size()), static_cast<std::uint32_t>(name.size()),
+                           static_cast<std::uint32_t>(value.size())});
     m_text.append(name).append(value);
 }
 
 void field_list::clear() noexcept {
     m_text.clear();
-    m_places.clear();
+    m_positions.clear();
 }
 
 field_list::field field_list::at(std::size_t index) const {
-    const auto& where = m_places.at(index);
+    const auto& where = m_positions.at(index);
     const std::string_view text(m_text);
     return {text.substr(where.begin, where.name_size),
             text.substr(where.begin + where.name_size, where.value_size)};
 }
 
 std::optional<std::string_view> field_list::find(std::string_view name) const {
-    for (std::size_t index = 0; index < m_places.size(); ++index) {
+    for (std::size_t index = 0; index < m_positions.size(); ++index) {
         const auto [field_name, value] = at(index);
         if (is_same_name(field_name, name)) {
             return value;
@@ -48,7 +48,7 @@
 
 std::size_t field_list::count(std::string_view name) const {
     std::size_t found = 0;
-    for (std::size_t index = 0; index < m_places.size(); ++index) {
+    for (std::size_t index = 0; index < m_positions.size(); ++index) {
         found += is_same_name(at(index).name, name) ? 1 : 0;
     }
     return found;
--- a/src/http/field_list.hpp
+++ b/src/http/field_list.hpp
@@ -25,7 +25,7 @@
     void add(std::string_view name, std::string_view value);
     void clear() noexcept;
 
-    [[nodiscard]] std::size_t size() const noexcept { return m_places.size(); }
+    [[nodiscard]] std::size_t size() const noexcept { return m_positions.size(); }
     /// The field at the index. Throws std::out_of_range.
     [[nodiscard]] field at(std::size_t index) const;
 
@@ -35,14 +35,14 @@
     [[nodiscard]] std::size_t count(std::string_view name) const;
 
 private:
-    struct place {
+    struct position {
         std::uint32_t begin;
         std::uint32_t name_size;
         std::uint32_t value_size;
     };
 
     std::string m_text; ///< the concatenated names and values of all fields
-    std::vector<place> m_places;
+    std::vector<position> m_positions;
 };
 
 } // namespace borageford::http
--- a/src/http/request_reader.cpp
+++ b/src/http/request_reader.cpp
@@ -20,7 +20,7 @@
 public:
     explicit library_parser(received_request& message) : m_message(message) {}
 
-    [[nodiscard]] bool has_refused_coding() const noexcept { return m_has_refused_coding; }
+    [[nodiscard]] bool has_unsupported_coding() const noexcept { return m_has_unsupported_coding; }
 
 private:
     using string_view = beast::string_view;
@@ -37,7 +37,7 @@
         // With any other transfer coding the length of the body would be unknown.
         if (name == beast::http::field::transfer_encoding &&
             !is_same_name({value.data(), value.size()}, "chunked")) {
-            m_has_refused_coding = true;
+            m_has_unsupported_coding = true;
         }
         m_message.fields.add({name_text.data(), name_text.size()}, {value.data(), value.size()});
     }
@@ -57,7 +57,7 @@
     void on_finish_impl(error_code&) override {}
 
     received_request& m_message;
-    bool m_has_refused_coding = false;
+    bool m_has_unsupported_coding = false;
 };
 
 /// Whether the head contains a line that ends in LF without CR, a CR inside a line, a folded line or a null
@@ -109,7 +109,7 @@
 
     void check_head() {
         const auto& fields = message.fields;
-        if (parser.has_refused_coding() || fields.count("Transfer-Encoding") > 1) {
+        if (parser.has_unsupported_coding() || fields.count("Transfer-Encoding") > 1) {
             throw request_error(error_kind::bad_request, "a transfer coding other than chunked");
         }
         if (fields.count("Content-Length") > 1) {
@@ -158,11 +158,11 @@
         }
     }
     while (!is_complete() && used < bytes.size()) {
-        const auto taken = m_state->put(bytes.substr(used));
-        if (taken == 0) {
+        const auto consumed = m_state->put(bytes.substr(used));
+        if (consumed == 0) {
             break;
         }
-        used += taken;
+        used += consumed;
     }
     return used;
 }
--- a/src/http/response_reader.cpp
+++ b/src/http/response_reader.cpp
@@ -73,8 +73,8 @@
     while (!is_complete() && used < bytes.size()) {
         const auto rest = bytes.substr(used);
         beast::error_code error;
-        const auto taken = m_state->parser.put(boost::asio::buffer(rest.data(), rest.size()), error);
-        used += taken;
+        const auto consumed = m_state->parser.put(boost::asio::buffer(rest.data(), rest.size()), error);
+        used += consumed;
         if (error == beast::http::error::need_more) {
             break;
         }
--- a/src/http/server.cpp
+++ b/src/http/server.cpp
@@ -44,7 +44,7 @@
 
 constexpr std::size_t read_size = 4096;
 /// How many bytes, and for how long, the server reads from a caller after it has refused its request.
-constexpr std::size_t linger_bytes = 16U * 1024 * 1024;
+constexpr std::size_t max_linger_bytes = 16U * 1024 * 1024;
 constexpr std::chrono::seconds linger_time{2};
 constexpr std::string_view continue_line = "HTTP/1.1 100 Continue\r\n\r\n";
 
@@ -69,8 +69,8 @@
 
 /// The timer that limits how long a request may take to arrive. Used on the connection's strand only. The
 /// stream must exist until `is_over` is set.
-struct request_limit {
-    explicit request_limit(const asio::any_io_executor& executor) : timer(executor) {}
+struct request_timer {
+    explicit request_timer(const asio::any_io_executor& executor) : timer(executor) {}
 
     void cancel() {
         is_over = true;
@@ -79,12 +79,12 @@
 
     asio::steady_timer timer;
     bool is_over = false;
-    bool has_passed = false;
+    bool has_expired = false;
 };
 
 /// The error kind for a request that couldn't be read; std::nullopt when the caller has closed the
 /// connection.
-std::optional<error_kind> refusal_for(const beast::error_code& error) {
+std::optional<error_kind> error_kind_for(const beast::error_code& error) {
     if (error == beast::http::error::header_limit) {
         return error_kind::headers_too_large;
     }
@@ -210,7 +210,7 @@
     asio::awaitable<void> accept();
     asio::awaitable<void> serve(tcp::socket socket);
     asio::awaitable<bool> wait_for_bytes(stream_pointer stream, beast::flat_buffer& buffer);
-    std::shared_ptr<request_limit> start_request_limit(beast::tcp_stream& stream) const;
+    std::shared_ptr<request_timer> start_request_timer(beast::tcp_stream& stream) const;
     asio::awaitable<bool> serve_one(beast::tcp_stream& stream, beast::flat_buffer& buffer);
     asio::awaitable<void> answer(const request& call, response_writer& writer);
     asio::awaitable<void> refuse_and_close(beast::tcp_stream& stream, error_kind kind, std::string_view why);
@@ -296,12 +296,12 @@
 
 /// Starts the timer that cancels the reading of a request after `limits.request_time`. The connection stays
 /// open for the error response.
-std::shared_ptr<request_limit> server::state::start_request_limit(beast::tcp_stream& stream) const {
-    auto limit = std::make_shared<request_limit>(stream.get_executor());
+std::shared_ptr<request_timer> server::state::start_request_timer(beast::tcp_stream& stream) const {
+    auto limit = std::make_shared<request_timer>(stream.get_executor());
     limit->timer.expires_after(limits.request_time);
     limit->timer.async_wait([limit, &stream](const beast::error_code& error) {
         if (!error && !limit->is_over) {
-            limit->has_passed = true;
+            limit->has_expired = true;
             stream.cancel();
         }
     });
@@ -314,7 +314,7 @@
     parser.body_limit(limits.body_bytes);
     // The stream's own timeout would close the socket, and the caller would get no error response.
     stream.expires_never();
-    const auto limit = start_request_limit(stream);
+    const auto limit = start_request_timer(stream);
     beast::error_code error;
     auto token = asio::redirect_error(asio::use_awaitable, error);
     co_await beast::http::async_read_header(stream, buffer, parser, token);
@@ -326,7 +326,7 @@
     }
     limit->cancel();
     if (error) {
-        const auto kind = limit->has_passed ? error_kind::request_timeout : refusal_for(error);
+        const auto kind = limit->has_expired ? error_kind::request_timeout : error_kind_for(error);
         if (kind) {
             co_await refuse_and_close(stream, *kind, error.message());
         }
@@ -382,7 +382,7 @@
     stream.socket().shutdown(tcp::socket::shutdown_send, error);
     stream.expires_after(linger_time);
     std::array<char, read_size> scrap{};
-    for (std::size_t total = 0; !error && total < linger_bytes;) {
+    for (std::size_t total = 0; !error && total < max_linger_bytes;) {
         total += co_await stream.async_read_some(asio::buffer(scrap),
                                                  asio::redirect_error(asio::use_awaitable, error));
     }
