--- a/src/backend/answer_checker.cpp
+++ b/src/backend/answer_checker.cpp
@@ -15,7 +15,7 @@
 /// The data of the last event of every complete answer.
 constexpr std::string_view closing_event = "[DONE]";
 /// The line beginnings that server-sent events allow besides `data_field`. ":" begins a comment.
-constexpr std::array<std::string_view, 4> other_fields{"event:", "id:", "retry:", ":"};
+constexpr std::array<std::string_view, 4> allowed_line_starts{"event:", "id:", "retry:", ":"};
 
 /// Throws backend_error with failure::garbled when the text isn't a JSON object.
 json::object parse_object(std::string_view text) {
@@ -65,7 +65,7 @@
     for (auto end = piece.find('\n'); end != std::string_view::npos; end = piece.find('\n')) {
         m_partial_line.append(piece.substr(0, end));
         piece.remove_prefix(end + 1);
-        if (take_line(m_partial_line)) {
+        if (check_line(m_partial_line)) {
             ++tokens;
         }
         m_partial_line.clear();
@@ -77,7 +77,7 @@
     return tokens;
 }
 
-bool event_stream_checker::take_line(std::string_view line) {
+bool event_stream_checker::check_line(std::string_view line) {
     if (line.ends_with('\r')) {
         line.remove_suffix(1);
     }
@@ -89,19 +89,19 @@
                             "the backend server sent data after the closing event of its answer");
     }
     if (line.starts_with(data_field)) {
-        return take_event(line.substr(data_field.size()));
+        return check_event(line.substr(data_field.size()));
     }
-    const auto is_other = [line](std::string_view field) {
+    const auto line_starts_with = [line](std::string_view field) {
         return line.starts_with(field);
     };
-    if (std::ranges::none_of(other_fields, is_other)) {
+    if (std::ranges::none_of(allowed_line_starts, line_starts_with)) {
         throw backend_error(failure::garbled,
                             "the backend server sent a line that is not part of a server-sent event");
     }
     return false;
 }
 
-bool event_stream_checker::take_event(std::string_view data) {
+bool event_stream_checker::check_event(std::string_view data) {
     while (data.starts_with(' ')) {
         data.remove_prefix(1);
     }
--- a/src/backend/answer_checker.hpp
+++ b/src/backend/answer_checker.hpp
@@ -31,8 +31,8 @@
     void set_measured(const usage& counts) noexcept { m_usage = counts; }
 
 private:
-    bool take_line(std::string_view line);
-    bool take_event(std::string_view data);
+    bool check_line(std::string_view line);
+    bool check_event(std::string_view data);
 
     std::string m_partial_line;
     bool m_is_done = false;
--- a/src/backend/answer_stream.cpp
+++ b/src/backend/answer_stream.cpp
@@ -27,7 +27,7 @@
         const auto type = http::find_header(head.headers, "Content-Type");
         co_return answer_head{head.status, std::string(type.value_or(""))};
     } catch (const http::exchange_error& error) {
-        throw backend_error(meaning_of(error), error.what());
+        throw backend_error(to_failure(error), error.what());
     }
 }
 
@@ -35,7 +35,7 @@
     try {
         co_return co_await m_exchange.read_some();
     } catch (const http::exchange_error& error) {
-        throw backend_error(meaning_of(error), error.what());
+        throw backend_error(to_failure(error), error.what());
     }
 }
 
--- a/src/backend/backend_server.cpp
+++ b/src/backend/backend_server.cpp
@@ -13,20 +13,20 @@
 }
 
 void backend_server::replace(server kind) {
-    m_kinds.push_back(std::move(kind));
+    m_servers.push_back(std::move(kind));
 }
 
 bool backend_server::is_engine() const noexcept {
-    return std::holds_alternative<model_engine>(m_kinds.back());
+    return std::holds_alternative<model_engine>(m_servers.back());
 }
 
 model_engine* backend_server::as_engine() noexcept {
-    return std::get_if<model_engine>(&m_kinds.back());
+    return std::get_if<model_engine>(&m_servers.back());
 }
 
 asio::awaitable<answer_head> backend_server::run(answer_stream& stream, dispatch_id dispatch,
                                                  const call& work) {
-    return std::visit([&](auto& kind) { return kind.run(stream, dispatch, work); }, m_kinds.back());
+    return std::visit([&](auto& kind) { return kind.run(stream, dispatch, work); }, m_servers.back());
 }
 
 asio::awaitable<std::optional<answer_head>>
@@ -45,7 +45,7 @@
 }
 
 asio::awaitable<bool> backend_server::is_healthy() {
-    return std::visit([](auto& kind) { return kind.is_healthy(); }, m_kinds.back());
+    return std::visit([](auto& kind) { return kind.is_healthy(); }, m_servers.back());
 }
 
 } // namespace borageford::backend
--- a/src/backend/backend_server.hpp
+++ b/src/backend/backend_server.hpp
@@ -48,7 +48,7 @@
     /// All servers that were set; the last one is in use. The previous ones are kept because a call in
     /// progress, such as the health check at the start, still uses the object it was started on; destroying
     /// that object made requests hang.
-    std::deque<server> m_kinds;
+    std::deque<server> m_servers;
 };
 
 } // namespace borageford::backend
--- a/src/backend/http_exchange.cpp
+++ b/src/backend/http_exchange.cpp
@@ -10,7 +10,7 @@
 
 } // namespace
 
-failure meaning_of(const http::exchange_error& error) noexcept {
+failure to_failure(const http::exchange_error& error) noexcept {
     if (error.stage() == http::exchange_stage::connecting) {
         return failure::unreachable;
     }
@@ -36,12 +36,12 @@
         const http::exchange_limits limits{limit, limit, limit, control_body_limit};
         co_return co_await http::fetch(executor, server, request, limits);
     } catch (const http::exchange_error& error) {
-        throw backend_error(meaning_of(error), error.what());
+        throw backend_error(to_failure(error), error.what());
     }
 }
 
-boost::asio::awaitable<bool> answers_health(const boost::asio::any_io_executor& executor,
-                                            const http::endpoint& server, std::chrono::milliseconds limit) {
+boost::asio::awaitable<bool> check_health(const boost::asio::any_io_executor& executor,
+                                          const http::endpoint& server, std::chrono::milliseconds limit) {
     http::request request;
     request.target = "/health";
     try {
--- a/src/backend/http_exchange.hpp
+++ b/src/backend/http_exchange.hpp
@@ -13,7 +13,7 @@
 namespace borageford::backend {
 
 /// Maps an HTTP error to the failure of a call to a backend server.
-[[nodiscard]] failure meaning_of(const http::exchange_error& error) noexcept;
+[[nodiscard]] failure to_failure(const http::exchange_error& error) noexcept;
 
 /// Builds the HTTP request for a call. The dispatch's id is sent in the header X-Request-Id.
 [[nodiscard]] http::request make_call(dispatch_id dispatch, const call& work);
@@ -25,7 +25,7 @@
                                                 std::chrono::milliseconds limit);
 
 /// Whether the server answers GET /health with status 200; each step may take up to `limit`.
-boost::asio::awaitable<bool> answers_health(const boost::asio::any_io_executor& executor,
-                                            const http::endpoint& server, std::chrono::milliseconds limit);
+boost::asio::awaitable<bool> check_health(const boost::asio::any_io_executor& executor,
+                                          const http::endpoint& server, std::chrono::milliseconds limit);
 
 } // namespace borageford::backend
--- a/src/backend/model_engine.cpp
+++ b/src/backend/model_engine.cpp
@@ -115,12 +115,13 @@
 }
 
 asio::awaitable<bool> model_engine::cancel(dispatch_id dispatch) {
-    const auto answer = co_await ask("DELETE", "/v1/streams/" + dispatch.to_string(), {}, m_control_timeout);
+    const auto answer =
+        co_await send_control_request("DELETE", "/v1/streams/" + dispatch.to_string(), {}, m_control_timeout);
     co_return answer.head.status == status_no_content || answer.head.status == status_ok;
 }
 
 asio::awaitable<engine_load> model_engine::load() {
-    const auto answer = parse_answer(co_await ask("GET", "/load", {}, m_control_timeout));
+    const auto answer = parse_answer(co_await send_control_request("GET", "/load", {}, m_control_timeout));
     engine_load report;
     report.running = static_cast<std::uint32_t>(read_number(answer, "running"));
     report.waiting = static_cast<std::uint32_t>(read_number(answer, "waiting"));
@@ -131,7 +132,7 @@
 
 asio::awaitable<cache_event_batch> model_engine::cache_events(std::uint64_t after) {
     const auto target = "/cache_events?after=" + std::to_string(after);
-    const auto answer = parse_answer(co_await ask("GET", target, {}, m_control_timeout));
+    const auto answer = parse_answer(co_await send_control_request("GET", target, {}, m_control_timeout));
     cache_event_batch batch;
     batch.next = read_number(answer, "next");
     for (const auto& item : read_array(answer, "events")) {
@@ -143,7 +144,7 @@
 }
 
 asio::awaitable<engine_state> model_engine::state() {
-    const auto answer = parse_answer(co_await ask("GET", "/state", {}, m_control_timeout));
+    const auto answer = parse_answer(co_await send_control_request("GET", "/state", {}, m_control_timeout));
     engine_state now;
     for (const auto& item : read_array(answer, "models")) {
         if (item.is_object()) {
@@ -170,7 +171,7 @@
         {"kind", json::string_view(to_string(command.kind).data(), to_string(command.kind).size())},
         {"name", command.name},
         {"version", command.version}};
-    const auto answer = co_await ask("POST", "/orders", json::serialize(body), limit);
+    const auto answer = co_await send_control_request("POST", "/orders", json::serialize(body), limit);
     if (answer.head.status == status_conflict) {
         co_return order_result::stale_fencing;
     }
@@ -182,11 +183,12 @@
 }
 
 asio::awaitable<bool> model_engine::is_healthy() {
-    co_return co_await answers_health(m_executor, m_address, m_control_timeout);
+    co_return co_await check_health(m_executor, m_address, m_control_timeout);
 }
 
-asio::awaitable<http::response> model_engine::ask(std::string method, std::string target, std::string body,
-                                                  std::chrono::milliseconds limit) {
+asio::awaitable<http::response> model_engine::send_control_request(std::string method, std::string target,
+                                                                   std::string body,
+                                                                   std::chrono::milliseconds limit) {
     http::request request;
     request.method = std::move(method);
     request.target = std::move(target);
--- a/src/backend/model_engine.hpp
+++ b/src/backend/model_engine.hpp
@@ -46,8 +46,9 @@
 
 private:
     /// Sends a request to the engine and returns the response; throws backend_error.
-    boost::asio::awaitable<http::response> ask(std::string method, std::string target, std::string body,
-                                               std::chrono::milliseconds limit);
+    boost::asio::awaitable<http::response> send_control_request(std::string method, std::string target,
+                                                                std::string body,
+                                                                std::chrono::milliseconds limit);
 
     boost::asio::any_io_executor m_executor;
     http::endpoint m_address;
--- a/src/backend/plain_service.cpp
+++ b/src/backend/plain_service.cpp
@@ -18,7 +18,7 @@
 }
 
 boost::asio::awaitable<bool> plain_service::is_healthy() {
-    co_return co_await answers_health(m_executor, m_address, m_control_timeout);
+    co_return co_await check_health(m_executor, m_address, m_control_timeout);
 }
 
 } // namespace borageford::backend
