--- a/src/base/snapshot.hpp
+++ b/src/base/snapshot.hpp
@@ -30,32 +30,32 @@
 
     /// The current value, never null. Safe to call from any thread.
     [[nodiscard]] std::shared_ptr<const Value> read() const noexcept {
-        auto& own = find_slot();
-        if (own.owner != m_identity || own.version != m_version.load(std::memory_order_acquire)) {
-            refresh(own);
+        auto& entry = find_cache_entry();
+        if (entry.owner != m_identity || entry.version != m_version.load(std::memory_order_acquire)) {
+            refresh(entry);
         }
-        return own.held;
+        return entry.cached_value;
     }
 
     /// Makes `next` the current value. Safe to call from any thread.
     void replace(Value next) {
-        auto fresh = std::make_shared<const Value>(std::move(next));
+        auto replacement = std::make_shared<const Value>(std::move(next));
         const std::scoped_lock lock(m_mutex);
-        m_current.swap(fresh);
+        m_current.swap(replacement);
         m_version.fetch_add(1, std::memory_order_release);
     }
 
 private:
     /// A thread's cached pointer to the value of one snapshot.
-    struct slot {
+    struct cache_entry {
         std::uint64_t owner = 0;
         std::uint64_t version = 0;
-        std::shared_ptr<const Value> held;
+        std::shared_ptr<const Value> cached_value;
     };
 
     /// Cache entries per thread and value type. A process has few snapshots of one type; with more of them
     /// than entries, snapshots share entries and reads take the lock more often.
-    static constexpr std::size_t slot_count = 8;
+    static constexpr std::size_t cache_entry_count = 8;
 
     /// Returns a number that is never used again. Entries are matched by this number instead of the address,
     /// since a new snapshot may be created at the address of a destroyed one and would get its cached value.
@@ -64,16 +64,16 @@
         return ++last;
     }
 
-    [[nodiscard]] slot& find_slot() const noexcept {
-        thread_local std::array<slot, slot_count> slots;
-        return slots[m_identity % slot_count];
+    [[nodiscard]] cache_entry& find_cache_entry() const noexcept {
+        thread_local std::array<cache_entry, cache_entry_count> entries;
+        return entries[m_identity % cache_entry_count];
     }
 
-    void refresh(slot& own) const noexcept {
+    void refresh(cache_entry& entry) const noexcept {
         const std::scoped_lock lock(m_mutex);
-        const auto counted = std::make_shared<const std::shared_ptr<const Value>>(m_current);
-        own = {m_identity, m_version.load(std::memory_order_relaxed),
-               std::shared_ptr<const Value>(counted, counted->get())};
+        const auto separately_counted = std::make_shared<const std::shared_ptr<const Value>>(m_current);
+        entry = {m_identity, m_version.load(std::memory_order_relaxed),
+                 std::shared_ptr<const Value>(separately_counted, separately_counted->get())};
     }
 
     const std::uint64_t m_identity = next_identity();
--- a/src/metrics/histogram_state.hpp
+++ b/src/metrics/histogram_state.hpp
@@ -45,11 +45,11 @@
     state();
     void record(double seconds);
     [[nodiscard]] histogram_summary summary() const;
-    [[nodiscard]] double quantile(double share) const;
+    [[nodiscard]] double quantile(double fraction) const;
 
 private:
     // Number of samples that the P-square estimator needs to initialise its markers. Until then the samples
-    // themselves are kept in m_first and quantiles are exact.
+    // themselves are kept in m_first_samples and quantiles are exact.
     static constexpr std::size_t marker_count = 2 * estimated_quantiles.size() + 3;
 
     using accumulators = boost::accumulators::accumulator_set<
@@ -57,12 +57,12 @@
                                            boost::accumulators::tag::min, boost::accumulators::tag::max,
                                            boost::accumulators::tag::extended_p_square>>;
 
-    [[nodiscard]] double exact_quantile(std::size_t samples, double share) const;
-    [[nodiscard]] double estimated_quantile(double share) const;
+    [[nodiscard]] double exact_quantile(std::size_t samples, double fraction) const;
+    [[nodiscard]] double estimated_quantile(double fraction) const;
 
     mutable std::mutex m_mutex;
     accumulators m_accumulators;
-    std::array<double, marker_count> m_first{};
+    std::array<double, marker_count> m_first_samples{};
     std::array<std::uint64_t, bucket_bounds.size() + 1> m_buckets{};
 };
 
--- a/src/metrics/registry.cpp
+++ b/src/metrics/registry.cpp
@@ -75,9 +75,9 @@
 
 /// Formats labels as `name="value",name="value"`. The result is also the key of the member in its family.
 /// Throws std::invalid_argument for an invalid label name.
-std::string render_labels(const labels& where) {
+std::string render_labels(const labels& label_set) {
     std::string out;
-    for (const auto& [name, value] : where) {
+    for (const auto& [name, value] : label_set) {
         if (!is_valid_name(name)) {
             throw std::invalid_argument("invalid label name: " + name);
         }
@@ -92,8 +92,8 @@
 }
 
 /// Formats the labels of a family's overflow member, whose label values are all `overflow_value`.
-std::string render_overflow_labels(const labels& where) {
-    labels overflow = where;
+std::string render_overflow_labels(const labels& label_set) {
+    labels overflow = label_set;
     for (auto& [name, value] : overflow) {
         value = overflow_value;
     }
@@ -124,30 +124,31 @@
 }
 
 void append_buckets(std::string& out, const std::string& name, std::string_view labels_text,
-                    const histogram_summary& shown) {
+                    const histogram_summary& summary) {
     for (std::size_t index = 0; index < bucket_bounds.size(); ++index) {
         append_sample(out, name + "_bucket",
                       with_label(labels_text, "le", format_number(bucket_bounds.at(index))),
-                      std::to_string(shown.cumulative.at(index)));
+                      std::to_string(summary.cumulative.at(index)));
     }
-    append_sample(out, name + "_bucket", with_label(labels_text, "le", "+Inf"), std::to_string(shown.count));
-    append_sample(out, name + "_sum", labels_text, format_number(shown.sum));
-    append_sample(out, name + "_count", labels_text, std::to_string(shown.count));
+    append_sample(out, name + "_bucket", with_label(labels_text, "le", "+Inf"),
+                  std::to_string(summary.count));
+    append_sample(out, name + "_sum", labels_text, format_number(summary.sum));
+    append_sample(out, name + "_count", labels_text, std::to_string(summary.count));
 }
 
 /// A member of a family as copied for the exposition, which is written without holding the registry's lock
 /// because a gauge may call any code.
-struct shown_member {
+struct exported_member {
     std::string labels_text;
     std::variant<const counter*, const histogram*, gauge_reader> value;
 };
 
 /// A family as copied for the exposition.
-struct shown_family {
+struct exported_family {
     std::string name;
     std::string help;
     metric_type type = metric_type::counter;
-    std::vector<shown_member> members;
+    std::vector<exported_member> members;
 };
 
 } // namespace
@@ -164,8 +165,8 @@
     return m_state->summary().count;
 }
 
-double histogram::quantile(double share) const {
-    return m_state->quantile(share);
+double histogram::quantile(double fraction) const {
+    return m_state->quantile(fraction);
 }
 
 /// The data behind a registry.
@@ -196,29 +197,29 @@
 
     /// Returns the member with these labels and creates an empty one if necessary. When the family already
     /// has `members_limit` members, returns its overflow member instead. The caller must hold the lock.
-    metric& emplace(std::string_view name, std::string_view help, metric_type type, const labels& where) {
+    metric& emplace(std::string_view name, std::string_view help, metric_type type, const labels& label_set) {
         if (!is_valid_name(name)) {
             throw std::invalid_argument("invalid metric name: " + std::string(name));
         }
         auto& group =
             families.try_emplace(std::string(name), family{std::string(help), type, {}}).first->second;
         require_type(name, group, type);
-        const auto labels_text = render_labels(where);
+        const auto labels_text = render_labels(label_set);
         if (const auto member = group.members.find(labels_text); member != group.members.end()) {
             return member->second;
         }
         const bool is_full = group.members.size() >= members_limit;
-        return group.members[is_full ? render_overflow_labels(where) : labels_text];
+        return group.members[is_full ? render_overflow_labels(label_set) : labels_text];
     }
 
     /// Returns the counter or histogram with these labels and creates it if necessary.
     template <typename Metric>
-    Metric& get(std::string_view name, std::string_view help, metric_type type, const labels& where) {
-        if (const auto* found = find(name, type, render_labels(where))) {
+    Metric& get(std::string_view name, std::string_view help, metric_type type, const labels& label_set) {
+        if (const auto* found = find(name, type, render_labels(label_set))) {
             return *std::get<std::unique_ptr<Metric>>(*found);
         }
         const std::unique_lock lock(mutex);
-        auto& place = emplace(name, help, type, where);
+        auto& place = emplace(name, help, type, label_set);
         auto* held = std::get_if<std::unique_ptr<Metric>>(&place);
         if (held == nullptr || *held == nullptr) {
             place = std::make_unique<Metric>();
@@ -232,20 +233,20 @@
         }
     }
 
-    std::vector<shown_family> collect() const {
+    std::vector<exported_family> collect() const {
         const std::shared_lock lock(mutex);
-        std::vector<shown_family> out;
+        std::vector<exported_family> out;
         for (const auto& [name, group] : families) {
-            shown_family shown{name, group.help, group.type, {}};
+            exported_family exported{name, group.help, group.type, {}};
             for (const auto& [labels_text, value] : group.members) {
-                shown.members.push_back({labels_text, show(value)});
+                exported.members.push_back({labels_text, to_exported(value)});
             }
-            out.push_back(std::move(shown));
+            out.push_back(std::move(exported));
         }
         return out;
     }
 
-    static std::variant<const counter*, const histogram*, gauge_reader> show(const metric& value) {
+    static std::variant<const counter*, const histogram*, gauge_reader> to_exported(const metric& value) {
         if (const auto* held = std::get_if<std::unique_ptr<counter>>(&value)) {
             return held->get();
         }
@@ -256,7 +257,7 @@
     }
 
     static void append_member(std::string& out, std::string& quantiles, const std::string& name,
-                              const shown_member& member) {
+                              const exported_member& member) {
         if (const auto* const* held = std::get_if<const counter*>(&member.value)) {
             append_sample(out, name, member.labels_text, std::to_string((*held)->value()));
             return;
@@ -267,10 +268,10 @@
         }
         const auto& held = *std::get<const histogram*>(member.value);
         append_buckets(out, name, member.labels_text, held.m_state->summary());
-        for (const double share : estimated_quantiles) {
+        for (const double fraction : estimated_quantiles) {
             append_sample(quantiles, name + quantile_suffix,
-                          with_label(member.labels_text, "quantile", format_number(share)),
-                          format_number(held.quantile(share)));
+                          with_label(member.labels_text, "quantile", format_number(fraction)),
+                          format_number(held.quantile(fraction)));
         }
     }
 };
@@ -279,19 +280,19 @@
 
 registry::~registry() = default;
 
-counter& registry::get_counter(std::string_view name, std::string_view help, const labels& where) {
-    return m_state->get<counter>(name, help, metric_type::counter, where);
+counter& registry::get_counter(std::string_view name, std::string_view help, const labels& label_set) {
+    return m_state->get<counter>(name, help, metric_type::counter, label_set);
 }
 
-histogram& registry::get_histogram(std::string_view name, std::string_view help, const labels& where) {
-    return m_state->get<histogram>(name, help, metric_type::histogram, where);
+histogram& registry::get_histogram(std::string_view name, std::string_view help, const labels& label_set) {
+    return m_state->get<histogram>(name, help, metric_type::histogram, label_set);
 }
 
-void registry::add_gauge(std::string_view name, std::string_view help, const labels& where,
+void registry::add_gauge(std::string_view name, std::string_view help, const labels& label_set,
                          std::function<double()> read) {
     auto reader = std::make_shared<const std::function<double()>>(std::move(read));
     const std::unique_lock lock(m_state->mutex);
-    m_state->emplace(name, help, metric_type::gauge, where) = std::move(reader);
+    m_state->emplace(name, help, metric_type::gauge, label_set) = std::move(reader);
 }
 
 std::string registry::exposition() const {
--- a/src/metrics/registry.hpp
+++ b/src/metrics/registry.hpp
@@ -42,9 +42,9 @@
     void record(double seconds);
     /// Number of samples.
     [[nodiscard]] std::uint64_t count() const;
-    /// The duration in seconds that `share` (0 to 1) of the samples don't exceed; 0 without samples. Exact
+    /// The duration in seconds that `fraction` (0 to 1) of the samples don't exceed; 0 without samples. Exact
     /// for the first few samples, estimated for more.
-    [[nodiscard]] double quantile(double share) const;
+    [[nodiscard]] double quantile(double fraction) const;
 
 private:
     friend class registry;
@@ -73,13 +73,13 @@
     /// std::invalid_argument for an invalid name and std::logic_error when the name belongs to a metric of
     /// another type.
     [[nodiscard]] counter& get_counter(std::string_view name, std::string_view help,
-                                       const labels& where = {});
+                                       const labels& label_set = {});
     /// Like get_counter(), for a histogram.
     [[nodiscard]] histogram& get_histogram(std::string_view name, std::string_view help,
-                                           const labels& where = {});
+                                           const labels& label_set = {});
     /// Adds a gauge or replaces it. `read` is called by exposition() to get the value and must be safe to
     /// call from any thread.
-    void add_gauge(std::string_view name, std::string_view help, const labels& where,
+    void add_gauge(std::string_view name, std::string_view help, const labels& label_set,
                    std::function<double()> read);
 
     /// Returns all metrics in the text exposition format.
