--- a/src/base/compression.cpp
+++ b/src/base/compression.cpp
@@ -13,7 +13,7 @@
 namespace {
 
 constexpr std::size_t piece_size = 16U * 1024;
-constexpr std::size_t base64_group = 4;
+constexpr std::size_t base64_group_size = 4;
 constexpr std::size_t base64_group_bytes = 3;
 
 /// Owns a zlib decompression stream and releases it in the destructor, also when an exception is thrown.
@@ -86,7 +86,7 @@
 std::string encode_base64(std::span<const std::uint8_t> bytes) {
     const auto groups = (bytes.size() + base64_group_bytes - 1) / base64_group_bytes;
     // EVP_EncodeBlock also writes a terminating null byte, which is cut off below.
-    std::string text(groups * base64_group + 1, '\0');
+    std::string text(groups * base64_group_size + 1, '\0');
     const auto length = EVP_EncodeBlock(reinterpret_cast<unsigned char*>(text.data()), bytes.data(),
                                         static_cast<int>(bytes.size()));
     text.resize(static_cast<std::size_t>(length));
@@ -94,10 +94,10 @@
 }
 
 std::vector<std::uint8_t> decode_base64(std::string_view text) {
-    if (text.size() % base64_group != 0) {
+    if (text.size() % base64_group_size != 0) {
         throw compression_error("the length of the base64 text is not a multiple of four");
     }
-    std::vector<std::uint8_t> bytes(text.size() / base64_group * base64_group_bytes);
+    std::vector<std::uint8_t> bytes(text.size() / base64_group_size * base64_group_bytes);
     const auto length = EVP_DecodeBlock(bytes.data(), reinterpret_cast<const unsigned char*>(text.data()),
                                         static_cast<int>(text.size()));
     if (length < 0) {
--- a/src/process/common_settings.cpp
+++ b/src/process/common_settings.cpp
@@ -14,34 +14,31 @@
 
 constexpr std::array<std::string_view, 2> log_formats{"text", "json"};
 constexpr std::array<std::string_view, 4> log_levels{"debug", "info", "warning", "error"};
-constexpr milliseconds shortest_period{10};
-constexpr milliseconds longest_period{60'000};
-constexpr std::int64_t most_threads = 64;
+constexpr milliseconds min_period{10};
+constexpr milliseconds max_period{60'000};
+constexpr std::int64_t max_threads = 64;
 
 void read_process(settings::section_reader reader, common_settings& common) {
     common.vm = reader.text("vm");
     common.failure_domain = reader.text("failure_domain");
     common.region = reader.text("region");
-    common.threads = static_cast<unsigned>(reader.number("threads", common.threads, 1, most_threads));
+    common.threads = static_cast<unsigned>(reader.number("threads", common.threads, 1, max_threads));
     common.log_format = static_cast<log::format>(reader.choice("log_format", log_formats, 0));
     common.log_level = static_cast<log::level>(reader.choice("log_level", log_levels, 1));
     common.heartbeat_period =
-        reader.duration("heartbeat_period", common.heartbeat_period, shortest_period, longest_period);
-    common.silence_limit =
-        reader.duration("silence_limit", common.silence_limit, shortest_period, longest_period);
+        reader.duration("heartbeat_period", common.heartbeat_period, min_period, max_period);
+    common.silence_limit = reader.duration("silence_limit", common.silence_limit, min_period, max_period);
     if (common.silence_limit <= common.heartbeat_period) {
         reader.complain("silence_limit", "a duration longer than heartbeat_period");
     }
-    common.audit_period =
-        reader.duration("audit_period", common.audit_period, shortest_period, longest_period);
+    common.audit_period = reader.duration("audit_period", common.audit_period, min_period, max_period);
     reader.finish();
 }
 
 void read_platform(settings::section_reader reader, common_settings& common) {
     common.platform = reader.address("address");
-    common.poll_period = reader.duration("poll_period", common.poll_period, shortest_period, longest_period);
-    common.platform_timeout =
-        reader.duration("timeout", common.platform_timeout, shortest_period, longest_period);
+    common.poll_period = reader.duration("poll_period", common.poll_period, min_period, max_period);
+    common.platform_timeout = reader.duration("timeout", common.platform_timeout, min_period, max_period);
     reader.finish();
 }
 
--- a/tests/unit/test_clock_use.cpp
+++ b/tests/unit/test_clock_use.cpp
@@ -20,11 +20,11 @@
     std::stringstream text;
     text << file.rdbuf();
     const auto code = text.str();
-    constexpr std::array<std::string_view, 7> ways{"system_clock", "high_resolution_clock", "utc_clock",
-                                                   "std::time(",   "gettimeofday",          "CLOCK_REALTIME",
-                                                   "file_clock"};
-    return std::ranges::any_of(ways,
-                               [&](std::string_view way) { return code.find(way) != std::string::npos; });
+    constexpr std::array<std::string_view, 7> clock_names{
+        "system_clock", "high_resolution_clock", "utc_clock", "std::time(",
+        "gettimeofday", "CLOCK_REALTIME",        "file_clock"};
+    return std::ranges::any_of(clock_names,
+                               [&](std::string_view name) { return code.find(name) != std::string::npos; });
 }
 
 } // namespace
@@ -33,8 +33,8 @@
     // The system clock of a machine can jump forward or back, by seconds or by an hour. A lease, a quota or a
     // server start measured with it would end too early or never, so callers would be refused or requests
     // sent to a server that no longer runs. Only the event log may read it, for the times in its lines.
-    const std::set<std::string> may_read{"events/event_log.cpp", "events/log_clock.cpp",
-                                         "events/log_clock.hpp"};
+    const std::set<std::string> allowed_readers{"events/event_log.cpp", "events/log_clock.cpp",
+                                                "events/log_clock.hpp"};
     const fs::path root = fs::path(DOCS_FOLDER) / ".." / "src";
     std::set<std::string> readers;
     for (const auto* part : {"base", "policy", "coordination", "gateway", "routing", "http", "net", "store",
@@ -45,5 +45,5 @@
             }
         }
     }
-    CHECK(readers == may_read);
+    CHECK(readers == allowed_readers);
 }
--- a/tests/unit/test_compression.cpp
+++ b/tests/unit/test_compression.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-constexpr std::size_t generous = 1U << 20U;
+constexpr std::size_t large_limit = 1U << 20U;
 
 std::string repeated_lines() {
     std::string text;
@@ -22,7 +22,7 @@
 TEST_CASE("text is unchanged after compression and base64 in both directions", "[compression]") {
     for (const auto& text : {std::string(), std::string("a"), std::string("ab"), repeated_lines()}) {
         const auto packed = deflate_text(text);
-        CHECK(inflate_text(decode_base64(encode_base64(packed)), generous) == text);
+        CHECK(inflate_text(decode_base64(encode_base64(packed)), large_limit) == text);
     }
     CHECK(deflate_text(repeated_lines()).size() * 5 < repeated_lines().size());
 }
@@ -32,7 +32,7 @@
     // used, because it would lack some of the workspaces.
     const auto packed = deflate_text(repeated_lines());
     for (const std::size_t length : {std::size_t{0}, std::size_t{1}, packed.size() / 2, packed.size() - 1}) {
-        CHECK_THROWS_AS(inflate_text(std::span(packed).first(length), generous), compression_error);
+        CHECK_THROWS_AS(inflate_text(std::span(packed).first(length), large_limit), compression_error);
     }
     CHECK_THROWS_AS(decode_base64("abc"), compression_error);
     CHECK_THROWS_AS(decode_base64("????"), compression_error);
@@ -42,6 +42,6 @@
     // A few kilobytes can inflate to gigabytes. Without a limit, the kernel would kill the process for its
     // memory use.
     const auto packed = deflate_text(std::string(50U << 20U, 'x'));
-    REQUIRE(packed.size() < generous);
-    CHECK_THROWS_AS(inflate_text(packed, generous), compression_error);
+    REQUIRE(packed.size() < large_limit);
+    CHECK_THROWS_AS(inflate_text(packed, large_limit), compression_error);
 }
--- a/tests/unit/test_http_readers.cpp
+++ b/tests/unit/test_http_readers.cpp
@@ -12,7 +12,7 @@
 
 namespace {
 
-constexpr std::string_view post =
+constexpr std::string_view post_request =
     "POST /a/b?c HTTP/1.1\r\nHost: h\r\nX-Name:  v  \r\nContent-Length: 5\r\n\r\nhello";
 
 /// Passes the bytes to the reader in pieces of `piece` bytes. Returns how many bytes the reader consumed.
@@ -21,9 +21,9 @@
     std::size_t used = 0;
     for (std::size_t at = 0; at < bytes.size() && !reader.is_complete(); at += piece) {
         held.append(bytes.substr(at, piece));
-        const auto taken = reader.read(held);
-        held.erase(0, taken);
-        used += taken;
+        const auto consumed = reader.read(held);
+        held.erase(0, consumed);
+        used += consumed;
     }
     return used;
 }
@@ -56,9 +56,9 @@
 }
 
 TEST_CASE("a request is the same however it is cut into pieces", "[http][request_reader]") {
-    for (const std::size_t piece : {std::size_t(1), std::size_t(3), std::size_t(7), post.size()}) {
+    for (const std::size_t piece : {std::size_t(1), std::size_t(3), std::size_t(7), post_request.size()}) {
         request_reader reader({});
-        CHECK(feed(reader, post, piece) == post.size());
+        CHECK(feed(reader, post_request, piece) == post_request.size());
         REQUIRE(reader.is_complete());
         const auto& message = reader.message();
         CHECK(message.method == "POST");
@@ -71,8 +71,8 @@
 
 TEST_CASE("a request reader doesn't consume bytes of the next request", "[http][request_reader]") {
     request_reader reader({});
-    const auto two = std::string(post) + "GET / HTTP/1.1\r\n";
-    CHECK(reader.read(two) == post.size());
+    const auto two_requests = std::string(post_request) + "GET / HTTP/1.1\r\n";
+    CHECK(reader.read(two_requests) == post_request.size());
     CHECK(reader.is_complete());
 }
 
--- a/tests/unit/test_peer_connection.cpp
+++ b/tests/unit/test_peer_connection.cpp
@@ -24,7 +24,7 @@
 
 namespace {
 
-constexpr auto guard = 20s; ///< time limit that ends a test which would otherwise hang
+constexpr auto time_limit = 20s; ///< ends a test that would otherwise hang
 
 wire::hello_message make_hello() {
     wire::hello_message hello;
@@ -36,13 +36,13 @@
 struct fixture {
     boost::asio::io_context context;
     timer_service timers;
-    tcp::socket other{context};
+    tcp::socket peer_socket{context};
     std::shared_ptr<wire::peer_connection> connection;
     std::string end_reason;
 
     void connect(std::function<bool()> has_work, wire::heartbeat_settings heartbeat) {
         tcp::acceptor acceptor(context, {boost::asio::ip::address_v4::loopback(), 0});
-        other.connect(acceptor.local_endpoint());
+        peer_socket.connect(acceptor.local_endpoint());
         wire::peer_connection::callbacks calls;
         calls.opened = [](const wire::hello_message&) {
         };
@@ -57,11 +57,11 @@
             acceptor.accept(), boost::asio::make_strand(context.get_executor()), timers, heartbeat,
             make_hello(), [] { return 1; }, std::move(calls));
         connection->start();
-        boost::asio::write(other, boost::asio::buffer(wire::encode(1, make_hello())));
+        boost::asio::write(peer_socket, boost::asio::buffer(wire::encode(1, make_hello())));
     }
 
     void run() {
-        context.run_for(guard);
+        context.run_for(time_limit);
         REQUIRE(context.stopped());
     }
 
@@ -69,11 +69,11 @@
     std::optional<wire::message> read_next() {
         boost::system::error_code error;
         std::array<std::byte, wire::frame_header_size> header{};
-        if (boost::asio::read(other, boost::asio::buffer(header), error) != header.size()) {
+        if (boost::asio::read(peer_socket, boost::asio::buffer(header), error) != header.size()) {
             return std::nullopt;
         }
         std::vector<std::byte> body(wire::decode_length(header));
-        boost::asio::read(other, boost::asio::buffer(body), error);
+        boost::asio::read(peer_socket, boost::asio::buffer(body), error);
         return wire::decode(body).content;
     }
 
@@ -113,17 +113,17 @@
 TEST_CASE("a heartbeat is answered with a reply", "[wire]") {
     fixture parts;
     parts.connect({}, {.period = 1h});
-    wire::heartbeat_message question;
-    question.sequence = 1;
-    boost::asio::write(parts.other, boost::asio::buffer(wire::encode(1, question)));
-    bool has_answer = false;
-    const std::jthread peer([&parts, &has_answer] {
+    wire::heartbeat_message request;
+    request.sequence = 1;
+    boost::asio::write(parts.peer_socket, boost::asio::buffer(wire::encode(1, request)));
+    bool has_reply = false;
+    const std::jthread peer([&parts, &has_reply] {
         std::ignore = parts.read_next(); // the hello
-        const auto answer = parts.read_next();
-        const auto* heartbeat = answer ? std::get_if<wire::heartbeat_message>(&*answer) : nullptr;
-        has_answer = heartbeat != nullptr && heartbeat->is_reply;
+        const auto reply = parts.read_next();
+        const auto* heartbeat = reply ? std::get_if<wire::heartbeat_message>(&*reply) : nullptr;
+        has_reply = heartbeat != nullptr && heartbeat->is_reply;
         parts.connection->close("test");
     });
     parts.run();
-    CHECK(has_answer);
+    CHECK(has_reply);
 }
--- a/tests/unit/test_snapshot.cpp
+++ b/tests/unit/test_snapshot.cpp
@@ -74,11 +74,11 @@
             readers.emplace_back([&] {
                 std::uint64_t newest = 0;
                 while (newest < last) {
-                    const auto taken = current.read();
-                    if (taken->first != taken->second || taken->first < newest) {
+                    const auto value = current.read();
+                    if (value->first != value->second || value->first < newest) {
                         has_failed = true;
                     }
-                    newest = taken->first;
+                    newest = value->first;
                 }
             });
         }
