--- a/src/backend/backend_types.hpp
+++ b/src/backend/backend_types.hpp
@@ -33,8 +33,8 @@
 
 /// The load that an engine reports about itself, which may be out of date.
 struct engine_load {
-    std::uint32_t running = 0; ///< requests
-    std::uint32_t waiting = 0; ///< requests
+    std::uint32_t running = 0; ///< number of running requests
+    std::uint32_t waiting = 0; ///< number of queued requests
     std::uint64_t prefill_tokens = 0;
     std::uint64_t cached_tokens = 0;
 };
@@ -43,7 +43,7 @@
 struct cache_event {
     std::uint64_t sequence = 0;
     bool is_stored = true;             ///< true: the blocks were stored; false: they were evicted
-    std::vector<std::uint64_t> hashes; ///< of the prompt blocks
+    std::vector<std::uint64_t> hashes; ///< hashes of the prompt blocks
 };
 
 /// Cache events read from an engine. They may arrive late, and a jump in the sequence numbers means that
@@ -79,8 +79,8 @@
 struct order {
     std::uint64_t fencing = 0;
     order_kind kind = order_kind::load_model;
-    std::string name;    ///< of the model, adapter or role
-    std::string version; ///< of the model or adapter
+    std::string name;    ///< name of the model, adapter or role
+    std::string version; ///< version of the model or adapter
 
     bool operator==(const order&) const = default;
 };
--- a/src/http/event_splitter.cpp
+++ b/src/http/event_splitter.cpp
@@ -8,7 +8,7 @@
 
 constexpr std::string_view id_field = "id:";
 
-/// The position behind the empty line that ends the first event after `from`; npos when there is no complete
+/// The position after the empty line that ends the first event after `from`; npos when there is no complete
 /// event.
 std::size_t find_event_end(std::string_view bytes, std::size_t from) {
     for (auto line_end = bytes.find('\n', from); line_end != std::string_view::npos;
--- a/src/metrics/histogram_state.hpp
+++ b/src/metrics/histogram_state.hpp
@@ -31,7 +31,7 @@
 /// The bucket counts of a histogram.
 struct histogram_summary {
     std::uint64_t count = 0; ///< number of samples
-    double sum = 0;          ///< of all samples, in seconds
+    double sum = 0;          ///< sum of all samples in seconds
     /// Number of samples less than or equal to each bound in bucket_bounds.
     std::array<std::uint64_t, bucket_bounds.size()> cumulative{};
 };
--- a/src/net/byte_buffer.hpp
+++ b/src/net/byte_buffer.hpp
@@ -20,7 +20,7 @@
     [[nodiscard]] std::size_t size() const noexcept { return m_end - m_begin; }
     [[nodiscard]] bool is_empty() const noexcept { return m_begin == m_end; }
 
-    /// Returns free space for at least `wanted` bytes behind the readable ones. May move the readable bytes.
+    /// Returns free space for at least `wanted` bytes after the readable ones. May move the readable bytes.
     [[nodiscard]] std::span<char> prepare(std::size_t wanted);
     /// Makes the first `count` bytes of the space from prepare() readable.
     void commit(std::size_t count) noexcept { m_end += count; }
--- a/src/wire/message.cpp
+++ b/src/wire/message.cpp
@@ -21,7 +21,8 @@
 
 using extractor = message (*)(payloadUnion&);
 
-/// One function for each alternative of `message`. Index 0 belongs to the union's first member after NONE.
+/// The instance of extract() for each alternative of `message`, in the order of the union's members after
+/// NONE.
 constexpr std::array<extractor, std::variant_size_v<message>> extractors =
     []<std::size_t... Index>(std::index_sequence<Index...>) {
         return std::array<extractor, sizeof...(Index)>{
--- a/src/wire/peer_connection.cpp
+++ b/src/wire/peer_connection.cpp
@@ -230,8 +230,8 @@
         return;
     }
     // A side that waits for answers needs to receive messages: successful writes don't show that the peer
-    // responds. A side that only sends counts its writes as activity and leaves a lost network path to the
-    // kernel, see set_socket_options().
+    // responds. A side that only sends counts its writes as activity and relies on the kernel to detect a
+    // lost network path, see set_socket_options().
     const auto last_activity =
         m_callbacks.has_work ? m_last_received : std::max(m_last_received, m_last_written);
     const auto quiet_limit =
