--- a/src/net/tcp_options.cpp
+++ b/src/net/tcp_options.cpp
@@ -25,8 +25,8 @@
     socket.set_option(asio::socket_base::keep_alive(true), ignored);
     socket.set_option(keep_idle(interval), ignored);
     socket.set_option(keep_interval(interval), ignored);
-    socket.set_option(keep_count(limits.probes), ignored);
-    socket.set_option(user_timeout(static_cast<int>(limits.unacknowledged.count())), ignored);
+    socket.set_option(keep_count(limits.probe_count), ignored);
+    socket.set_option(user_timeout(static_cast<int>(limits.acknowledgement_timeout.count())), ignored);
 }
 
 } // namespace borageford::net
--- a/src/net/tcp_options.hpp
+++ b/src/net/tcp_options.hpp
@@ -13,11 +13,11 @@
 struct liveness_limits {
     /// The connection ends when sent bytes aren't acknowledged for this long (TCP_USER_TIMEOUT). The time is
     /// enough for two retransmissions on a path with a retransmission timeout of some hundred milliseconds.
-    std::chrono::milliseconds unacknowledged{2000};
+    std::chrono::milliseconds acknowledgement_timeout{2000};
     /// Time without traffic before the first keep-alive probe, and between two probes.
     std::chrono::seconds probe_interval{1};
     /// Number of keep-alive probes without a reply after which the connection ends.
-    int probes = 2;
+    int probe_count = 2;
 };
 
 /// Sets non-blocking mode, TCP_NODELAY and the liveness options. Errors are ignored here: a broken socket
