--- a/src/http/client.cpp
+++ b/src/http/client.cpp
@@ -41,7 +41,8 @@
 } // namespace
 
 struct client_exchange::state {
-    state(const asio::any_io_executor& executor, exchange_limits given) : stream(executor), limits(given) {
+    state(const asio::any_io_executor& executor, exchange_limits initial_limits)
+        : stream(executor), limits(initial_limits) {
         parser.body_limit(boost::none);
         parser.header_limit(head_limit);
     }
--- a/src/http/request_reader.cpp
+++ b/src/http/request_reader.cpp
@@ -85,7 +85,7 @@
 } // namespace
 
 struct request_reader::state {
-    explicit state(request_limits given) : limits(given), parser(message) {
+    explicit state(request_limits initial_limits) : limits(initial_limits), parser(message) {
         parser.header_limit(static_cast<std::uint32_t>(limits.header_bytes));
         parser.body_limit(limits.body_bytes);
     }
--- a/src/http/server.cpp
+++ b/src/http/server.cpp
@@ -199,13 +199,13 @@
 }
 
 struct server::state : std::enable_shared_from_this<server::state> {
-    state(const asio::any_io_executor& given, server_limits bounds, handler handle_request,
+    state(const asio::any_io_executor& accept_executor, server_limits server_settings, handler handle_request,
           refusal_formatter format)
-        : executor(given),
-          limits(bounds),
+        : executor(accept_executor),
+          limits(server_settings),
           handle(std::move(handle_request)),
           refuse(std::move(format)),
-          acceptor(asio::make_strand(given)) {}
+          acceptor(asio::make_strand(accept_executor)) {}
 
     asio::awaitable<void> accept();
     asio::awaitable<void> serve(tcp::socket socket);
--- a/src/net/byte_buffer.cpp
+++ b/src/net/byte_buffer.cpp
@@ -6,18 +6,18 @@
 
 namespace borageford::net {
 
-std::span<char> byte_buffer::prepare(std::size_t wanted) {
+std::span<char> byte_buffer::prepare(std::size_t count) {
     if (is_empty()) {
         m_begin = 0;
         m_end = 0;
     }
-    if (m_bytes.size() - m_end < wanted && m_begin > 0) {
+    if (m_bytes.size() - m_end < count && m_begin > 0) {
         std::copy(m_bytes.data() + m_begin, m_bytes.data() + m_end, m_bytes.data());
         m_end -= m_begin;
         m_begin = 0;
     }
-    if (m_bytes.size() - m_end < wanted) {
-        m_bytes.resize(m_end + wanted);
+    if (m_bytes.size() - m_end < count) {
+        m_bytes.resize(m_end + count);
     }
     return {m_bytes.data() + m_end, m_bytes.size() - m_end};
 }
--- a/src/net/byte_buffer.hpp
+++ b/src/net/byte_buffer.hpp
@@ -20,8 +20,8 @@
     [[nodiscard]] std::size_t size() const noexcept { return m_end - m_begin; }
     [[nodiscard]] bool is_empty() const noexcept { return m_begin == m_end; }
 
-    /// Returns free space for at least `wanted` bytes after the readable ones. May move the readable bytes.
-    [[nodiscard]] std::span<char> prepare(std::size_t wanted);
+    /// Returns free space for at least `count` bytes after the readable ones. May move the readable bytes.
+    [[nodiscard]] std::span<char> prepare(std::size_t count);
     /// Makes the first `count` bytes of the space from prepare() readable.
     void commit(std::size_t count) noexcept { m_end += count; }
     /// Removes up to `count` bytes from the front. Doesn't move the prepared space, since an asynchronous
