--- a/src/backend/answer_stream.cpp
+++ b/src/backend/answer_stream.cpp
@@ -1,4 +1,4 @@
-// Reading an answer, with the failures of HTTP turned into what they mean for a dispatch.
+// Reads an answer through http::client_exchange and converts its errors to backend_error.
 #include "backend/answer_stream.hpp"
 
 #include "backend/http_exchange.hpp"
@@ -27,7 +27,7 @@
         const auto type = http::find_header(head.headers, "Content-Type");
         co_return answer_head{head.status, std::string(type.value_or(""))};
     } catch (const http::exchange_error& error) {
-        throw backend_error(meaning_of(error), error.what());
+        throw backend_error(to_failure(error), error.what());
     }
 }
 
@@ -35,7 +35,7 @@
     try {
         co_return co_await m_exchange.read_some();
     } catch (const http::exchange_error& error) {
-        throw backend_error(meaning_of(error), error.what());
+        throw backend_error(to_failure(error), error.what());
     }
 }
 
--- a/src/backend/model_engine.cpp
+++ b/src/backend/model_engine.cpp
@@ -1,4 +1,4 @@
-// The calls to a model engine, over HTTP and JSON.
+// Implements the calls to a model engine with HTTP and JSON.
 #include "backend/model_engine.hpp"
 
 #include "backend/http_exchange.hpp"
@@ -20,16 +20,20 @@
 constexpr unsigned status_conflict = 409;
 constexpr int hexadecimal = 16;
 
+/// Parses the answer to a control call. Throws backend_error with failure::garbled when its status isn't 200
+/// or its body isn't a JSON object.
 json::object parse_answer(const http::response& answer) {
     boost::system::error_code error;
     auto value = json::parse(answer.body, error);
     if (answer.head.status != status_ok || error || !value.is_object()) {
         throw backend_error(failure::garbled, "the engine answered a control call with status " +
-                                                  std::to_string(answer.head.status) + " or no JSON object");
+                                                  std::to_string(answer.head.status) +
+                                                  ", or the body is not a JSON object");
     }
     return std::move(value.get_object());
 }
 
+/// Reads a number; 0 when it is missing or invalid.
 std::uint64_t read_number(const json::object& from, std::string_view key) {
     const auto* value = from.if_contains({key.data(), key.size()});
     if (value == nullptr) {
@@ -40,11 +44,13 @@
     return error ? 0 : number;
 }
 
+/// Reads a string; empty when it is missing or not a string.
 std::string read_text(const json::object& from, std::string_view key) {
     const auto* value = from.if_contains({key.data(), key.size()});
     return value != nullptr && value->is_string() ? std::string(value->get_string()) : std::string();
 }
 
+/// Reads an array; empty when it is missing or not an array.
 json::array read_array(const json::object& from, std::string_view key) {
     const auto* value = from.if_contains({key.data(), key.size()});
     return value != nullptr && value->is_array() ? value->get_array() : json::array();
@@ -109,12 +115,13 @@
 }
 
 asio::awaitable<bool> model_engine::cancel(dispatch_id dispatch) {
-    const auto answer = co_await ask("DELETE", "/v1/streams/" + dispatch.to_string(), {}, m_control_timeout);
+    const auto answer =
+        co_await send_control_request("DELETE", "/v1/streams/" + dispatch.to_string(), {}, m_control_timeout);
     co_return answer.head.status == status_no_content || answer.head.status == status_ok;
 }
 
 asio::awaitable<engine_load> model_engine::load() {
-    const auto answer = parse_answer(co_await ask("GET", "/load", {}, m_control_timeout));
+    const auto answer = parse_answer(co_await send_control_request("GET", "/load", {}, m_control_timeout));
     engine_load report;
     report.running = static_cast<std::uint32_t>(read_number(answer, "running"));
     report.waiting = static_cast<std::uint32_t>(read_number(answer, "waiting"));
@@ -125,7 +132,7 @@
 
 asio::awaitable<cache_event_batch> model_engine::cache_events(std::uint64_t after) {
     const auto target = "/cache_events?after=" + std::to_string(after);
-    const auto answer = parse_answer(co_await ask("GET", target, {}, m_control_timeout));
+    const auto answer = parse_answer(co_await send_control_request("GET", target, {}, m_control_timeout));
     cache_event_batch batch;
     batch.next = read_number(answer, "next");
     for (const auto& item : read_array(answer, "events")) {
@@ -137,7 +144,7 @@
 }
 
 asio::awaitable<engine_state> model_engine::state() {
-    const auto answer = parse_answer(co_await ask("GET", "/state", {}, m_control_timeout));
+    const auto answer = parse_answer(co_await send_control_request("GET", "/state", {}, m_control_timeout));
     engine_state now;
     for (const auto& item : read_array(answer, "models")) {
         if (item.is_object()) {
@@ -164,7 +171,7 @@
         {"kind", json::string_view(to_string(command.kind).data(), to_string(command.kind).size())},
         {"name", command.name},
         {"version", command.version}};
-    const auto answer = co_await ask("POST", "/orders", json::serialize(body), limit);
+    const auto answer = co_await send_control_request("POST", "/orders", json::serialize(body), limit);
     if (answer.head.status == status_conflict) {
         co_return order_result::stale_fencing;
     }
@@ -176,11 +183,12 @@
 }
 
 asio::awaitable<bool> model_engine::is_healthy() {
-    co_return co_await answers_health(m_executor, m_address, m_control_timeout);
+    co_return co_await check_health(m_executor, m_address, m_control_timeout);
 }
 
-asio::awaitable<http::response> model_engine::ask(std::string method, std::string target, std::string body,
-                                                  std::chrono::milliseconds limit) {
+asio::awaitable<http::response> model_engine::send_control_request(std::string method, std::string target,
+                                                                   std::string body,
+                                                                   std::chrono::milliseconds limit) {
     http::request request;
     request.method = std::move(method);
     request.target = std::move(target);
--- a/src/http/request_reader.cpp
+++ b/src/http/request_reader.cpp
@@ -1,4 +1,5 @@
-// Beast's parser does the grammar; what it tolerates and a proxy must not is refused here.
+// Parses requests with Boost.Beast's parser and refuses ambiguous input that Beast accepts but a proxy must
+// not.
 #include "http/request_reader.hpp"
 
 #include "base/request_error.hpp"
@@ -19,7 +20,7 @@
 public:
     explicit library_parser(received_request& message) : m_message(message) {}
 
-    [[nodiscard]] bool has_refused_coding() const noexcept { return m_has_refused_coding; }
+    [[nodiscard]] bool has_unsupported_coding() const noexcept { return m_has_unsupported_coding; }
 
 private:
     using string_view = beast::string_view;
@@ -33,10 +34,10 @@
     void on_response_impl(int, string_view, int, error_code&) override {}
     void on_field_impl(beast::http::field name, string_view name_text, string_view value,
                        error_code&) override {
-        // Any other coding leaves the body's length to guesswork.
+        // With any other transfer coding the length of the body would be unknown.
         if (name == beast::http::field::transfer_encoding &&
             !is_same_name({value.data(), value.size()}, "chunked")) {
-            m_has_refused_coding = true;
+            m_has_unsupported_coding = true;
         }
         m_message.fields.add({name_text.data(), name_text.size()}, {value.data(), value.size()});
     }
@@ -56,10 +57,11 @@
     void on_finish_impl(error_code&) override {}
 
     received_request& m_message;
-    bool m_has_refused_coding = false;
+    bool m_has_unsupported_coding = false;
 };
 
-/// A line that ends in LF alone, a CR inside a line, a folded line or a zero byte: servers differ on each.
+/// Whether the head contains a line that ends in LF without CR, a CR inside a line, a folded line or a null
+/// byte. HTTP servers interpret each of these differently.
 bool has_ambiguous_line(std::string_view head) {
     for (std::size_t index = 0; index < head.size(); ++index) {
         const char c = head[index];
@@ -83,7 +85,7 @@
 } // namespace
 
 struct request_reader::state {
-    explicit state(request_limits given) : limits(given), parser(message) {
+    explicit state(request_limits initial_limits) : limits(initial_limits), parser(message) {
         parser.header_limit(static_cast<std::uint32_t>(limits.header_bytes));
         parser.body_limit(limits.body_bytes);
     }
@@ -107,7 +109,7 @@
 
     void check_head() {
         const auto& fields = message.fields;
-        if (parser.has_refused_coding() || fields.count("Transfer-Encoding") > 1) {
+        if (parser.has_unsupported_coding() || fields.count("Transfer-Encoding") > 1) {
             throw request_error(error_kind::bad_request, "a transfer coding other than chunked");
         }
         if (fields.count("Content-Length") > 1) {
@@ -156,11 +158,11 @@
         }
     }
     while (!is_complete() && used < bytes.size()) {
-        const auto taken = m_state->put(bytes.substr(used));
-        if (taken == 0) {
+        const auto consumed = m_state->put(bytes.substr(used));
+        if (consumed == 0) {
             break;
         }
-        used += taken;
+        used += consumed;
     }
     return used;
 }
--- a/src/metrics/registry.cpp
+++ b/src/metrics/registry.cpp
@@ -1,4 +1,5 @@
-// Metric families by name, each with its members by labels, and the text exposition.
+// Implements the registry: it stores metric families by name, each with one member per set of label values,
+// and writes the text exposition.
 #include "metrics/registry.hpp"
 
 #include "metrics/histogram_state.hpp"
@@ -16,11 +17,13 @@
 namespace borageford::metrics {
 namespace {
 
+/// The label value of the member that collects samples when a family is full.
 constexpr std::string_view overflow_value = "other";
-// A family has one type in this format, so the estimates stand in a family of their own.
+/// Appended to a histogram's name for its quantiles. The exposition format allows only one type per family,
+/// so they are written as a family of gauges.
 constexpr const char* quantile_suffix = "_quantile";
 
-/// A gauge is shared so that one can be read while another takes its place.
+/// The function that returns a gauge's value. Shared, so that it can be called while add_gauge() replaces it.
 using gauge_reader = std::shared_ptr<const std::function<double()>>;
 using metric = std::variant<std::unique_ptr<counter>, std::unique_ptr<histogram>, gauge_reader>;
 
@@ -44,7 +47,8 @@
     return {text.data(), written.ptr};
 }
 
-/// Only these characters keep the exposition readable for every collector.
+/// Whether every collector accepts the name: ASCII letters, digits and underscores, not beginning with a
+/// digit.
 bool is_valid_name(std::string_view name) {
     const auto is_allowed = [](char letter) {
         return (letter >= 'a' && letter <= 'z') || (letter >= 'A' && letter <= 'Z') ||
@@ -54,7 +58,8 @@
     return !name.empty() && !starts_with_digit && std::ranges::all_of(name, is_allowed);
 }
 
-/// Escapes as the format asks: a workspace's name with a quote in it must not forge another line.
+/// Escapes a help text or a label value as the exposition format requires. Without it, a workspace name that
+/// contains a quote or a line break could add forged lines to the exposition.
 void append_escaped(std::string& out, std::string_view value, bool is_label) {
     for (const char letter : value) {
         if (letter == '\n') {
@@ -68,12 +73,13 @@
     }
 }
 
-/// `name="value",name="value"`, which is also the key of a member in its family.
-std::string render_labels(const labels& where) {
+/// Formats labels as `name="value",name="value"`. The result is also the key of the member in its family.
+/// Throws std::invalid_argument for an invalid label name.
+std::string render_labels(const labels& label_set) {
     std::string out;
-    for (const auto& [name, value] : where) {
+    for (const auto& [name, value] : label_set) {
         if (!is_valid_name(name)) {
-            throw std::invalid_argument("not a label name: " + name);
+            throw std::invalid_argument("invalid label name: " + name);
         }
         if (!out.empty()) {
             out += ',';
@@ -85,8 +91,9 @@
     return out;
 }
 
-std::string render_overflow_labels(const labels& where) {
-    labels overflow = where;
+/// Formats the labels of a family's overflow member, whose label values are all `overflow_value`.
+std::string render_overflow_labels(const labels& label_set) {
+    labels overflow = label_set;
     for (auto& [name, value] : overflow) {
         value = overflow_value;
     }
@@ -117,28 +124,31 @@
 }
 
 void append_buckets(std::string& out, const std::string& name, std::string_view labels_text,
-                    const histogram_summary& shown) {
+                    const histogram_summary& summary) {
     for (std::size_t index = 0; index < bucket_bounds.size(); ++index) {
         append_sample(out, name + "_bucket",
                       with_label(labels_text, "le", format_number(bucket_bounds.at(index))),
-                      std::to_string(shown.cumulative.at(index)));
+                      std::to_string(summary.cumulative.at(index)));
     }
-    append_sample(out, name + "_bucket", with_label(labels_text, "le", "+Inf"), std::to_string(shown.count));
-    append_sample(out, name + "_sum", labels_text, format_number(shown.sum));
-    append_sample(out, name + "_count", labels_text, std::to_string(shown.count));
+    append_sample(out, name + "_bucket", with_label(labels_text, "le", "+Inf"),
+                  std::to_string(summary.count));
+    append_sample(out, name + "_sum", labels_text, format_number(summary.sum));
+    append_sample(out, name + "_count", labels_text, std::to_string(summary.count));
 }
 
-/// One member of a family as it is shown: outside the registry's lock, since a gauge may call anything.
-struct shown_member {
+/// A member of a family as copied for the exposition, which is written without holding the registry's lock
+/// because a gauge may call any code.
+struct exported_member {
     std::string labels_text;
     std::variant<const counter*, const histogram*, gauge_reader> value;
 };
 
-struct shown_family {
+/// A family as copied for the exposition.
+struct exported_family {
     std::string name;
     std::string help;
     metric_type type = metric_type::counter;
-    std::vector<shown_member> members;
+    std::vector<exported_member> members;
 };
 
 } // namespace
@@ -155,10 +165,12 @@
     return m_state->summary().count;
 }
 
-double histogram::quantile(double share) const {
-    return m_state->quantile(share);
+double histogram::quantile(double fraction) const {
+    return m_state->quantile(fraction);
 }
 
+/// The data behind a registry.
+///
 /// Invariants: a family's type never changes; members are never removed, so references to them stay valid.
 struct registry::state {
     struct family {
@@ -170,7 +182,8 @@
     mutable std::shared_mutex mutex;
     std::map<std::string, family, std::less<>> families;
 
-    /// The member, if it stands already.
+    /// The member with these labels; null when there is none. Throws std::logic_error when the family has
+    /// another type.
     const metric* find(std::string_view name, metric_type type, std::string_view labels_text) const {
         const std::shared_lock lock(mutex);
         const auto found = families.find(name);
@@ -182,29 +195,31 @@
         return member == found->second.members.end() ? nullptr : &member->second;
     }
 
-    /// The place for a member; over the bound, the family's overflow member. The caller holds the lock.
-    metric& emplace(std::string_view name, std::string_view help, metric_type type, const labels& where) {
+    /// Returns the member with these labels and creates an empty one if necessary. When the family already
+    /// has `members_limit` members, returns its overflow member instead. The caller must hold the lock.
+    metric& emplace(std::string_view name, std::string_view help, metric_type type, const labels& label_set) {
         if (!is_valid_name(name)) {
-            throw std::invalid_argument("not a metric name: " + std::string(name));
+            throw std::invalid_argument("invalid metric name: " + std::string(name));
         }
         auto& group =
             families.try_emplace(std::string(name), family{std::string(help), type, {}}).first->second;
         require_type(name, group, type);
-        const auto labels_text = render_labels(where);
+        const auto labels_text = render_labels(label_set);
         if (const auto member = group.members.find(labels_text); member != group.members.end()) {
             return member->second;
         }
         const bool is_full = group.members.size() >= members_limit;
-        return group.members[is_full ? render_overflow_labels(where) : labels_text];
+        return group.members[is_full ? render_overflow_labels(label_set) : labels_text];
     }
 
+    /// Returns the counter or histogram with these labels and creates it if necessary.
     template <typename Metric>
-    Metric& get(std::string_view name, std::string_view help, metric_type type, const labels& where) {
-        if (const auto* found = find(name, type, render_labels(where))) {
+    Metric& get(std::string_view name, std::string_view help, metric_type type, const labels& label_set) {
+        if (const auto* found = find(name, type, render_labels(label_set))) {
             return *std::get<std::unique_ptr<Metric>>(*found);
         }
         const std::unique_lock lock(mutex);
-        auto& place = emplace(name, help, type, where);
+        auto& place = emplace(name, help, type, label_set);
         auto* held = std::get_if<std::unique_ptr<Metric>>(&place);
         if (held == nullptr || *held == nullptr) {
             place = std::make_unique<Metric>();
@@ -218,20 +233,20 @@
         }
     }
 
-    std::vector<shown_family> collect() const {
+    std::vector<exported_family> collect() const {
         const std::shared_lock lock(mutex);
-        std::vector<shown_family> out;
+        std::vector<exported_family> out;
         for (const auto& [name, group] : families) {
-            shown_family shown{name, group.help, group.type, {}};
+            exported_family exported{name, group.help, group.type, {}};
             for (const auto& [labels_text, value] : group.members) {
-                shown.members.push_back({labels_text, show(value)});
+                exported.members.push_back({labels_text, to_exported(value)});
             }
-            out.push_back(std::move(shown));
+            out.push_back(std::move(exported));
         }
         return out;
     }
 
-    static std::variant<const counter*, const histogram*, gauge_reader> show(const metric& value) {
+    static std::variant<const counter*, const histogram*, gauge_reader> to_exported(const metric& value) {
         if (const auto* held = std::get_if<std::unique_ptr<counter>>(&value)) {
             return held->get();
         }
@@ -242,7 +257,7 @@
     }
 
     static void append_member(std::string& out, std::string& quantiles, const std::string& name,
-                              const shown_member& member) {
+                              const exported_member& member) {
         if (const auto* const* held = std::get_if<const counter*>(&member.value)) {
             append_sample(out, name, member.labels_text, std::to_string((*held)->value()));
             return;
@@ -253,10 +268,10 @@
         }
         const auto& held = *std::get<const histogram*>(member.value);
         append_buckets(out, name, member.labels_text, held.m_state->summary());
-        for (const double share : estimated_quantiles) {
+        for (const double fraction : estimated_quantiles) {
             append_sample(quantiles, name + quantile_suffix,
-                          with_label(member.labels_text, "quantile", format_number(share)),
-                          format_number(held.quantile(share)));
+                          with_label(member.labels_text, "quantile", format_number(fraction)),
+                          format_number(held.quantile(fraction)));
         }
     }
 };
@@ -265,19 +280,19 @@
 
 registry::~registry() = default;
 
-counter& registry::get_counter(std::string_view name, std::string_view help, const labels& where) {
-    return m_state->get<counter>(name, help, metric_type::counter, where);
+counter& registry::get_counter(std::string_view name, std::string_view help, const labels& label_set) {
+    return m_state->get<counter>(name, help, metric_type::counter, label_set);
 }
 
-histogram& registry::get_histogram(std::string_view name, std::string_view help, const labels& where) {
-    return m_state->get<histogram>(name, help, metric_type::histogram, where);
+histogram& registry::get_histogram(std::string_view name, std::string_view help, const labels& label_set) {
+    return m_state->get<histogram>(name, help, metric_type::histogram, label_set);
 }
 
-void registry::add_gauge(std::string_view name, std::string_view help, const labels& where,
+void registry::add_gauge(std::string_view name, std::string_view help, const labels& label_set,
                          std::function<double()> read) {
     auto reader = std::make_shared<const std::function<double()>>(std::move(read));
     const std::unique_lock lock(m_state->mutex);
-    m_state->emplace(name, help, metric_type::gauge, where) = std::move(reader);
+    m_state->emplace(name, help, metric_type::gauge, label_set) = std::move(reader);
 }
 
 std::string registry::exposition() const {
--- a/src/wire/peer_connection.cpp
+++ b/src/wire/peer_connection.cpp
@@ -1,4 +1,4 @@
-// Reading, writing and watching one connection between two of our processes.
+// Reads and writes the frames of a peer_connection and closes it when the peer stops responding.
 #include "wire/peer_connection.hpp"
 
 #include <boost/asio/bind_executor.hpp>
@@ -19,8 +19,8 @@
 
 namespace {
 
-/// Bytes of a frame's buffer that a connection keeps for the next frame.
-constexpr std::size_t kept_body_capacity = 64U * 1024;
+/// Largest receive buffer, in bytes, that a connection keeps for the next frame.
+constexpr std::size_t max_kept_body_capacity = 64U * 1024;
 
 } // namespace
 
@@ -33,7 +33,7 @@
       m_heartbeat(heartbeat),
       m_own_hello(std::move(own_hello)),
       m_revision(std::move(revision)),
-      m_calls(std::move(calls)),
+      m_callbacks(std::move(calls)),
       m_last_received(std::chrono::steady_clock::now()),
       m_last_written(m_last_received),
       m_last_message(m_last_received) {}
@@ -47,7 +47,7 @@
     enqueue(encode(m_revision(), m_own_hello));
     m_heartbeat_timer = m_timers.every(m_strand, m_heartbeat.period, [weak = weak_from_this()] {
         if (const auto self = weak.lock()) {
-            self->check_silence();
+            self->check_liveness();
         }
     });
     read_header();
@@ -56,8 +56,9 @@
 void peer_connection::set_socket_options() {
     boost::system::error_code ignored;
     m_socket.set_option(asio::ip::tcp::no_delay(true), ignored);
-    // A peer that is only sent to, as an entry by a streaming sidecar, is not asked for heartbeats. Should
-    // the path to it be lost, the kernel sees that nothing is acknowledged any more and ends the connection.
+    // A process that only sends to its peer, such as a sidecar that streams an answer to an entry, requests
+    // no heartbeats. If the network path is lost, the kernel notices that the sent bytes aren't acknowledged
+    // and ends the connection.
     const auto limit = static_cast<int>(m_heartbeat.silence_limit.count());
     ::setsockopt(m_socket.native_handle(), IPPROTO_TCP, TCP_USER_TIMEOUT, &limit, sizeof(limit));
 }
@@ -111,7 +112,8 @@
                       asio::bind_executor(m_strand, std::move(done)));
 }
 
-/// Fills the buffer, then takes the next step, which throws frame_error for what no peer would send.
+/// Reads until `target` is full and then calls `next_step`. A frame_error thrown by `next_step` closes the
+/// connection.
 void peer_connection::read_into(asio::mutable_buffer target, void (peer_connection::*next_step)()) {
     auto done = [self = shared_from_this(), next_step](const boost::system::error_code& error, std::size_t) {
         if (self->m_finished) {
@@ -136,13 +138,13 @@
 
 void peer_connection::read_body() {
     m_body.resize(decode_length(m_header));
-    read_into(asio::buffer(m_body), &peer_connection::take_body);
+    read_into(asio::buffer(m_body), &peer_connection::handle_body);
 }
 
-void peer_connection::take_body() {
+void peer_connection::handle_body() {
     handle(decode(m_body));
-    if (m_body.capacity() > kept_body_capacity) {
-        m_body = {}; // one large frame must not hold its memory for as long as the connection lives
+    if (m_body.capacity() > max_kept_body_capacity) {
+        m_body = {}; // otherwise one large frame would occupy its memory until the connection closes
     }
     if (!m_finished) {
         read_header();
@@ -151,7 +153,7 @@
 
 void peer_connection::handle(envelope received) {
     m_last_received = std::chrono::steady_clock::now();
-    m_asked.reset();
+    m_unanswered_heartbeat.reset();
     if (const auto* hello = std::get_if<hello_message>(&received.content)) {
         handle_hello(*hello);
         return;
@@ -168,8 +170,8 @@
     if (m_finished) {
         return;
     }
-    // Heartbeats are passed on too: they carry the peer's revision.
-    m_calls.received(std::move(received));
+    // Heartbeats are passed on as well, because their envelope contains the peer's configuration revision.
+    m_callbacks.received(std::move(received));
 }
 
 void peer_connection::handle_hello(const hello_message& hello) {
@@ -182,15 +184,15 @@
         return;
     }
     m_opened = true;
-    m_calls.opened(hello);
+    m_callbacks.opened(hello);
 }
 
 void peer_connection::handle_heartbeat(const heartbeat_message& heartbeat) {
     if (!heartbeat.is_reply) {
         send_heartbeat(true);
     }
-    if (heartbeat.load != nullptr && m_calls.load_received) {
-        m_calls.load_received(*heartbeat.load);
+    if (heartbeat.load != nullptr && m_callbacks.load_received) {
+        m_callbacks.load_received(*heartbeat.load);
     }
 }
 
@@ -198,20 +200,20 @@
     heartbeat_message heartbeat;
     heartbeat.sequence = ++m_heartbeat_sequence;
     heartbeat.is_reply = is_reply;
-    if (m_calls.current_load) {
-        heartbeat.load = m_calls.current_load();
+    if (m_callbacks.current_load) {
+        heartbeat.load = m_callbacks.current_load();
     }
     enqueue(encode(m_revision(), std::move(heartbeat)));
 }
 
 bool peer_connection::has_work(std::chrono::steady_clock::time_point now) const {
-    if (m_calls.has_work) {
-        return m_calls.has_work();
+    if (m_callbacks.has_work) {
+        return m_callbacks.has_work();
     }
     return now - m_last_message < m_heartbeat.work_periods * m_heartbeat.period;
 }
 
-void peer_connection::check_silence() {
+void peer_connection::check_liveness() {
     const auto now = std::chrono::steady_clock::now();
     if (!m_opened) {
         if (now - m_last_received > m_heartbeat.handshake_limit) {
@@ -219,21 +221,25 @@
         }
         return;
     }
-    // The peer had its chance to answer: silence counts from a period before the heartbeat on, which for a
-    // connection with work is when something was received last.
-    if (m_asked &&
-        now - std::max(m_last_received, *m_asked - m_heartbeat.period) > m_heartbeat.silence_limit) {
+    // The timeout starts one period before the first unanswered heartbeat, so an idle connection isn't closed
+    // before its peer could reply. On a connection with work, that is about when a message was last received.
+    if (m_unanswered_heartbeat &&
+        now - std::max(m_last_received, *m_unanswered_heartbeat - m_heartbeat.period) >
+            m_heartbeat.silence_limit) {
         finish("silent");
         return;
     }
-    // Who waits for answers must hear something; what it sends itself proves nothing. Who only sends leaves
-    // a lost path to the kernel (set_socket_options).
-    const auto last_sign = m_calls.has_work ? m_last_received : std::max(m_last_received, m_last_written);
+    // A side that waits for answers needs to receive messages: successful writes don't show that the peer
+    // responds. A side that only sends counts its writes as activity and relies on the kernel to detect a
+    // lost network path, see set_socket_options().
+    const auto last_activity =
+        m_callbacks.has_work ? m_last_received : std::max(m_last_received, m_last_written);
     const auto quiet_limit =
         has_work(now) ? m_heartbeat.period : m_heartbeat.idle_periods * m_heartbeat.period;
-    // A period is measured from the end of the last one and so never quite reached.
-    if (m_asked || now - last_sign > quiet_limit - m_heartbeat.period / 2) {
-        m_asked = m_asked.value_or(now);
+    // Half a period is subtracted because this function runs once per period: a reply that arrived just after
+    // the previous call is slightly less than a full period old now.
+    if (m_unanswered_heartbeat || now - last_activity > quiet_limit - m_heartbeat.period / 2) {
+        m_unanswered_heartbeat = m_unanswered_heartbeat.value_or(now);
         send_heartbeat(false);
     }
 }
@@ -248,10 +254,10 @@
     m_socket.shutdown(asio::ip::tcp::socket::shutdown_both, ignored);
     m_socket.close(ignored);
     m_outgoing.clear();
-    m_calls.closed(reason);
-    // Dropped later: one of the callbacks may be running now, with the close called from inside it, and its
-    // captures must outlive it.
-    asio::post(m_strand, [self = shared_from_this()] { self->m_calls = {}; });
+    m_callbacks.closed(reason);
+    // The callbacks are released in a later step: finish() may have been called from one of them, and its
+    // captures must stay valid until it returns.
+    asio::post(m_strand, [self = shared_from_this()] { self->m_callbacks = {}; });
 }
 
 } // namespace borageford::wire
