--- a/src/events/event_kind.cpp
+++ b/src/events/event_kind.cpp
@@ -1,4 +1,4 @@
-// The table of events.
+// The table that gives each kind of event its name, level, rate limit, meaning and fields.
 #include "events/event_kind.hpp"
 
 #include <array>
@@ -9,120 +9,134 @@
 
 using enum log::level;
 
-/// Changes of state are few; the bound keeps a flapping dependency from flooding the log.
+/// Lines a second. State changes are rare; the limit keeps a dependency that fails and recovers in quick
+/// succession from flooding the log.
 constexpr double state_rate = 50;
-/// Requests that went well: enough to see the usual, at a gateway's usual load all of them.
+/// Lines a second about requests that succeeded. At a gateway's usual load every line is written; under a
+/// higher load the lines are a sample.
 constexpr double usual_rate = 60;
-/// Requests that didn't: every one of them up to several times a gateway's usual load.
+/// Lines a second about requests that failed: all of them are logged up to several times a gateway's usual
+/// load.
 constexpr double failure_rate = 300;
 
 constexpr std::array descriptions{
     event_description{event_kind::started, "started", info, state_rate,
-                      "The process takes callers' connections.", "settings"},
+                      "The process accepts callers' connections.", "settings"},
     event_description{event_kind::settings_reloaded, "settings_reloaded", info, state_rate,
                       "SIGHUP: the settings file was read again.", "settings"},
     event_description{event_kind::settings_refused, "settings_refused", error, state_rate,
-                      "The settings file has faults; the former settings stay.", "settings reason"},
-    event_description{event_kind::stop_requested, "stop_requested", info, state_rate,
-                      "SIGTERM: no longer ready, answers end their connections.", "requests connections"},
+                      "The settings file has errors; the previous settings stay in use.", "settings reason"},
+    event_description{
+        event_kind::stop_requested, "stop_requested", info, state_rate,
+        "SIGTERM: the process reports itself as not ready, and closes each connection after its answer.",
+        "requests connections"},
     event_description{event_kind::stopped, "stopped", info, state_rate, "The process ends.",
                       "requests_cut connections_cut stopping_ms"},
     event_description{event_kind::store_lost, "store_lost", warning, state_rate,
-                      "The store doesn't answer, refuses, or left a question unanswered that was due; "
-                      "what is known of the table stays in force.",
+                      "The store doesn't answer, refuses requests, or let an open poll run past its time "
+                      "limit; the rows last read from the table stay in use.",
                       "table reason"},
     event_description{event_kind::store_regained, "store_regained", info, state_rate,
-                      "The store answers again; what changed meanwhile follows.",
+                      "The store answers again; the changes made during the outage are read next.",
                       "table lost_ms era version"},
     event_description{
         event_kind::store_era_changed, "store_era_changed", warning, state_rate,
-        "The store came back from an older copy. Servers that are missing from it are kept for a "
-        "while, rows older than what was known count once they are written again.",
+        "The store was restored from an older copy. Servers that the copy lacks are retained for a while; "
+        "rows older than those already read are ignored until they are written again.",
         "era former held version source missing outdated"},
     event_description{event_kind::peer_asked, "peer_asked", info, state_rate,
-                      "Another gateway holds a newer version and was asked for it.",
+                      "Another gateway holds a newer version, which this process requested from it.",
                       "peer what held_era held offered_era offered"},
     event_description{event_kind::peer_failed, "peer_failed", warning, state_rate,
-                      "Another gateway didn't give what it was asked for.", "peer what reason"},
+                      "Another gateway didn't deliver the version that this process requested.",
+                      "peer what reason"},
     event_description{event_kind::slot_source_changed, "slot_source_changed", info, state_rate,
-                      "Slots come from elsewhere: a coordinator, this process for all, or its own part.",
+                      "Slots are granted elsewhere from now on: by a coordinator, by this process for all "
+                      "gateways, or by this process out of its local share.",
                       "from to coordinator waiting running"},
     event_description{event_kind::member_attached, "member_attached", info, state_rate,
-                      "This process coordinates, and a gateway has begun to ask it for slots.",
+                      "This process is the coordinator, and a gateway has begun to request slots from it.",
                       "member members"},
-    event_description{event_kind::member_lost, "member_lost", warning, state_rate,
-                      "A gateway that asked for slots fell silent; its slots are free.", "member silent_ms"},
+    event_description{
+        event_kind::member_lost, "member_lost", warning, state_rate,
+        "A gateway that had requested slots sends no more messages; the slots granted to it are free again.",
+        "member silent_ms"},
     event_description{event_kind::configuration_in_force, "configuration_in_force", info, state_rate,
-                      "A newer configuration is in force here.",
+                      "A newer configuration is in force in this process.",
                       "version former source routes workspaces keys"},
     event_description{event_kind::configuration_unreadable, "configuration_unreadable", error, state_rate,
-                      "A configuration can't be read; the former one stays in force.", "source reason"},
+                      "A configuration can't be read; the previous one stays in force.", "source reason"},
     event_description{event_kind::rollout_ordered, "rollout_ordered", info, state_rate,
-                      "A service is to move to another version of its software.",
+                      "A roll-out of a service to another software version was ordered.",
                       "service software duration_ms"},
     event_description{event_kind::rollout_withdrawn, "rollout_withdrawn", info, state_rate,
-                      "The order to move a service is gone.", "service"},
+                      "The order to roll out a service was withdrawn.", "service"},
+    event_description{event_kind::rollout_moved, "rollout_moved", info, state_rate,
+                      "A roll-out entered another phase; the fields give how many answers of the new version "
+                      "were evaluated, and how many of these were bad.",
+                      "service software phase answers bad"},
     event_description{
-        event_kind::rollout_moved, "rollout_moved", info, state_rate,
-        "A roll-out is in another phase; with the answers of the new version that were judged, and "
-        "how many of them were bad.",
-        "service software phase answers bad"},
-    event_description{event_kind::rollout_not_recorded, "rollout_not_recorded", warning, state_rate,
-                      "What became of a roll-out couldn't be written into the store; tried again.",
-                      "service reason"},
+        event_kind::rollout_not_recorded, "rollout_not_recorded", warning, state_rate,
+        "The outcome of a roll-out couldn't be written to the store; the write will be retried.",
+        "service reason"},
     event_description{event_kind::backend_ready, "backend_ready", info, state_rate,
-                      "A backend server takes work.", "backend service address slots start era version"},
+                      "A backend server accepts requests.",
+                      "backend service address slots start era version"},
     event_description{event_kind::backend_restarted, "backend_restarted", info, state_rate,
-                      "A backend server has started anew under its id: its requests were cut, and nothing "
-                      "that was believed of it holds.",
+                      "A backend server started again under the same id: the requests that ran there were "
+                      "aborted, and its recorded state was reset.",
                       "backend start former_start"},
     event_description{event_kind::backend_draining, "backend_draining", info, state_rate,
-                      "A backend server leaves: it gets no new work.", "backend era version"},
-    event_description{
-        event_kind::backend_held_back, "backend_held_back", info, state_rate,
-        "A backend server takes work and gets none: its version is being rolled out, or was replaced.",
-        "backend service software"},
+                      "A backend server is draining: it gets no new requests.", "backend era version"},
+    event_description{event_kind::backend_held_back, "backend_held_back", info, state_rate,
+                      "A backend server could accept requests but gets none: its software version is being "
+                      "rolled out, or was replaced.",
+                      "backend service software"},
     event_description{
         event_kind::backend_missed, "backend_missed", info, state_rate,
-        "A registration vanished around an outage of the store; the server is kept for a while.", "backend"},
+        "A registration vanished around an outage of the store; the server is retained for a while.",
+        "backend"},
     event_description{event_kind::backend_gone, "backend_gone", info, state_rate,
-                      "A backend server is no longer known.", "backend reason"},
+                      "A backend server was removed from the list of known servers.", "backend reason"},
     event_description{event_kind::backend_unreadable, "backend_unreadable", error, state_rate,
-                      "A registration names no server to use; told once while it stays so.",
+                      "A registration describes no usable server; logged once for as long as that stays so.",
                       "backend reason"},
     event_description{event_kind::backend_resting, "backend_resting", warning, state_rate,
-                      "A backend server failed requests and gets none for a while.",
+                      "A backend server failed requests and gets none during a cooldown.",
                       "backend rest_ms failures failure_share"},
     event_description{event_kind::backend_recovered, "backend_recovered", info, state_rate,
-                      "A backend server that rested served a request again.", "backend"},
-    event_description{event_kind::request_malformed, "request_malformed", warning, failure_rate,
-                      "What a caller sent is no request, too large, or too slow.", "error detail bytes"},
+                      "A backend server served a request again after its cooldown.", "backend"},
+    event_description{
+        event_kind::request_malformed, "request_malformed", warning, failure_rate,
+        "A caller sent bytes that are no valid request, sent too many, or sent them too slowly.",
+        "error detail bytes"},
     event_description{event_kind::request_placed, "request_placed", info, usual_rate,
-                      "A request was given a slot of a backend server.",
+                      "A request was granted a slot of a backend server.",
                       "request ticket backend route workspace tier prompt_tokens expected_tokens "
                       "configuration decided_by waited_ms try"},
     event_description{event_kind::request_try_failed, "request_try_failed", warning, failure_rate,
-                      "A backend server failed a request; whether it is sent elsewhere follows.",
+                      "A backend server failed a request; the field `next` tells whether the request is sent "
+                      "to another server.",
                       "request backend outcome reason try runs next busy_ms"},
     event_description{event_kind::request_answered, "request_answered", info, usual_rate,
-                      "A backend server's answer was passed on whole.",
+                      "A backend server's complete answer was forwarded to the caller.",
                       "request status backend route workspace tries waited_ms first_ms to_first_ms target_ms "
                       "longest_pause_ms pause_target_ms total_ms events"},
     event_description{
         event_kind::request_refused, "request_refused", warning, failure_rate,
-        "A request got an error of the gateway's own.",
+        "The gateway answered a request with an error of its own.",
         "request ticket error status reason target route workspace tier configuration decided_by held_ms "
         "tries retry_after_ms"},
     event_description{event_kind::request_cut, "request_cut", warning, failure_rate,
-                      "A stream was ended in the middle; its caller can see that it isn't whole.",
+                      "A stream was aborted before its end; the caller can detect that it is incomplete.",
                       "request reason route workspace tries events total_ms"},
     event_description{event_kind::request_abandoned, "request_abandoned", info, usual_rate,
-                      "The caller closed its connection before its answer was whole.",
+                      "The caller closed its connection before the answer was complete.",
                       "request stage backend total_ms events"},
     event_description{
         event_kind::slot_refused, "slot_refused", warning, failure_rate,
-        "The coordinator refused a request a slot: it needed more than was available of what the "
-        "reason names (seconds of waiting, units of an allowance, repeats).",
+        "The coordinator refused to grant a slot to a request: the request needed more of the resource named "
+        "by `reason` (seconds of waiting, quota units of a workspace, retries) than was available.",
         "ticket member reason needed available waiting running retry_after_ms"},
 };
 
@@ -135,7 +149,7 @@
     return true;
 }
 
-static_assert(rows_follow_enumeration(), "the table lists the events in the order of the enumeration");
+static_assert(rows_follow_enumeration(), "the rows must have the order of the enumeration event_kind");
 
 } // namespace
 
--- a/src/events/event_kind.hpp
+++ b/src/events/event_kind.hpp
@@ -1,5 +1,5 @@
-// The closed list of what a gateway's log tells. docs/LOGS.md shows the same table; a test holds the two
-// together.
+// The complete list of events that a gateway writes to its log. docs/LOGS.md shows the same table; a unit
+// test fails when the two differ.
 #pragma once
 
 #include "base/log.hpp"
@@ -10,15 +10,16 @@
 
 namespace borageford::events {
 
+/// What a log line reports. The names in the log are the same as the enumerators' names.
 enum class event_kind : std::uint8_t {
-    // The process.
+    // The process itself.
     started,
     settings_reloaded,
     settings_refused,
     stop_requested,
     stopped,
 
-    // What it depends on.
+    // The processes that this one depends on: the store, other gateways, the coordinator of slots.
     store_lost,
     store_regained,
     store_era_changed,
@@ -28,7 +29,7 @@
     member_attached,
     member_lost,
 
-    // What it believes.
+    // The state that this process currently assumes: configuration, roll-outs, backend servers.
     configuration_in_force,
     configuration_unreadable,
     rollout_ordered,
@@ -45,7 +46,7 @@
     backend_resting,
     backend_recovered,
 
-    // Requests, where their callers are.
+    // Requests, logged by the gateway that received them from their callers.
     request_malformed,
     request_placed,
     request_try_failed,
@@ -54,23 +55,25 @@
     request_cut,
     request_abandoned,
 
-    // Requests, where slots are given out.
+    // Requests, logged by the process that grants slots.
     slot_refused,
 };
 
-/// One row of the table.
+/// The fixed properties of one kind of event.
 struct event_description {
     event_kind kind;
-    std::string_view name;
+    std::string_view name; ///< as written to the log
     log::level level;
-    /// Lines of this kind a second at most; what is over it is counted and told with the next line.
+    /// The most lines of this kind that are written per second. Further lines are dropped; the next line that
+    /// is written gives their number in its field `left_out`.
     double lines_per_second;
     std::string_view meaning;
-    std::string_view fields; ///< names, separated by blanks
+    std::string_view fields; ///< names of the fields, separated by blanks
 };
 
-/// All rows, in the order of the enumeration.
+/// The descriptions of all kinds, in the order of the enumeration.
 [[nodiscard]] std::span<const event_description> event_descriptions() noexcept;
+/// The description of one kind.
 [[nodiscard]] const event_description& describe(event_kind kind) noexcept;
 
 } // namespace borageford::events
--- a/src/events/event_log.cpp
+++ b/src/events/event_log.cpp
@@ -1,4 +1,5 @@
-// Rendering, the bound, and the way out through log4cplus into a buffer that never waits.
+// Renders events as JSON, limits their rate, and passes the lines through log4cplus into a line_buffer, whose
+// writes never block.
 #include "events/event_log.hpp"
 
 #include "events/line_buffer.hpp"
@@ -23,10 +24,11 @@
 namespace borageford::events {
 namespace {
 
-/// Some thousand lines: what a burst writes between two flushes, many times over.
+/// Bytes. The buffer holds some thousand lines, many times as many as a burst of requests writes between two
+/// flushes.
 constexpr std::size_t buffer_capacity = 512U * 1024;
 
-/// Hands the rendered line on as it is.
+/// A log4cplus appender that adds each rendered line unchanged to a line_buffer.
 class buffer_appender : public log4cplus::Appender {
 public:
     explicit buffer_appender(line_buffer& buffer) : m_buffer(buffer) {}
@@ -139,7 +141,7 @@
     return {format_log_time(clock.time(now)), clock.step(std::chrono::system_clock::now(), now)};
 }
 
-/// Says in the next line that is written how many were lost by then.
+/// Adds the field `lost_lines` to a rendered line when more lines were lost since the field was last written.
 void tell_lost_lines(std::string& line) {
     auto& state = shared_state();
     const auto lost = state.buffer.lost();
--- a/src/events/event_log.hpp
+++ b/src/events/event_log.hpp
@@ -1,4 +1,5 @@
-// Writes events as one JSON object a line, bounded in number and never waiting for a reader.
+// Writes events to standard output, one JSON object a line. The number of lines per second is limited, and a
+// write never waits until somebody reads the output.
 #pragma once
 
 #include "events/event_kind.hpp"
@@ -13,38 +14,44 @@
 
 namespace borageford::events {
 
-/// A value of a field. A std::string that is passed has to live until write() returns.
+/// The value of a field. Text isn't copied: a std::string that is passed must live until write() returns.
 using field_value = std::variant<std::string_view, std::int64_t, std::uint64_t, double, bool>;
 
+/// One named value of a log line.
 struct field {
     std::string_view name;
     field_value value;
 };
 
-/// Sets who writes, and that lines go to standard output. Call once, before any thread starts.
+/// Sets the process and VM names that every line contains and the lowest level that is written, and directs
+/// the lines to standard output. Must be called once, before any thread starts; without it write() does
+/// nothing.
 void start(std::string_view process, std::string_view vm, log::level lowest);
 
-/// Writes one line, or counts it when its kind is over its rate or nobody reads.
+/// Writes one line to the buffer. The line is only counted when its kind has exceeded its rate limit, or when
+/// the buffer is full because nobody reads the output.
 void write(event_kind kind, std::initializer_list<field> fields = {});
 
-/// Hands what was written to the kernel, as far as it takes it; to be called every few milliseconds. Lines
-/// wait for it, so that one system call serves many.
+/// Writes the buffered lines to standard output as far as that is possible without blocking. Call it every
+/// few milliseconds: lines stay in the buffer until then, so that one system call writes many of them.
 void flush() noexcept;
 
-/// Lines that were dropped since the start because nobody read them.
+/// How many lines were dropped since the process started because the buffer was full.
 [[nodiscard]] std::uint64_t lost_lines() noexcept;
 
-/// When a line was written.
+/// The time stamp of a line.
 struct line_time {
     line_time(std::string utc, std::chrono::milliseconds ahead = {})
         : text(std::move(utc)), clock_step(ahead) {}
     line_time(const char* utc) : text(utc) {}
 
-    std::string text;                       ///< in UTC
-    std::chrono::milliseconds clock_step{}; ///< how far the machine's clock is ahead of it; 0: hardly
+    std::string text; ///< in UTC, as format_log_time() writes it
+    std::chrono::milliseconds
+        clock_step{}; ///< how far the system clock is ahead of `text`; 0: less than 100 ms
 };
 
-/// One line as it is written, without its end: for tests, and for lines that are told elsewhere.
+/// The JSON text of one line, without a line end: for tests, and for lines that are written elsewhere.
+/// `left_out` is the number of lines of this kind dropped before this one.
 [[nodiscard]] std::string render(event_kind kind, std::initializer_list<field> fields, std::uint64_t left_out,
                                  const line_time& time);
 
--- a/src/events/line_buffer.cpp
+++ b/src/events/line_buffer.cpp
@@ -1,4 +1,5 @@
-// poll() tells whether a write may wait; a pipe that is writable takes PIPE_BUF bytes at once.
+// Non-blocking writes to a descriptor in blocking mode: poll() tells whether the descriptor is writable, and
+// a writable pipe accepts at least PIPE_BUF bytes without blocking.
 #include "events/line_buffer.hpp"
 
 #include <algorithm>
--- a/src/events/log_clock.cpp
+++ b/src/events/log_clock.cpp
@@ -1,4 +1,4 @@
-// One reading of the machine's clock, and the steady clock after it.
+// Computes the time of log lines from one reading of the system clock and the steady clock's progress since.
 #include "events/log_clock.hpp"
 
 #include <array>
@@ -10,7 +10,7 @@
 
 using std::chrono::milliseconds;
 
-/// Less is drift, and the time between two readings.
+/// Smaller differences are no step: clocks drift, and the two clocks aren't read at the same instant.
 constexpr milliseconds least_step{100};
 
 } // namespace
--- a/src/events/log_clock.hpp
+++ b/src/events/log_clock.hpp
@@ -1,4 +1,4 @@
-// The time of a log's lines, on a machine whose clock may be set while a process runs.
+// The clock that time-stamps log lines, on a machine whose system clock may be set while a process runs.
 #pragma once
 
 #include <chrono>
@@ -6,22 +6,24 @@
 
 namespace borageford::events {
 
-/// Clocks of machines jump, forward and back. Lines that bore the clock's time would lie in another order
-/// than what they tell of: a request refused before it came, a slot granted before it was asked for. So the
-/// clock is read once, at the process's start, and the steady clock counts from there.
+/// System clocks jump forward and back. With the system clock's time, lines would sort in another order than
+/// the events happened: a request would seem refused before it arrived. The system clock is therefore read
+/// once, at the start of the process, and later times are computed from the steady clock.
 ///
-/// Invariant: of two lines of one process, the later one never bears an earlier time.
+/// Invariant: a line never has an earlier time than the previous lines of the same process.
 class log_clock {
 public:
     using wall_time = std::chrono::system_clock::time_point;
     using steady_time = std::chrono::steady_clock::time_point;
 
+    /// `started` and `at` are readings of the system clock and the steady clock taken at the same moment.
     log_clock(wall_time started, steady_time at) noexcept : m_started(started), m_at(at) {}
 
-    /// The time of a line that is written now.
+    /// The time stamp of a line that is written at `now`.
     [[nodiscard]] wall_time time(steady_time now) const noexcept;
-    /// How far the machine's clock is ahead of the lines' time, when that is more than clocks drift; else
-    /// zero. A machine that was suspended shows it too, since the steady clock stood still meanwhile.
+    /// How far the system clock's reading `wall` is ahead of the time stamp for `now`; zero when the
+    /// difference is below 100 ms, which may be drift. A machine that was suspended has a step too, since its
+    /// steady clock stood still in the meantime.
     [[nodiscard]] std::chrono::milliseconds step(wall_time wall, steady_time now) const noexcept;
 
 private:
@@ -29,7 +31,7 @@
     steady_time m_at;
 };
 
-/// Such as 2026-04-05T07:54:15.040355Z, in UTC.
+/// Formats a time in UTC with microseconds, for example 2026-04-05T07:54:15.040355Z.
 [[nodiscard]] std::string format_log_time(log_clock::wall_time time);
 
 } // namespace borageford::events
--- a/src/events/rate_bound.cpp
+++ b/src/events/rate_bound.cpp
@@ -1,4 +1,4 @@
-// One token bucket a kind.
+// Limits the rate of log lines with one token bucket for each kind of event.
 #include "events/rate_bound.hpp"
 
 #include <utility>
@@ -7,7 +7,7 @@
 
 namespace {
 
-/// Seconds of a kind's rate that may come at once.
+/// The bucket's size: a kind may write this many seconds' worth of its rate at once.
 constexpr double burst_seconds = 2;
 
 } // namespace
--- a/tests/unit/test_events.cpp
+++ b/tests/unit/test_events.cpp
@@ -1,4 +1,5 @@
-// The log's lines, their bound, the buffer before the pipe, and the page that lists them.
+// Tests of the event log: the format of lines, the rate limit, the buffer before the output, the clock of the
+// time stamps, and the table in docs/LOGS.md.
 #include "events/event_log.hpp"
 #include "events/line_buffer.hpp"
 #include "events/log_clock.hpp"
@@ -18,7 +19,7 @@
 
 namespace {
 
-/// A pipe whose ends are closed with it.
+/// A pipe whose two ends are closed by the destructor.
 class test_pipe {
 public:
     test_pipe() { REQUIRE(::pipe(m_ends.data()) == 0); }
@@ -51,7 +52,7 @@
 
 } // namespace
 
-TEST_CASE("a line is one JSON object, whatever a caller put into it", "[events]") {
+TEST_CASE("a log line is one JSON object on one line, whatever characters a caller sent", "[events]") {
     const auto line =
         render(event_kind::request_refused,
                {{"request", "a\"b\n\x01\xff"}, {"status", std::uint64_t(503)}, {"held_ms", 1.23456}}, 7,
@@ -66,13 +67,13 @@
 
 TEST_CASE("a machine's clock that jumps changes neither order nor distance of a process's lines",
           "[events]") {
-    // The time of day leaps ahead by two seconds and back again, as it does on some machines. An engineer who
-    // follows a request through the log would see it refused before it came.
+    // The system clock jumps ahead by two seconds and then back, as happens on some machines. With its time
+    // in the lines, an engineer would see a request refused before it arrived.
     const auto started = std::chrono::system_clock::time_point{} + 1000h;
     const auto at = std::chrono::steady_clock::time_point{} + 5h;
     const log_clock clock(started, at);
     CHECK(format_log_time(clock.time(at + 1s)) == "1970-02-11T16:00:01.000000Z");
-    CHECK(clock.step(started + 1s + 20ms, at + 1s) == 0ms); // drift
+    CHECK(clock.step(started + 1s + 20ms, at + 1s) == 0ms); // below the 100 ms that may be drift
     CHECK(clock.time(at + 2s) - clock.time(at + 1s) == 1s);
     CHECK(clock.step(started + 4s, at + 2s) == 2s);
     CHECK(clock.step(started + 3s - 1h, at + 3s) == -1h);
@@ -81,7 +82,7 @@
     CHECK(boost::json::parse(line).as_object().at("clock_step_ms").to_number<int>() == 2000);
 }
 
-TEST_CASE("a kind of event is bounded by itself and counts what it leaves out", "[events]") {
+TEST_CASE("each kind of event has its own rate limit and counts the lines it drops", "[events]") {
     const policy::time_point now = policy::time_point{} + 1h;
     rate_bound bound(now);
     std::uint64_t admitted = 0;
@@ -93,8 +94,8 @@
     CHECK(bound.admit(event_kind::request_answered, now + 1s) == 10000 - admitted);
 }
 
-TEST_CASE("a pipe that nobody reads costs lines, counted, and no time", "[events]") {
-    // The collector hangs: a plain write would wait for it, and the whole process with it.
+TEST_CASE("a pipe that nobody reads causes counted lost lines, but no blocked write", "[events]") {
+    // The process that reads the log hangs: a blocking write to the full pipe would stop this process too.
     const test_pipe pipe;
     line_buffer buffer(pipe.writer(), 100'000);
     const std::string line(999, 'x');
