--- a/src/diagnosis/log_record.cpp
+++ b/src/diagnosis/log_record.cpp
@@ -1,4 +1,4 @@
-// Reading lines as events/event_log.cpp writes them.
+// Parses log lines in the format that events::render() writes.
 #include "diagnosis/log_record.hpp"
 
 #include <boost/json/parse.hpp>
@@ -15,11 +15,13 @@
 
 namespace json = boost::json;
 
-/// Takes digits from the front of a text, and what separates them from the next ones.
+/// Reads numbers with a fixed count of digits from the front of a text, each followed by a separator.
 class digit_reader {
 public:
     explicit digit_reader(std::string_view text) : m_text(text) {}
 
+    /// Removes the next number and its separator from the text. When either differs from what is expected,
+    /// the value is meaningless and is_good() is false from then on.
     unsigned take(std::size_t digits, char separator) {
         const auto part = m_text.substr(0, digits);
         unsigned value = 0;
@@ -33,6 +35,7 @@
         return value;
     }
 
+    /// Whether every read succeeded and the text is used up.
     [[nodiscard]] bool is_good() const noexcept { return m_is_good && m_text.empty(); }
 
 private:
@@ -40,6 +43,7 @@
     bool m_is_good = true;
 };
 
+/// Removes a field from the object and returns its text; empty when the field is missing or no text.
 std::string take_text(json::object& object, std::string_view name) {
     const auto* value = object.if_contains(name);
     std::string result;
@@ -50,6 +54,7 @@
     return result;
 }
 
+/// Removes a field from the object and returns its number; 0 when the field is missing or no number.
 std::uint64_t take_count(json::object& object, std::string_view name) {
     const auto* value = object.if_contains(name);
     boost::system::error_code error;
@@ -58,7 +63,7 @@
     return error ? 0 : result;
 }
 
-/// As people write it; the library's own form is 2.1E0.
+/// Formats a number as in "2.1"; Boost.JSON would write 2.1E0.
 std::string plain_number(double value) {
     constexpr std::size_t longest = 32;
     std::array<char, longest> text{};
@@ -66,7 +71,8 @@
     return {text.data(), end};
 }
 
-/// erase() of a json::object moves the last field into the gap; rebuilding keeps the line's order.
+/// Copies the fields that belong to the event, without the fields that every line has. The copy keeps the
+/// order of the line, which json::object::erase() doesn't: it moves the last field into the gap.
 json::object without_common_fields(const json::object& object) {
     json::object result;
     for (const auto& field : object) {
--- a/src/diagnosis/log_record.hpp
+++ b/src/diagnosis/log_record.hpp
@@ -1,4 +1,4 @@
-// One line of a gateway's log, read back.
+// Parses one line of a gateway's log into a record.
 #pragma once
 
 #include <boost/json/object.hpp>
@@ -11,27 +11,30 @@
 
 namespace borageford::diagnosis {
 
+/// The time of a log line, in UTC.
 using log_time = std::chrono::time_point<std::chrono::system_clock, std::chrono::microseconds>;
 
+/// One log line: the fields that every line has, and the fields of its event.
 struct log_record {
     log_time time;
     std::string vm;
-    std::string event;            ///< the name in docs/LOGS.md
-    std::uint64_t left_out = 0;   ///< lines of this kind that weren't written before this one
-    std::uint64_t lost_lines = 0; ///< lines of the process that nobody read, since its start
-    boost::json::object fields;   ///< those of the event alone, in the order of the line
+    std::string event;            ///< the event's name, as in events::event_description::name
+    std::uint64_t left_out = 0;   ///< lines of this kind that the rate limit dropped before this one
+    std::uint64_t lost_lines = 0; ///< lines dropped since the process started because nobody read its log
+    boost::json::object fields;   ///< only the fields that belong to the event, in the order of the line
 
-    /// The field as text; empty when the line has none of this name.
+    /// The value of a field as text; empty when the line has no such field.
     [[nodiscard]] std::string text(std::string_view field) const;
-    /// The field as a number; 0 when the line has none of this name.
+    /// The value of a field as a number; 0 when the line has no such field or its value is no number.
     [[nodiscard]] std::int64_t number(std::string_view field) const;
 };
 
-/// Reads a line, also behind what a collector of logs has put before it. Nothing when it is no line of a
-/// gateway's log.
+/// Parses a line; text before the first '{', such as the prefix of a log collector, is skipped. Returns
+/// nothing when the line isn't a line of a gateway's log.
 [[nodiscard]] std::optional<log_record> read_log_record(std::string_view line);
 
-/// Microseconds since 1970 of a time such as 2026-04-05T07:54:15.040355Z, in UTC.
+/// Parses a time in UTC such as 2026-04-05T07:54:15.040355Z. Returns nothing when the text has another
+/// format.
 [[nodiscard]] std::optional<log_time> read_log_time(std::string_view text);
 
 } // namespace borageford::diagnosis
--- a/src/diagnosis/loss_report.cpp
+++ b/src/diagnosis/loss_report.cpp
@@ -1,4 +1,5 @@
-// One row a route, a workspace and a span of time; one column for each way to end.
+// Classifies how requests ended and prints the counts as tables: one row for each route, workspace and time
+// window, one column for each way in which a request can end.
 #include "diagnosis/loss_report.hpp"
 
 #include <algorithm>
@@ -10,16 +11,17 @@
 namespace borageford::diagnosis {
 namespace {
 
-/// A request that waited for less than this part of its target was given a slot early; it is the part in
-/// which the scheduler counts on a request to be begun in time.
+/// Share of the latency target. A request that was granted a slot within this share was granted it early: by
+/// default policy::slot_scheduler_limits::hopeless_wait is the same share.
 constexpr double early_part = 0.4;
 constexpr int name_width = 24;
 constexpr int column_width = 10;
 
+/// The names of one way in which a request can end.
 struct end_row {
     request_end end;
     std::string_view name;
-    std::string_view heading;
+    std::string_view heading; ///< of the column in the tables
 };
 
 constexpr std::array ends{
@@ -36,6 +38,7 @@
 };
 static_assert(ends.size() == static_cast<std::size_t>(request_end::last_end) + 1);
 
+/// How a request ended that was answered completely: in time, or late and why.
 request_end classify_answer(const log_record& record) {
     const auto target = record.number("target_ms");
     if (target > 0 && record.number("to_first_ms") > target) {
@@ -48,6 +51,7 @@
     return has_paused ? request_end::late_by_pause : request_end::in_time;
 }
 
+/// How a request ended that the gateway answered with an error of its own.
 request_end classify_refusal(const log_record& record) {
     constexpr int first_server_error = 500;
     const auto error = record.text("error");
--- a/src/diagnosis/loss_report.hpp
+++ b/src/diagnosis/loss_report.hpp
@@ -1,4 +1,5 @@
-// What callers didn't get, and why: counted from the logs of all gateways, by route, workspace and time.
+// Counts from the logs of all gateways how requests ended, by route, workspace and time: in time, or late,
+// refused, failed or abandoned, with the cause.
 #pragma once
 
 #include "diagnosis/log_record.hpp"
@@ -15,41 +16,47 @@
 
 namespace borageford::diagnosis {
 
-/// How a request ended, as a gateway's log tells it. A caller that was refused and came back is a request of
-/// its own here: gateways don't tell the two from each other in their lines.
+/// How a request ended, according to a gateway's log. When a refused caller sends its request again, the
+/// retry counts as another request, because the lines of gateways don't mark retries.
 enum class request_end : std::uint8_t {
-    in_time,
+    in_time,        ///< its first event and all later events came within their targets
     late_by_wait,   ///< its first event came too late, after a long wait for a slot
-    late_at_server, ///< its first event came too late, though it was given a slot early
-    late_by_pause,  ///< its first event was in time, and a pause between two events too long
-    refused_load,   ///< no server could have served it in time
-    refused_limit,  ///< over its workspace's allowance, or the retry budget
-    refused_caller, ///< unknown key, no such path, too large: not the system's to serve
-    failed,         ///< an error after a server may have run it, or its time was over
-    cut,            ///< a stream that was ended in the middle
-    left,           ///< its caller closed the connection
+    late_at_server, ///< its first event came too late, although it was granted a slot early
+    late_by_pause,  ///< its first event was in time, but a pause between two later events was too long
+    refused_load,   ///< refused because no server could have served it in time, or the gateway was shutting
+                    ///< down
+    refused_limit,  ///< refused because of its workspace's quota, the retry budget, or its quarantine
+    refused_caller, ///< refused for an error of the caller: an unknown key, no such path, too large
+    failed,         ///< answered with an error after a server may have run it, or after its deadline
+    cut,            ///< its stream was aborted before the end
+    left,           ///< its caller closed the connection before the answer was complete
     last_end = left
 };
 
+/// The name of a way to end, for example "late_by_wait".
 [[nodiscard]] std::string_view to_string(request_end end) noexcept;
 
-/// What one line tells; nothing for lines that end no request.
+/// How the request of this line ended; nothing when the line reports no end of a request.
 [[nodiscard]] std::optional<request_end> classify(const log_record& record);
 
-/// Takes the lines of any number of processes in any order, then tells.
+/// Collects the lines of any number of processes, in any order, and then prints the counts.
 class loss_report {
 public:
-    /// `window`: length of the spans of time that are told apart.
+    /// `window` is the length of the time windows that are counted separately.
     explicit loss_report(std::chrono::seconds window) : m_window(window) {}
 
+    /// Counts the line if it reports the end of a request.
     void take(const log_record& record);
 
+    /// Whether any line reported the end of a request.
     [[nodiscard]] bool has_requests() const noexcept { return m_all.total() > 0; }
+    /// Prints the tables.
     void tell(std::ostream& out) const;
 
 private:
     static constexpr auto end_count = static_cast<std::size_t>(request_end::last_end) + 1;
 
+    /// Counts of requests, indexed by request_end.
     struct tally {
         std::array<std::uint64_t, end_count> ends{};
         [[nodiscard]] std::uint64_t total() const noexcept;
@@ -64,8 +71,8 @@
     tally m_all;
     tallies m_routes;
     tallies m_workspaces;
-    std::map<log_time, tally> m_windows;
-    std::uint64_t m_left_out = 0;
+    std::map<log_time, tally> m_windows; ///< by the begin of the window
+    std::uint64_t m_left_out = 0;        ///< requests whose lines were dropped by the rate limit
 };
 
 } // namespace borageford::diagnosis
--- a/src/diagnosis/request_story.cpp
+++ b/src/diagnosis/request_story.cpp
@@ -1,4 +1,4 @@
-// Joining lines by request and ticket, and telling them in the order of time.
+// Joins log lines by request id and ticket, and prints them in the order of their times.
 #include "diagnosis/request_story.hpp"
 
 #include "events/event_kind.hpp"
@@ -14,8 +14,8 @@
 using std::chrono::duration_cast;
 using std::chrono::milliseconds;
 
-/// Beliefs that were changed shortly after a request ended often explain it: a server that was found gone, a
-/// store found lost.
+/// State changes that were logged within this time after a request ended are printed too. They often explain
+/// the end: for example, a process notices only then that a server was removed or that the store is lost.
 constexpr std::chrono::seconds aftermath{1};
 
 bool is_about_requests(const log_record& record) {
@@ -27,12 +27,14 @@
            record.event == "request_cut" || record.event == "request_abandoned";
 }
 
+/// The meaning of an event; empty for an unknown event.
 std::string_view meaning_of(std::string_view event) {
     const auto all = events::event_descriptions();
     const auto found = std::ranges::find(all, event, &events::event_description::name);
     return found != all.end() ? found->meaning : std::string_view("");
 }
 
+/// Formats a time span in seconds, with three decimals.
 std::string seconds_text(milliseconds span) {
     constexpr auto thousand = 1000;
     const auto count = std::abs(span.count());
@@ -45,7 +47,7 @@
     return duration_cast<milliseconds>(to - from);
 }
 
-/// All fields but those that every line of the story shares.
+/// All fields as "name=value", except the request's id, which is the same in all lines of the timeline.
 std::string fields_text(const log_record& record) {
     std::string result;
     for (const auto& field : record.fields) {
@@ -59,12 +61,13 @@
     return result;
 }
 
-/// What the last line about one thing says, as the process believed it at that time.
+/// What part of a process's assumed state a log line sets. The latest line about a subject tells its state.
 struct belief {
-    std::string subject; ///< what it is about: two lines of one subject replace each other
-    bool is_usual = false;
+    std::string subject;   ///< for example "backend engine-4"; a later line replaces an earlier one
+    bool is_usual = false; ///< a normal state, which isn't printed
 };
 
+/// The subject that a line is about; the subject is empty for lines that set no state.
 belief belief_of(const log_record& record) {
     const auto& event = record.event;
     if (event.starts_with("configuration_in")) {
@@ -100,6 +103,7 @@
            (tries == 1 ? " backend server" : " backend servers");
 }
 
+/// One sentence about how the request ended.
 std::string end_text(const log_record& end) {
     if (end.event == "request_answered") {
         return "answered with " + end.text("status") + " by " + end.text("backend") + " after " +
--- a/src/diagnosis/request_story.hpp
+++ b/src/diagnosis/request_story.hpp
@@ -1,5 +1,5 @@
-// What a log tells of one request: its own lines, the coordinator's about it, and what the processes
-// concerned believed at the time.
+// The timeline of one request, gathered from logs: the lines about the request, the coordinator's refusal of
+// a slot for it, and the state that the processes which handled it assumed at the time.
 #pragma once
 
 #include "diagnosis/log_record.hpp"
@@ -15,24 +15,28 @@
 
 namespace borageford::diagnosis {
 
-/// Takes the lines of any number of processes in any order, then tells.
+/// Collects the lines of any number of processes, in any order, and then prints those that concern one
+/// request.
 class request_story {
 public:
-    /// `id` is the caller's id of the request, as its lines show it.
+    /// `id` is the caller's id of the request, which is the field `request` of the log lines.
     explicit request_story(std::string id) : m_id(std::move(id)) {}
 
+    /// Stores the line if it may concern the request.
     void take(log_record record);
 
+    /// Whether any line about the request was found.
     [[nodiscard]] bool has_lines() const noexcept { return !m_own.empty(); }
 
-    /// Writes the whole story as text; without any line of the request it says what may be missing.
+    /// Prints the timeline as text. When no line about the request was found, it prints how many lines were
+    /// dropped and may therefore be missing.
     void tell(std::ostream& out) const;
 
-    /// How the request ended, in one sentence.
+    /// One sentence about how the request ended.
     [[nodiscard]] std::string outcome() const;
 
 private:
-    /// Lines in the order of their times, whatever order they were taken in.
+    /// Lines sorted by time.
     using timeline = std::multimap<log_time, log_record>;
 
     [[nodiscard]] timeline lines_about_request() const;
@@ -42,14 +46,16 @@
     void tell_gaps(std::ostream& out) const;
 
     std::string m_id;
-    std::vector<log_record> m_own;
-    /// Coordinators' refusals by ticket; which of them concern the request is known only at the end.
+    std::vector<log_record> m_own; ///< the lines about the request
+    /// Coordinators' refusals of slots, by ticket. Which tickets belong to the request is known only when all
+    /// lines have been read.
     std::unordered_map<std::string, log_record> m_slot_refusals;
-    /// Lines that tell of no request, by VM.
+    /// Lines about no request, by VM: they tell the state that the VM's process assumed.
     std::map<std::string, timeline> m_beliefs;
-    std::uint64_t m_lines = 0;
-    std::uint64_t m_left_out = 0;
-    std::map<std::string, std::uint64_t> m_lost_lines; ///< by VM; each line tells the sum so far
+    std::uint64_t m_lines = 0;    ///< lines read
+    std::uint64_t m_left_out = 0; ///< lines dropped by the rate limit
+    std::map<std::string, std::uint64_t>
+        m_lost_lines; ///< by VM, the highest count: lines give a running total
 };
 
 } // namespace borageford::diagnosis
--- a/tests/unit/test_diagnosis.cpp
+++ b/tests/unit/test_diagnosis.cpp
@@ -1,4 +1,4 @@
-// Reading a log back and telling one request's story from it.
+// Tests of parsing log lines and of printing the timeline of one request from them.
 #include "diagnosis/log_record.hpp"
 #include "diagnosis/request_story.hpp"
 #include "events/event_log.hpp"
@@ -14,7 +14,7 @@
 
 namespace {
 
-/// A line as a gateway on `vm` writes it, `milliseconds` after a fixed moment.
+/// A log line of a gateway on `vm`, with a time that is `milliseconds` after 2026-03-01T10:00:00Z.
 std::string line_of(const std::string& vm, int milliseconds, const std::string& event,
                     const std::string& fields) {
     auto fraction = std::to_string(milliseconds);
@@ -37,7 +37,7 @@
 
 } // namespace
 
-TEST_CASE("a line that was written is read back", "[diagnosis]") {
+TEST_CASE("a log line that was written can be parsed", "[diagnosis]") {
     const auto line = events::render(events::event_kind::request_refused,
                                      {{"request", "a\"b"}, {"status", std::uint64_t(503)}, {"held_ms", 1.5}},
                                      7, "2026-03-01T10:00:00.250000Z");
@@ -51,7 +51,7 @@
     CHECK_FALSE(record->fields.contains("vm"));
 }
 
-TEST_CASE("what is no line of a log is passed over", "[diagnosis]") {
+TEST_CASE("lines that are no log lines are ignored", "[diagnosis]") {
     CHECK_FALSE(read_log_record(""));
     CHECK_FALSE(read_log_record("Mar 01 kernel: out of memory"));
     CHECK_FALSE(read_log_record("{\"event\":\"started\""));
@@ -61,7 +61,8 @@
     CHECK_FALSE(read_log_time("2026-03-01T10:00:00.000Z"));
 }
 
-TEST_CASE("a refused request's story has the coordinator's reason and what was believed", "[diagnosis]") {
+TEST_CASE("the timeline of a refused request has the coordinator's reason and the state that was assumed",
+          "[diagnosis]") {
     request_story story("r1");
     take(story, line_of("edge-1", 300, "request_refused",
                         R"("request":"r1","ticket":77,"error":"overloaded","status":503,)"
@@ -81,13 +82,13 @@
     CHECK(text.find("needed=2.1 available=0.7") != std::string::npos);
     CHECK(text.find("edge-2: backend_resting backend=engine-4 rest_ms=800 (since 0.199 s)") !=
           std::string::npos);
-    CHECK(text.find("over_allowance") == std::string::npos); // another request's
-    CHECK(text.find("engine-5") == std::string::npos);       // it had recovered
-    CHECK(text.find("engine-9") == std::string::npos);       // that gateway had no part in it
+    CHECK(text.find("over_allowance") == std::string::npos); // this ticket belongs to another request
+    CHECK(text.find("engine-5") == std::string::npos);       // engine-5 had recovered before
+    CHECK(text.find("engine-9") == std::string::npos);       // edge-3 has no line about the request
     CHECK(text.find("slot_refused") < text.find("request_refused  ticket"));
 }
 
-TEST_CASE("a story has what happened meanwhile, in the order of time", "[diagnosis]") {
+TEST_CASE("a timeline has the state changes around the request, sorted by time", "[diagnosis]") {
     request_story story("r2");
     take(story, line_of("edge-1", 400, "request_cut",
                         R"("request":"r2","reason":"the response ended early","events":12,"total_ms":390)"));
@@ -108,7 +109,8 @@
           "came");
 }
 
-TEST_CASE("a request without lines: the story says what may be missing", "[diagnosis]") {
+TEST_CASE("without any line about the request, the output tells how many lines may be missing",
+          "[diagnosis]") {
     request_story story("r3");
     take(story, line_of("edge-1", 10, "request_answered", R"("request":"r4","left_out":41,"lost_lines":3)"));
     take(story, line_of("edge-1", 20, "request_answered", R"("request":"r5","lost_lines":5)"));
--- a/tests/unit/test_diagnosis_losses.cpp
+++ b/tests/unit/test_diagnosis_losses.cpp
@@ -1,4 +1,4 @@
-// Counting from logs what callers didn't get.
+// Tests of loss_report, which counts from log lines how requests ended.
 #include "diagnosis/loss_report.hpp"
 
 #include <catch2/catch.hpp>
@@ -33,7 +33,7 @@
 
 } // namespace
 
-TEST_CASE("each end of a request is told by its cause", "[diagnosis][losses]") {
+TEST_CASE("each way in which a request can end is classified by its cause", "[diagnosis][losses]") {
     CHECK(classify(record_of("request_answered", answer(10, 480, 290))) == request_end::in_time);
     CHECK(classify(record_of("request_answered", answer(400, 600, 0))) == request_end::late_by_wait);
     CHECK(classify(record_of("request_answered", answer(10, 600, 0))) == request_end::late_at_server);
@@ -50,12 +50,12 @@
     CHECK_FALSE(classify(record_of("backend_gone", R"("backend":"b")")).has_value());
 }
 
-TEST_CASE("a plain call has no pauses, and without a target nothing is late", "[diagnosis][losses]") {
+TEST_CASE("without targets for the first event and for pauses, no answer is late", "[diagnosis][losses]") {
     CHECK(classify(record_of("request_answered", R"("request":"r","to_first_ms":900)")) ==
           request_end::in_time);
 }
 
-TEST_CASE("losses are counted by route, workspace and time, and lines that are missing are told",
+TEST_CASE("losses are counted by route, workspace and time, and the number of missing lines is printed",
           "[diagnosis][losses]") {
     loss_report report(2s);
     CHECK_FALSE(report.has_requests());
