--- a/src/program/check_command.cpp
+++ b/src/program/check_command.cpp
@@ -1,4 +1,4 @@
-// Picks the reader by the file's sections and prints every complaint.
+// Chooses the reader by the sections that a file contains, and prints every error that the reader reports.
 #include "program/check_command.hpp"
 
 #include "configuration/intent_parser.hpp"
@@ -16,12 +16,14 @@
 namespace borageford::program {
 namespace {
 
+/// Reads a file, adds its errors to `problems`, and returns what kind of file it is; empty when the file
+/// can't be read.
 std::string_view check_file(const std::string& file, std::vector<settings::problem>& problems) {
     const auto text = settings::read_file(file, problems);
     if (!problems.empty()) {
         return "";
     }
-    std::vector<settings::problem> repeated; // the reader of the kind finds them again
+    std::vector<settings::problem> repeated; // not used: the reader chosen below reports these errors again
     const auto document = settings::parse_ini(text, file, repeated);
     if (process::find_section(document, "sidecar") != nullptr) {
         static_cast<void>(sidecar::read_sidecar_settings(file, problems));
--- a/src/program/check_command.hpp
+++ b/src/program/check_command.hpp
@@ -1,11 +1,13 @@
-// `borageford check FILE`: everything that is wrong with a settings file or an intent.
+// The subcommand `borageford check FILE...`: reports all errors of settings files, experiments and intents.
 #pragma once
 
 #include "program/command.hpp"
 
 namespace borageford::program {
 
-/// The file's sections tell what it is: [entry], [sidecar], or an intent.
+/// Checks the files that `words` names. Their sections tell what they are: [sidecar], [gateway],
+/// [experiment], [entry] or [process]; a file without any of these is an intent. Throws usage_error when no
+/// file is named.
 exit_code run_check(arguments words);
 
 } // namespace borageford::program
--- a/src/program/command.hpp
+++ b/src/program/command.hpp
@@ -1,4 +1,4 @@
-// One subcommand of the program and what it promises: its words, its help and its exit codes.
+// The description of a subcommand: its name, its arguments, its help text and its exit codes.
 #pragma once
 
 #include <span>
@@ -7,25 +7,26 @@
 
 namespace borageford::program {
 
-/// What every subcommand's exit code means. docs/ADMINISTRATION.md has the same list.
+/// The exit codes of the subcommands; docs/ADMINISTRATION.md has the same list.
 enum class exit_code : int {
     done = 0,
-    failed = 1,           ///< the entry couldn't be reached or couldn't do it
-    wrong_input = 2,      ///< wrong usage, settings or intent; nothing was changed
-    conflict = 3,         ///< another revision came between; nothing was changed
-    not_everywhere = 4,   ///< accepted, but some nodes weren't seen to hold it in time
-    outcome_unknown = 5,  ///< it may have been accepted; the same call may be repeated
-    stopped_at_once = 130 ///< a second signal
+    failed = 1,           ///< for example, the entry couldn't be reached or couldn't execute the call
+    wrong_input = 2,      ///< an error in the arguments, the settings or the intent; nothing was changed
+    conflict = 3,         ///< another revision was confirmed after the plan was made; nothing was changed
+    not_everywhere = 4,   ///< accepted, but not all nodes confirmed the change before the timeout
+    outcome_unknown = 5,  ///< the change may have been accepted; the same call may safely be repeated
+    stopped_at_once = 130 ///< a second signal ended the process without a graceful shutdown
 };
 
-/// The words after the subcommand's name, without flags.
+/// The positional arguments after the subcommand's name, without flags.
 using arguments = std::span<const std::string>;
 
+/// One subcommand.
 struct command {
     std::string_view name;
-    std::string_view words;   ///< for the usage line, for example "PLAN [--wait]"
-    std::string_view summary; ///< one line
-    std::string_view details; ///< the rest of its help
+    std::string_view words;   ///< the arguments as the usage line shows them, for example "PLAN [--wait]"
+    std::string_view summary; ///< one line of help
+    std::string_view details; ///< further lines of help; may be empty
     exit_code (*run)(arguments words);
 };
 
--- a/src/program/command_flags.cpp
+++ b/src/program/command_flags.cpp
@@ -1,4 +1,5 @@
-// Flags first, then the environment.
+// Defines the flags of the operators' subcommands. Where a flag isn't given, an environment variable may take
+// its place.
 #include "program/command_flags.hpp"
 
 #include "settings/ini_document.hpp"
@@ -11,17 +12,18 @@
 
 ABSL_FLAG(std::string, entry, "", "the administration address of an entry, IP:PORT (or BORAGEFORD_ENTRY)");
 ABSL_FLAG(std::string, token_file, "", "a file with the operators' token (or BORAGEFORD_TOKEN)");
-ABSL_FLAG(std::string, operator_name, "", "who you are, recorded with each revision (or USER)");
-ABSL_FLAG(bool, json, false, "print the API's answer as it came");
+ABSL_FLAG(std::string, operator_name, "", "your name, which is recorded with each revision (or USER)");
+ABSL_FLAG(bool, json, false, "print the body of the response unchanged");
 ABSL_FLAG(bool, wait, false, "wait until the change is in force everywhere");
 ABSL_FLAG(std::string, wait_limit, "30s", "how long --wait waits at most");
 ABSL_FLAG(std::string, workspace, "", "only requests of this workspace");
-ABSL_FLAG(std::string, since, "1h", "how far back to look, for example 30m");
-ABSL_FLAG(int, limit, 20, "how many to list");
+ABSL_FLAG(std::string, since, "1h", "how far back to list requests, for example 30m");
+ABSL_FLAG(int, limit, 20, "the most entries to list");
 
 namespace borageford::program {
 namespace {
 
+/// The value of an environment variable; empty when it isn't set.
 std::string environment(const char* name) {
     const auto* value = std::getenv(name); // NOLINT(concurrency-mt-unsafe): before any thread starts
     return value == nullptr ? std::string() : std::string(value);
--- a/src/program/command_flags.hpp
+++ b/src/program/command_flags.hpp
@@ -1,4 +1,4 @@
-// The flags of the operators' subcommands, as values. Abseil's own types stay in the .cpp file.
+// The values of the flags of the operators' subcommands. Only the .cpp file uses Abseil's flag types.
 #pragma once
 
 #include <chrono>
@@ -8,24 +8,27 @@
 
 namespace borageford::program {
 
-/// A flag or a word that is missing or wrong.
+/// Thrown when a flag or an argument is missing or wrong.
 class usage_error : public std::runtime_error {
 public:
     using std::runtime_error::runtime_error;
 };
 
+/// The flags that the operators' subcommands share.
 struct command_flags {
     std::string entry;         ///< "IP:PORT" of an entry's administration listener
-    std::string token;         ///< the operators'
+    std::string token;         ///< authenticates the operator at the entry
     std::string operator_name; ///< recorded with every revision
-    bool json = false;
-    std::optional<std::chrono::milliseconds> wait; ///< until a change is in force everywhere
-    std::string workspace;
-    std::string since; ///< "30m": how far back to look
-    int limit = 20;
+    bool json = false;         ///< print the response body unchanged
+    std::optional<std::chrono::milliseconds>
+        wait;              ///< how long to wait until a change is in force everywhere; nothing: not at all
+    std::string workspace; ///< list only requests of this workspace
+    std::string since;     ///< how far back to list requests, for example "30m"
+    int limit = 20;        ///< the most entries that are listed
 };
 
-/// Reads the flags and the environment. Throws usage_error.
+/// Reads the flags and the environment variables. Throws usage_error when a value is wrong or the token file
+/// can't be read.
 [[nodiscard]] command_flags read_command_flags();
 
 } // namespace borageford::program
--- a/src/program/command_output.cpp
+++ b/src/program/command_output.cpp
@@ -1,4 +1,4 @@
-// Tables and sentences from JSON.
+// Formats the JSON responses of the administration API as tables and sentences.
 #include "program/command_output.hpp"
 
 #include "base/error_kind.hpp"
@@ -17,9 +17,11 @@
 namespace json = boost::json;
 
 constexpr unsigned first_error_status = 300;
+// Widths of table columns, in characters.
 constexpr int wide_column = 24;
 constexpr int narrow_column = 12;
 
+/// The value of a member as text; "-" when it is missing or null.
 std::string text_of(const json::value& from, std::string_view key) {
     const auto* found = from.as_object().if_contains(key);
     if (found == nullptr || found->is_null()) {
@@ -38,6 +40,7 @@
     return json::serialize(*found);
 }
 
+/// The texts of an array, separated by commas.
 std::string joined(const json::value& from, std::string_view key) {
     std::string text;
     for (const auto& item : from.at(key).as_array()) {
@@ -46,7 +49,7 @@
     return text;
 }
 
-/// One line of a table: the first column is wide.
+/// Prints one row of a table; the first column is wider than the following ones.
 void print_row(std::initializer_list<std::string> cells) {
     int width = wide_column;
     for (const auto& cell : cells) {
@@ -67,6 +70,7 @@
     }
 }
 
+/// The exit code for an error that the API reported.
 exit_code code_for(error_kind kind) {
     switch (kind) {
     case error_kind::plan_conflict:
@@ -91,6 +95,7 @@
     return code_for(find_error_kind(kind).value_or(error_kind::internal));
 }
 
+/// Prints on which nodes a change is in force.
 void print_spread(const json::value& spread) {
     if (spread.at("everywhere").as_bool()) {
         std::cout << "in force on all " << text_of(spread, "nodes") << " live nodes after "
@@ -101,6 +106,7 @@
     }
 }
 
+/// Whether the response says that the change isn't in force on all nodes yet.
 bool is_behind(const std::string& body) {
     const auto parsed = json::parse(body);
     const auto* spread = parsed.as_object().if_contains("in_force");
@@ -121,7 +127,7 @@
         if (!flags.json) {
             print(answer.body);
         }
-        // Asked to wait, the operator must not take "accepted" for "in force everywhere".
+        // With --wait, exit code 0 would tell the operator that the change is in force everywhere.
         return flags.wait && is_behind(answer.body) ? exit_code::not_everywhere : exit_code::done;
     } catch (const std::exception& error) {
         std::cerr << "borageford: the answer of status " << answer.head.status
--- a/src/program/command_output.hpp
+++ b/src/program/command_output.hpp
@@ -1,4 +1,4 @@
-// The API's answers as text for people.
+// Prints the responses of the administration API as readable text.
 #pragma once
 
 #include "http/message.hpp"
@@ -7,13 +7,14 @@
 
 namespace borageford::program {
 
-/// How a successful answer's body is shown.
+/// Prints the JSON body of a successful response as text.
 using text_printer = void (*)(const std::string& body);
 
-/// Prints the answer, as it came or as text, and gives the exit code that it means. Errors go to standard
-/// error with their kind and remedy.
+/// Prints the response, unchanged when the flag `json` is set and otherwise with `print`, and returns the
+/// exit code for it. Errors are printed to standard error with their kind and remedy.
 exit_code print_answer(const http::response& answer, const command_flags& flags, text_printer print);
 
+// Each of these functions prints the body of a successful response of one subcommand.
 void print_plan(const std::string& body);
 void print_commit(const std::string& body);
 void print_revisions(const std::string& body);
--- a/src/program/emulate_command.cpp
+++ b/src/program/emulate_command.cpp
@@ -1,4 +1,5 @@
-// Writes the gateways' files, waits until they are ready, plays the load and writes the report.
+// Writes the settings files of the gateways, waits until the gateways are ready, generates the load and the
+// faults, and writes the report.
 #include "program/emulate_command.hpp"
 
 #include "experiment/experiment_reader.hpp"
@@ -21,7 +22,7 @@
 #include <vector>
 
 ABSL_FLAG(std::string, report, "report", "the folder for the gateways' files and the report");
-ABSL_FLAG(std::string, ready_limit, "60s", "how long emulate waits for the gateways");
+ABSL_FLAG(std::string, ready_limit, "60s", "how long emulate waits until the gateways are ready");
 
 namespace borageford::program {
 namespace {
@@ -30,7 +31,7 @@
 
 constexpr milliseconds readiness_check_period{200};
 
-/// One run, on one thread.
+/// One run of an experiment, on the calling thread.
 class experiment_run {
 public:
     experiment_run(const experiment::experiment_plan& plan, std::filesystem::path folder, milliseconds limit)
@@ -40,6 +41,7 @@
           m_site(m_context.get_executor(), m_timers, m_plan),
           m_runner(m_context.get_executor(), m_timers, m_plan) {}
 
+    /// Returns when the report is written, or when the gateways weren't ready in time.
     exit_code play() {
         m_site.start();
         show_gateways();
@@ -94,6 +96,7 @@
         finish(doubled == 0 ? exit_code::done : exit_code::failed);
     }
 
+    /// Counts the requests that must run at most once but ran more often.
     [[nodiscard]] std::size_t count_doubled() const {
         const auto runs = m_site.count_runs();
         std::size_t result = 0;
--- a/src/program/entry_client.cpp
+++ b/src/program/entry_client.cpp
@@ -1,4 +1,4 @@
-// A blocking call over the asynchronous client.
+// Implements a blocking call with the asynchronous HTTP client.
 #include "program/entry_client.hpp"
 
 #include "http/client.hpp"
@@ -19,10 +19,12 @@
 namespace asio = boost::asio;
 using std::chrono::milliseconds;
 
-/// Beside the time that the call itself asks the entry to wait.
+/// The most time until the response's head arrives, in addition to the time that the flag `wait` lets the
+/// entry wait.
 constexpr milliseconds answer_limit{30'000};
-constexpr unsigned char first_non_ascii = 0x7f;
+constexpr unsigned char first_non_ascii = 0x7f; ///< the first code after the printable ASCII characters
 
+/// The address from the flag `entry`. Throws usage_error when it is missing or malformed.
 http::endpoint entry_address(const command_flags& flags) {
     if (flags.entry.empty()) {
         throw usage_error("--entry IP:PORT (or BORAGEFORD_ENTRY) is required");
--- a/src/program/logs_command.cpp
+++ b/src/program/logs_command.cpp
@@ -1,4 +1,4 @@
-// Reads the files line by line; lines that are no gateway's are passed over.
+// Reads log files line by line; lines that no gateway wrote are skipped.
 #include "program/logs_command.hpp"
 
 #include "diagnosis/log_record.hpp"
@@ -17,9 +17,11 @@
 namespace borageford::program {
 namespace {
 
-/// Spans of time that are told apart: bursts and recoveries take some seconds.
+/// The length of the time windows of the loss report. Bursts and recoveries take some seconds, so that
+/// shorter windows than these seconds show them.
 constexpr std::chrono::seconds loss_window{2};
 
+/// Called with each parsed line.
 using record_taker = std::function<void(diagnosis::log_record)>;
 
 void read_lines(std::istream& input, const record_taker& take) {
@@ -30,6 +32,7 @@
     }
 }
 
+/// Throws usage_error when the file can't be read.
 void read_file(const std::string& name, const record_taker& take) {
     std::ifstream file(name);
     if (!file) {
@@ -41,7 +44,7 @@
     }
 }
 
-/// All files, or standard input when none is named.
+/// Reads all files, or standard input when no file is named.
 void read_all(arguments files, const record_taker& take) {
     for (const auto& name : files) {
         read_file(name, take);
--- a/src/program/logs_command.hpp
+++ b/src/program/logs_command.hpp
@@ -1,15 +1,17 @@
-// borageford logs: gathers and tells the lines of one request. borageford losses: counts from the same logs
-// what callers didn't get.
+// Two subcommands that read gateways' logs: `borageford logs` prints the timeline of one request, `borageford
+// losses` counts how requests ended.
 #pragma once
 
 #include "program/command.hpp"
 
 namespace borageford::program {
 
-/// `words` are the request's id and the files; without files standard input is read.
+/// `words` holds the request's id and the paths of log files; without files, standard input is read. The exit
+/// code is exit_code::failed when no line is about the request. Throws usage_error.
 exit_code run_logs(arguments words);
 
-/// `words` are the files; without any, standard input is read.
+/// `words` holds the paths of log files; without files, standard input is read. The exit code is
+/// exit_code::failed when no line reports the end of a request. Throws usage_error.
 exit_code run_losses(arguments words);
 
 } // namespace borageford::program
--- a/src/program/main.cpp
+++ b/src/program/main.cpp
@@ -1,4 +1,5 @@
-// The one program: picks the subcommand. Abseil's flags stay in this folder, at the edge.
+// The entry point of the program: parses the command line and runs the subcommand. Only this folder uses
+// Abseil's flags.
 #include "entry/entry_process.hpp"
 #include "gateway/gateway_process.hpp"
 #include "platform/users_platform.hpp"
@@ -42,6 +43,7 @@
     "  --wait                 wait until the change is in force everywhere\n"
     "  --wait-limit=30s       how long --wait waits at most\n";
 
+/// Runs a process with the file that the flag `settings` names.
 exit_code with_settings(int (*run)(const std::string&)) {
     const auto file = absl::GetFlag(FLAGS_settings);
     if (file.empty()) {
@@ -71,6 +73,7 @@
     command{"sidecar", "--settings FILE", "stands beside one backend server", "", sidecar_command},
 };
 
+/// Null when there is no subcommand of this name.
 const command* find_command(std::string_view name) {
     for (const auto& table : {std::span<const command>(process_commands), operator_commands()}) {
         const auto found = std::ranges::find(table, name, &command::name);
@@ -109,7 +112,8 @@
     return std::ranges::any_of(words, [](std::string_view word) { return word == "--help" || word == "-h"; });
 }
 
-/// Abseil's flags have underscores; on a command line dashes are usual, so both are taken.
+/// Replaces the dashes in a flag's name by underscores: names of Abseil flags have underscores, while dashes
+/// are usual on a command line, so both spellings are accepted.
 std::string with_underscores(std::string word) {
     if (word.starts_with("--")) {
         const auto name_end = std::min(word.find('='), word.size());
@@ -118,7 +122,7 @@
     return word;
 }
 
-/// Abseil's own help lists flags but no subcommands, and ends with exit code 1.
+/// Prints the program's own help. Abseil's help lists flags but no subcommands, and ends with exit code 1.
 int help(std::span<char*> words) {
     const auto* entry = words.empty() ? nullptr : find_command(words.front());
     if (entry != nullptr) {
--- a/src/program/operator_commands.cpp
+++ b/src/program/operator_commands.cpp
@@ -1,4 +1,5 @@
-// The table of the operators' subcommands; each makes one call.
+// The table of the operators' subcommands. Most of them make one call of the administration API; check,
+// emulate, logs and losses need no entry.
 #include "program/operator_commands.hpp"
 
 #include "program/check_command.hpp"
@@ -18,6 +19,7 @@
 namespace borageford::program {
 namespace {
 
+/// The only argument. Throws usage_error unless there is exactly one; `what` describes it in the message.
 const std::string& only_word(arguments words, std::string_view what) {
     if (words.size() != 1) {
         throw usage_error("this command needs " + std::string(what));
@@ -25,6 +27,7 @@
     return words.front();
 }
 
+/// Throws usage_error when there is any argument.
 void no_words(arguments words) {
     if (!words.empty()) {
         throw usage_error("unexpected \"" + words.front() + "\"");
@@ -37,6 +40,7 @@
     return print_answer(call_entry(flags, method, target, body), flags, print);
 }
 
+/// The query of a call that may wait until a change is in force everywhere; empty without the flag `wait`.
 std::string wait_query() {
     const auto flags = read_command_flags();
     return flags.wait ? "?wait=" + std::to_string(flags.wait->count()) + "ms" : std::string();
@@ -114,7 +118,8 @@
     return call_and_print("GET", "/admin/limits", print_limits);
 }
 
-/// With a request's id: what happened to it. Without: which requests there were.
+/// With a request's id, prints what happened to the request; without an id, lists the requests of a
+/// workspace.
 exit_code run_explain(arguments words) {
     if (!words.empty()) {
         const auto& id = only_word(words, "one REQUEST_ID");
--- a/src/program/operator_commands.hpp
+++ b/src/program/operator_commands.hpp
@@ -1,4 +1,4 @@
-// The operators' subcommands: thin clients of the administration API.
+// The subcommands for operators: clients of the administration API, and tools that read or check files.
 #pragma once
 
 #include "program/command.hpp"
@@ -7,7 +7,7 @@
 
 namespace borageford::program {
 
-/// In the order in which the help lists them.
+/// All subcommands for operators, in the order in which the help lists them.
 [[nodiscard]] std::span<const command> operator_commands();
 
 } // namespace borageford::program
