--- a/src/experiment/call_text.cpp
+++ b/src/experiment/call_text.cpp
@@ -1,4 +1,4 @@
-// One head, one body.
+// Composes the head and the body of an HTTP/1.1 request.
 #include "experiment/call_text.hpp"
 
 #include "platform/call_names.hpp"
--- a/src/experiment/call_text.hpp
+++ b/src/experiment/call_text.hpp
@@ -1,4 +1,4 @@
-// What a caller sends for one request, as bytes.
+// Composes the bytes of the HTTP request that an emulated caller sends.
 #pragma once
 
 #include <chrono>
@@ -8,23 +8,25 @@
 
 namespace borageford::experiment {
 
-/// The tokens that a caller tells of its request.
+/// The token counts that a caller sends in the header of its request.
 struct told_sizes {
-    std::size_t prompt = 0;
-    std::size_t most_output = 0;
-    std::size_t hinted_output = 0;
+    std::size_t prompt = 0;        ///< tokens of the prompt
+    std::size_t most_output = 0;   ///< the most tokens that the answer may have
+    std::size_t hinted_output = 0; ///< the caller's guess at the tokens of the answer
 };
 
+/// The contents of one request.
 struct call_description {
     std::string host;
     std::string target;
-    std::string id;
-    std::chrono::milliseconds time_left{0};
-    std::optional<told_sizes> sizes;
-    std::string key; ///< of a workspace; empty on public routes
+    std::string id;                         ///< the caller's id of the request
+    std::chrono::milliseconds time_left{0}; ///< until the caller's deadline
+    std::optional<told_sizes> sizes;        ///< sent only on routes of streams
+    std::string key;                        ///< the API key of a workspace; empty on public routes
     std::string body;
 };
 
+/// The complete request as text: head and body.
 [[nodiscard]] std::string compose_call(const call_description& call);
 
 } // namespace borageford::experiment
--- a/src/experiment/experiment_plan.hpp
+++ b/src/experiment/experiment_plan.hpp
@@ -1,5 +1,5 @@
-// An experiment as its file describes it: what is emulated, the load, what goes wrong, and where gateways
-// are.
+// The contents of an experiment file: the emulated backend servers and store, the load, the faults, and the
+// addresses of the gateways under test.
 #pragma once
 
 #include "emulator/batching_engine.hpp"
@@ -19,64 +19,72 @@
 
 using std::chrono::milliseconds;
 
-/// Equal backend servers of one service.
+/// Emulated backend servers of one service, which differ only in speed.
 struct server_group {
     std::string service;
-    std::size_t count = 1;
-    boost::asio::ip::tcp::endpoint first_address; ///< the others take the ports after it
-    unsigned slots = 8;
-    std::optional<emulator::engine_model> engine; ///< nothing for a plain service
-    std::vector<double> speeds;                   ///< time factors, taken in turn
-    milliseconds work{10};                        ///< of a call to a plain service
-    /// How long its servers tell that they keep an idle connection; 0: they don't tell.
+    std::size_t count = 1; ///< servers
+    /// The address of the first server; each further server listens on the next port.
+    boost::asio::ip::tcp::endpoint first_address;
+    unsigned slots = 8;                           ///< requests that a server runs at a time
+    std::optional<emulator::engine_model> engine; ///< a model engine; nothing for a plain service
+    std::vector<double> speeds;                   ///< speeds of the engines, assigned in turn
+    milliseconds work{10};                        ///< how long a call to a plain service takes
+    /// The timeout for idle connections that the servers announce in the header Keep-Alive; 0: none is
+    /// announced.
     std::chrono::seconds keep_alive{0};
 };
 
-/// Callers of one route. Sizes, rates and what counts as served stand in `load_model`, at the same index.
+/// Callers of one route. Their request sizes, rates and latency targets are in experiment_plan::load.classes,
+/// at the index that the group has in experiment_plan::callers.
 struct caller_group {
     std::string name;
     std::string route;
-    std::string key;      ///< of a workspace; empty on public routes
-    unsigned returns = 1; ///< times that a refused caller comes back
-    double gives_up = 0;  ///< share of the callers that leave before their answer is whole
+    std::string key;      ///< the API key of a workspace; empty on public routes
+    unsigned returns = 1; ///< how often a refused caller retries at most
+    double gives_up = 0;  ///< probability that a caller disconnects early, between 0 and 1
 };
 
+/// What goes wrong. The faults of the store follow the faults of backend servers.
 enum class fault_kind : std::uint8_t {
-    crash, ///< servers vanish and come back under a new id afterwards
-    hang,  ///< servers take requests and say nothing
+    crash, ///< servers crash, and start again under a new id when the fault ends
+    hang,  ///< servers accept requests and never answer
     fail,  ///< servers answer 500
-    cut,   ///< servers end connections in the middle of answers
+    cut,   ///< servers close connections in the middle of answers
     slow,  ///< servers take `factor` times as long
-    drain, ///< servers announce that they leave, finish, and come back afterwards
-    store_refuses,
-    store_silent,
-    store_slow,    ///< each answer takes `factor` times 100 ms
-    store_returns, ///< away, and then back from a copy that is `copy_age` old
+    drain, ///< servers announce that they drain, stop when the fault ends, and start again under a new id
+    store_refuses, ///< the store refuses every call
+    store_silent,  ///< the store accepts calls and never answers
+    store_slow,    ///< each answer of the store is delayed by `factor` times 100 ms
+    store_returns, ///< the store closes the connection of every call, and is then restored from a copy that
+                   ///< is `copy_age` old
 };
 
+/// A fault and when it happens.
 struct planned_fault {
     std::string name;
     fault_kind kind = fault_kind::crash;
-    milliseconds at{0};
-    milliseconds length{1000};
-    std::string service;   ///< whose servers; empty for the store's faults
-    std::size_t count = 1; ///< servers that meet it, the first ones of the service
-    double factor = 3;
-    milliseconds copy_age{2000};        ///< when the store is back
-    milliseconds rewritten_after{1000}; ///< from then until what was lost is written again
+    milliseconds at{0};                 ///< begin, since the experiment's begin
+    milliseconds length{1000};          ///< from the fault's begin to its end
+    std::string service;                ///< whose servers have the fault; empty for the store's faults
+    std::size_t count = 1;              ///< how many servers have it: the first ones of the service
+    double factor = 3;                  ///< for the kinds `slow` and `store_slow`
+    milliseconds copy_age{2000};        ///< age of the copy from which the store is restored
+    milliseconds rewritten_after{1000}; ///< from the restore until the lost rows are written again
 };
 
 /// Where one gateway listens; `borageford emulate` writes its settings file.
 struct gateway_place {
     boost::asio::ip::address address;
-    std::uint16_t first_port = 0; ///< callers, then readiness, other gateways, metrics
+    /// The port for callers. The next three ports are for readiness, for other gateways and for metrics.
+    std::uint16_t first_port = 0;
 };
 
+/// A complete experiment.
 struct experiment_plan {
     std::string name;
     boost::asio::ip::tcp::endpoint store;
     std::vector<gateway_place> gateways;
-    std::string gateway_settings; ///< further lines for their files
+    std::string gateway_settings; ///< further lines for the gateways' settings files
     routing::routing_document configuration;
     std::vector<server_group> servers;
     std::vector<caller_group> callers;
--- a/src/experiment/experiment_reader.cpp
+++ b/src/experiment/experiment_reader.cpp
@@ -1,4 +1,5 @@
-// Sections in the order in which later ones name earlier ones.
+// Reads the sections kind by kind, in an order in which a section refers only to sections that were read
+// before.
 #include "experiment/experiment_reader.hpp"
 
 #include "settings/section_reader.hpp"
@@ -22,7 +23,7 @@
 constexpr double most = 1e9;
 constexpr std::int64_t most_servers = 1000;
 constexpr std::int64_t most_tier = 7;
-/// Caller, readiness, peers and metrics of a gateway.
+/// A gateway listens on four consecutive ports: for callers, readiness, other gateways and metrics.
 constexpr std::uint16_t ports_of_a_gateway = 4;
 
 constexpr std::array<std::string_view, 7> section_kinds{"experiment", "service", "workspace", "route",
@@ -33,12 +34,14 @@
     "crash", "hang",          "fail",         "cut",        "slow",
     "drain", "store_refuses", "store_silent", "store_slow", "store_returns"};
 
+/// The index of the item with this name, or nothing.
 template <typename Item>
 std::optional<std::size_t> find_named(const std::vector<Item>& items, std::string_view name) {
     const auto found = std::ranges::find(items, name, &Item::name);
     return found == items.end() ? std::nullopt : std::optional<std::size_t>(found - items.begin());
 }
 
+/// Reads one document into a plan and collects all errors.
 class experiment_reader {
 public:
     experiment_reader(const settings::ini_document& document, std::vector<problem>& problems)
@@ -68,6 +71,7 @@
         }
     }
 
+    /// Reads all sections of one kind; each of them must have a name.
     void read_each(std::string_view kind, const std::function<void(const ini_section&)>& read_section) {
         for (const auto& section : m_document.sections) {
             if (section.kind != kind) {
@@ -100,7 +104,7 @@
         reader.finish();
     }
 
-    /// "key = value" pairs for the gateways' files, separated by commas.
+    /// Turns a comma-separated list of "key = value" pairs into lines of the gateways' settings files.
     static std::string read_gateway_settings(section_reader& reader) {
         std::string lines;
         for (const auto& pair : reader.list("gateway_settings")) {
@@ -235,6 +239,7 @@
         m_plan.load.classes.push_back(std::move(sizes));
     }
 
+    /// The API key of the workspace that a section of callers names; empty when it names none.
     std::string read_key(section_reader& reader) {
         const auto name = reader.text("workspace", "");
         if (name.empty()) {
--- a/src/experiment/experiment_reader.hpp
+++ b/src/experiment/experiment_reader.hpp
@@ -1,4 +1,4 @@
-// Reads an experiment's INI file and checks the whole of it.
+// Reads the INI file of an experiment and reports all its errors.
 #pragma once
 
 #include "experiment/experiment_plan.hpp"
@@ -9,7 +9,7 @@
 
 namespace borageford::experiment {
 
-/// Every complaint goes to `problems`, each with file, line and key; the plan is usable only without any.
+/// Adds every error to `problems`, with file, line and key. The plan may be used only when there is none.
 [[nodiscard]] experiment_plan read_experiment(std::string_view text, std::string_view file,
                                               std::vector<settings::problem>& problems);
 
--- a/src/experiment/experiment_report.cpp
+++ b/src/experiment/experiment_report.cpp
@@ -1,4 +1,4 @@
-// Three files in one folder.
+// Writes the report of an experiment: summary.txt, plot.svg and requests.csv.
 #include "experiment/experiment_report.hpp"
 
 #include "experiment/svg_plot.hpp"
@@ -17,9 +17,11 @@
 
 namespace {
 
+// Widths of table columns, in characters.
 constexpr int name_width = 24;
 constexpr int cell_width = 10;
 constexpr double milliseconds_a_second = 1000;
+/// The colours of the outcomes in the plot, in the order of the enumeration `outcome`.
 constexpr std::array<std::string_view, outcome_count> colours{"#4a9", "#dc6", "#e94", "#c44", "#bbb"};
 
 void write_row(std::ostream& out, std::string_view name, const outcome_table::summary& of) {
@@ -34,6 +36,7 @@
     out << '\n';
 }
 
+/// One value for each second.
 std::vector<double> values_of(const std::vector<outcome_table::summary>& seconds,
                               const std::function<double(const outcome_table::summary&)>& value) {
     std::vector<double> result;
@@ -41,6 +44,7 @@
     return result;
 }
 
+/// The faults as marks of a plot, whose horizontal axis is in seconds.
 std::vector<std::pair<double, std::string>> marks_of(const fault_marks& faults) {
     std::vector<std::pair<double, std::string>> result;
     for (const auto& [at, what] : faults) {
--- a/src/experiment/experiment_report.hpp
+++ b/src/experiment/experiment_report.hpp
@@ -1,4 +1,4 @@
-// What an experiment came to: a text for people, a plot, and a table of all requests.
+// The report of an experiment: a summary as text, a plot, and a table of all requests.
 #pragma once
 
 #include "experiment/outcome_table.hpp"
@@ -12,17 +12,19 @@
 
 namespace borageford::experiment {
 
-/// When something was done to the system, since the experiment's begin.
+/// When each fault began and ended, measured from the experiment's begin, with a description.
 using fault_marks = std::vector<std::pair<milliseconds, std::string>>;
 
-/// Shares of requests and times to the first event, for each group of callers.
+/// Prints the share of each outcome and the times to the first event, for each group of callers and for all,
+/// and then the faults.
 void write_summary(std::ostream& out, const outcome_table& outcomes, const fault_marks& faults);
 
-/// Outcomes a second and times to the first event over time, as SVG.
+/// Plots the outcomes per second and the times to the first event over time, and returns the plot as SVG.
 [[nodiscard]] std::string draw_outcomes(const std::string& title, const outcome_table& outcomes,
                                         const fault_marks& faults);
 
-/// Writes summary.txt, plot.svg and requests.csv. Throws std::runtime_error when a file can't be written.
+/// Writes summary.txt, plot.svg and requests.csv into `folder`, which is created if missing. Throws
+/// std::runtime_error when a file can't be written.
 void write_report(const std::filesystem::path& folder, const std::string& title,
                   const outcome_table& outcomes, const fault_marks& faults);
 
--- a/src/experiment/experiment_site.cpp
+++ b/src/experiment/experiment_site.cpp
@@ -1,4 +1,5 @@
-// Servers register as the platform's do; faults are calls at planned times.
+// Starts the emulated servers, registers them in the store like servers of the platform, and injects the
+// faults at the planned times.
 #include "experiment/experiment_site.hpp"
 
 #include "platform/backend_codec.hpp"
@@ -13,9 +14,11 @@
 
 namespace {
 
-/// A registration whose server is gone is removed after some missed heartbeats.
+/// From a server's crash until its registration is removed: in the real system, the registration is removed
+/// after several missing heartbeats.
 constexpr milliseconds registration_life{1500};
 constexpr double slow_store_unit_ms = 100;
+/// A server's id ends in this number times its count of starts, plus the server's index.
 constexpr std::uint64_t id_base = 1000;
 
 std::string row_key(std::string_view id) {
@@ -75,7 +78,8 @@
     }
     unit.server =
         std::make_unique<emulator::emulated_backend>(m_executor, m_timers, platform::call_names(), options);
-    // A port that the kernel chose may have been given to somebody else meanwhile.
+    // If the kernel chose the port, another process may have got the port since the last start, so that the
+    // kernel has to choose again.
     const bool is_chosen = group.first_address.port() == 0;
     unit.address = unit.server->listen(is_chosen ? group.first_address : unit.address);
     unit.state = routing::backend_state::ready;
@@ -132,7 +136,7 @@
     const auto number = unit.starts;
     after(registration_life, [this, id, server, number] {
         const auto& now = m_servers.at(server);
-        if (now.id != id || now.starts == number) { // else a new start has the entry
+        if (now.id != id || now.starts == number) { // otherwise the server was started again under this id
             remove_entry(id);
         }
     });
--- a/src/experiment/experiment_site.hpp
+++ b/src/experiment/experiment_site.hpp
@@ -1,4 +1,4 @@
-// The store and the backend servers of an experiment, on loopback, and the faults that they meet.
+// The emulated store and backend servers of an experiment, on loopback addresses, with fault injection.
 #pragma once
 
 #include "base/timer_service.hpp"
@@ -20,21 +20,24 @@
 
 namespace borageford::experiment {
 
-/// Belongs to one executor. Servers that are replaced stay until the end, for what they recorded.
+/// Must be used on one executor only. Stopped servers are kept until the end, because they hold the records
+/// of the requests that they ran.
 class experiment_site {
 public:
     experiment_site(boost::asio::any_io_executor executor, timer_service& timers,
                     const experiment_plan& plan);
 
-    /// The address that a server is registered under, given its number and where it listens. Without one,
-    /// servers register where they listen.
+    /// Returns the address to register for a server, given the server's number and the address on which it
+    /// listens.
     using publisher = std::function<boost::asio::ip::tcp::endpoint(
         std::size_t server, const boost::asio::ip::tcp::endpoint& listening)>;
+    /// Registers servers under the addresses that `publish` returns. Without this call, the addresses on
+    /// which the servers listen are registered.
     void publish_with(publisher publish) { m_publish = std::move(publish); }
 
-    /// Listens, writes the configuration and registers the servers.
+    /// Starts the store and the servers, writes the configuration, and registers the servers.
     void start();
-    /// Plans the faults from now on; `on_fault` is told of each begin and end.
+    /// Schedules the faults, whose times count from this call; `on_fault` is called at each begin and end.
     void begin_faults(std::function<void(std::string_view)> on_fault);
 
     [[nodiscard]] emulator::emulated_store& store() noexcept { return m_store; }
@@ -43,41 +46,48 @@
     }
     [[nodiscard]] std::size_t server_count() const noexcept { return m_servers.size(); }
 
-    // One server by its number, in the order of the file.
+    // Each of these functions acts on one server, given its number in the order of the experiment's file.
+
+    /// Does nothing while the server is stopped.
     void set_fault(std::size_t server, emulator::backend_fault fault);
+    /// Makes the server's work take `factor` times as long; does nothing while the server is stopped.
     void set_slowness(std::size_t server, double factor);
-    /// Gone without a word; its registration expires a moment later.
+    /// Stops the server without notice; its registration is removed from the store 1.5 s later.
     void crash(std::size_t server);
-    /// Back under a new id, at its address if the plan gives one; nothing when it is there.
+    /// Starts a stopped server under a new id, at the same address if the plan gives one. Does nothing while
+    /// the server runs.
     void restart(std::size_t server);
-    /// Crashes and is back at once under the id that it had, as another start.
+    /// Stops the server and starts it again at once under the same id, with the next start number.
     void restart_in_place(std::size_t server);
-    /// Announces that it leaves. It goes on serving what it has.
+    /// Registers the server as draining. It goes on serving the requests that it has.
     void drain(std::size_t server);
 
-    /// The servers that are there, and those that were.
+    /// Calls `visit` with every server, first the running ones, then the stopped ones.
     void visit_servers(const std::function<void(const emulator::emulated_backend&)>& visit) const;
-    /// How many runs each request had, by its id.
+    /// How often each request was run on any server, by the request's id.
     [[nodiscard]] std::map<std::string, std::size_t> count_runs() const;
-    /// The name of a server's present start; empty while it is gone.
+    /// The name of a running server, including its start number; empty while it is stopped.
     [[nodiscard]] std::string server_name(std::size_t server) const;
 
-    /// Writes an entry into the table of servers, as another program would.
+    /// Writes a row into the table of backend servers, as a program other than the server could.
     void write_entry(std::string_view id, std::string value);
+    /// Removes a row from the table of backend servers.
     void remove_entry(std::string_view id);
-    /// The same under the id of a server that is there, until the server writes its own word again.
+    /// Overwrites the row of a running server; renew_entry() restores it.
     void overwrite_entry(std::size_t server, std::string value);
+    /// Writes the registration of a running server again.
     void renew_entry(std::size_t server);
 
 private:
+    /// One server of the plan, through all its starts.
     struct server_unit {
-        std::size_t group = 0;
+        std::size_t group = 0; ///< index in experiment_plan::servers
         boost::asio::ip::tcp::endpoint address;
-        double speed = 1;
-        unsigned starts = 0;
-        std::string id;                                               ///< of its last start
-        routing::backend_state state = routing::backend_state::ready; ///< that it tells
-        std::unique_ptr<emulator::emulated_backend> server;           ///< null while it is gone
+        double speed = 1;                                             ///< factor of an engine's speed
+        unsigned starts = 0;                                          ///< how often it was started so far
+        std::string id;                                               ///< the id of its last start
+        routing::backend_state state = routing::backend_state::ready; ///< as registered
+        std::unique_ptr<emulator::emulated_backend> server;           ///< null while it is stopped
     };
 
     void add_servers(std::size_t group);
@@ -96,8 +106,8 @@
     boost::asio::ip::tcp::endpoint m_store_address;
     publisher m_publish;
     std::vector<server_unit> m_servers;
-    std::vector<std::unique_ptr<emulator::emulated_backend>> m_former;
-    std::vector<timer_subscription> m_planned;
+    std::vector<std::unique_ptr<emulator::emulated_backend>> m_former; ///< stopped servers
+    std::vector<timer_subscription> m_planned;                         ///< calls at later times
 };
 
 } // namespace borageford::experiment
--- a/src/experiment/gateway_files.cpp
+++ b/src/experiment/gateway_files.cpp
@@ -1,4 +1,4 @@
-// One file a gateway, with the ports after its first.
+// Writes one settings file for each gateway, which listens on four consecutive ports.
 #include "experiment/gateway_files.hpp"
 
 #include "http/client.hpp"
--- a/src/experiment/gateway_files.hpp
+++ b/src/experiment/gateway_files.hpp
@@ -1,4 +1,4 @@
-// The settings files of the gateways that an experiment is played against.
+// Writes the settings files of the gateways that an experiment tests.
 #pragma once
 
 #include "experiment/experiment_plan.hpp"
@@ -13,16 +13,18 @@
 
 namespace borageford::experiment {
 
+/// The default of the gateways' timeout for a call of the store.
 inline constexpr std::chrono::milliseconds usual_store_timeout{500};
 
-/// The text of one gateway's file; `further` are more lines of its section.
+/// The text of the settings file of the gateway `gateways[index]`; `further` holds more lines for its section
+/// [gateway].
 [[nodiscard]] std::string gateway_file_text(const boost::asio::ip::tcp::endpoint& store,
                                             std::span<const gateway_place> gateways, std::size_t index,
                                             std::string_view further,
                                             std::chrono::milliseconds store_timeout = usual_store_timeout);
 
-/// Writes one file for each gateway and returns their paths. Throws std::runtime_error when one can't be
-/// written.
+/// Writes one file for each gateway into `folder`, which is created if missing, and returns the paths. Throws
+/// std::runtime_error when one can't be written.
 std::vector<std::filesystem::path> write_gateway_files(const experiment_plan& plan,
                                                        const std::filesystem::path& folder);
 
--- a/src/experiment/load_call.cpp
+++ b/src/experiment/load_call.cpp
@@ -1,4 +1,4 @@
-// Connect or reuse, send, read.
+// Sends a request on an idle connection, or on a new one if there is none, and reads the response.
 #include "experiment/load_call.hpp"
 
 #include <algorithm>
@@ -43,7 +43,8 @@
             ended->close();
         }
     };
-    // Bytes that nobody asked for, or the server's end: neither can be used any more.
+    // An idle connection becomes unusable when the server sends bytes without a request or closes the
+    // connection.
     connection->set_handlers({drop, [drop](net::connection_end) { drop(); },
                               [] {
                               }});
--- a/src/experiment/load_call.hpp
+++ b/src/experiment/load_call.hpp
@@ -1,4 +1,4 @@
-// One request as a caller sends it, and how it ended for that caller.
+// Sends one HTTP request as an emulated caller, and records the response.
 #pragma once
 
 #include "http/event_splitter.hpp"
@@ -22,43 +22,47 @@
 
 using clock = std::chrono::steady_clock;
 
-/// Connections that callers keep open between two requests, by address.
+/// A pool of idle connections to gateways, by address.
 class kept_connections {
 public:
-    /// An open one without a request, or null.
+    /// Removes an open connection from the pool and returns it; null when there is none.
     [[nodiscard]] std::shared_ptr<net::connection> take(const boost::asio::ip::tcp::endpoint& server);
+    /// Adds a connection on which no request is in progress.
     void keep(const boost::asio::ip::tcp::endpoint& server, std::shared_ptr<net::connection> connection);
 
 private:
     std::map<boost::asio::ip::tcp::endpoint, std::vector<std::shared_ptr<net::connection>>> m_idle;
 };
 
+/// How a request ended for its caller.
 struct call_result {
-    unsigned status = 0; ///< 0: no head came
-    bool has_connected = false;
-    bool is_whole = false;
-    bool was_kept = false; ///< it went out on a connection that had been used before
-    std::uint64_t events = 0;
-    std::string body;        ///< of an answer that is no stream
-    std::string event_text;  ///< all whole events of a stream, as they came
-    http::field_list fields; ///< of the answer's head
-    std::optional<std::chrono::milliseconds> retry_after;
+    unsigned status = 0;        ///< 0: no response head was received
+    bool has_connected = false; ///< a connection was established or reused
+    bool is_whole = false;      ///< the response is complete
+    bool was_kept = false;      ///< the request was sent on a connection that had been used before
+    std::uint64_t events = 0;   ///< complete events of a stream
+    std::string body;           ///< of a response that is no stream
+    std::string event_text;     ///< all complete events of a stream, unchanged
+    http::field_list fields;    ///< the header fields of the response
+    std::optional<std::chrono::milliseconds> retry_after; ///< from the header Retry-After
     clock::time_point sent;
-    clock::time_point first_event; ///< or the whole answer; not set when nothing came
+    clock::time_point first_event; ///< when the first event of a stream came; without one, equal to `ended`
     clock::time_point ended;
 };
 
-/// Belongs to one executor. Calls back once, unless it is given up.
+/// One call. Must be used on one executor only. Calls `on_done` exactly once, unless give_up() is called
+/// before.
 class load_call : public std::enable_shared_from_this<load_call> {
 public:
     using done = std::function<void(const call_result&)>;
 
-    /// `kept` lives as long as any call that may give a connection back to it.
+    /// `kept` is the pool from which the call takes its connection and to which it returns the connection.
+    /// `request` is the complete text of the request.
     load_call(boost::asio::any_io_executor executor, std::shared_ptr<kept_connections> kept,
               boost::asio::ip::tcp::endpoint server, std::string request, done on_done);
 
     void start();
-    /// The caller leaves: its connection is closed and nobody is called.
+    /// Closes the connection, as a caller that gives up does; `on_done` isn't called.
     void give_up();
 
 private:
--- a/src/experiment/load_runner.cpp
+++ b/src/experiment/load_runner.cpp
@@ -1,4 +1,5 @@
-// Open loop: a caller doesn't wait for others.
+// An open-loop load generator: each request is sent at its planned time, whether or not earlier requests have
+// been answered.
 #include "experiment/load_runner.hpp"
 
 #include "base/identifier.hpp"
@@ -12,16 +13,18 @@
 
 namespace {
 
+/// Time between two checks of the gateways' readiness.
 constexpr milliseconds readiness_period{500};
-/// A caller whose connection failed tries again after this, as many clients do.
+/// The wait before a caller whose connection failed retries, as many HTTP clients do.
 constexpr milliseconds reconnect_wait{100};
+/// The wait before a refused caller retries when the refusal had no Retry-After header.
 constexpr milliseconds assumed_retry_wait{500};
 constexpr unsigned first_success = 200;
 constexpr unsigned first_redirect = 300;
 constexpr unsigned too_many_requests = 429;
 constexpr unsigned unavailable = 503;
 constexpr double bytes_per_token = 1;
-constexpr std::size_t most_body = 64U * 1024;
+constexpr std::size_t most_body = 64U * 1024; ///< bytes; larger prompts are truncated to it
 
 std::vector<std::string> names_of(const std::vector<caller_group>& groups) {
     std::vector<std::string> result;
@@ -35,13 +38,14 @@
 
 } // namespace
 
+/// One caller's request, through all its attempts.
 struct load_runner::caller {
-    std::size_t group = 0;
+    std::size_t group = 0; ///< index in experiment_plan::callers
     emulator::offered_request sizes;
     clock::time_point begun;
-    unsigned tries = 0;
-    bool leaves = false;
-    std::string id;
+    unsigned tries = 0;  ///< attempts so far
+    bool leaves = false; ///< the caller will disconnect early
+    std::string id;      ///< of the latest attempt
     call_result last;
     std::shared_ptr<load_call> call;
     timer_subscription timer;
--- a/src/experiment/load_runner.hpp
+++ b/src/experiment/load_runner.hpp
@@ -1,5 +1,5 @@
-// Callers: each sends its request at its time, comes back after a refusal as it was told, and its end is
-// recorded.
+// Generates the load of an experiment. Each emulated caller sends its request at the planned time and retries
+// after a refusal when the Retry-After header says so; the outcome of each request is recorded.
 #pragma once
 
 #include "base/timer_service.hpp"
@@ -19,7 +19,7 @@
 
 namespace borageford::experiment {
 
-/// Belongs to one executor.
+/// Must be used on one executor only.
 class load_runner {
 public:
     load_runner(boost::asio::any_io_executor executor, timer_service& timers, const experiment_plan& plan);
@@ -29,20 +29,23 @@
     load_runner(load_runner&&) = delete;
     load_runner& operator=(load_runner&&) = delete;
 
-    /// Asks all gateways whether they are ready; calls back with how many of them are.
+    /// Requests the readiness of all gateways, and then calls `answer` with the number of ready gateways.
     void ask_readiness(std::function<void(std::size_t)> answer);
 
-    /// Sends all requests from now on; calls back when the last one has ended.
+    /// Sends all requests at their planned times, which count from this call, and calls `on_done` when the
+    /// last request has ended.
     void start(std::function<void()> on_done);
 
     [[nodiscard]] const outcome_table& outcomes() const noexcept { return m_outcomes; }
-    /// Ids of requests of routes that may not run twice; each send of a caller has an id of its own.
+    /// The ids of all requests on routes whose requests must run at most once. Each attempt of a caller has
+    /// an id of its own.
     [[nodiscard]] const std::vector<std::string>& unrepeatable_ids() const noexcept {
         return m_unrepeatable_ids;
     }
 
 private:
     struct caller;
+
     void send_due();
     void send(const std::shared_ptr<caller>& by);
     void take_result(const std::shared_ptr<caller>& by, const call_result& result);
@@ -58,12 +61,12 @@
     outcome_table m_outcomes;
     std::vector<std::string> m_unrepeatable_ids;
     std::vector<emulator::offered_request> m_offered;
-    std::size_t m_next = 0;
-    std::size_t m_open = 0;
-    std::uint64_t m_last_id = 0;
-    std::uint64_t m_run = 0; ///< makes ids of different runs differ
+    std::size_t m_next = 0;      ///< index of the next request to send
+    std::size_t m_open = 0;      ///< requests sent that haven't ended
+    std::uint64_t m_last_id = 0; ///< number in the latest request id
+    std::uint64_t m_run = 0;     ///< random number in the request ids, so that ids of different runs differ
     clock::time_point m_begin;
-    std::vector<bool> m_is_ready; ///< by gateway, as last asked
+    std::vector<bool> m_is_ready; ///< by gateway, as of the latest check
     std::mt19937_64 m_random;
     std::function<void()> m_on_done;
     timer_subscription m_timer;
--- a/src/experiment/outcome_table.cpp
+++ b/src/experiment/outcome_table.cpp
@@ -1,4 +1,4 @@
-// Counting and quantiles over what was recorded.
+// Counts the outcomes of the recorded requests, and computes quantiles of their times to the first event.
 #include "experiment/outcome_table.hpp"
 
 #include <algorithm>
@@ -12,6 +12,7 @@
 constexpr double high = 0.95;
 constexpr double highest = 0.99;
 
+/// `at` is between 0 and 1; 0 ms when there are no values.
 milliseconds quantile(const std::vector<milliseconds>& sorted, double at) {
     if (sorted.empty()) {
         return milliseconds(0);
@@ -20,6 +21,7 @@
     return sorted[std::min(place, sorted.size() - 1)];
 }
 
+/// Summarizes the requests for which `concerns` returns true.
 outcome_table::summary summarize(const std::vector<finished_request>& requests,
                                  const std::function<bool(const finished_request&)>& concerns) {
     outcome_table::summary result;
--- a/src/experiment/svg_plot.cpp
+++ b/src/experiment/svg_plot.cpp
@@ -1,4 +1,4 @@
-// Plain shapes and texts; scales are linear.
+// Writes plots with linear scales as SVG shapes and texts.
 #include "experiment/svg_plot.hpp"
 
 #include <algorithm>
@@ -10,6 +10,7 @@
 
 namespace {
 
+// Lengths are in pixels.
 constexpr double width = 900;
 constexpr double height = 260;
 constexpr double left_margin = 60;
@@ -17,7 +18,7 @@
 constexpr double top_margin = 30;
 constexpr double bottom_margin = 30;
 constexpr double legend_step = 16;
-constexpr int axis_steps = 4;
+constexpr int axis_steps = 4; ///< intervals between the lines of the vertical axis
 
 std::string escape(std::string_view text) {
     std::string result;
@@ -42,7 +43,7 @@
     return result;
 }
 
-/// Draws one plot at its place in the document.
+/// Writes one plot, whose upper edge is `top` pixels below the document's.
 class plot_writer {
 public:
     plot_writer(std::ostringstream& out, const plot& what, double top)
@@ -77,6 +78,7 @@
 private:
     void count_steps(const plot_series& series) { m_steps = std::max(m_steps, series.values.size()); }
 
+    /// The sum of the first `count` stacked series at a step.
     [[nodiscard]] double stacked_up_to(std::size_t count, std::size_t step) const {
         double sum = 0;
         for (std::size_t index = 0; index < count; ++index) {
--- a/src/experiment/svg_plot.hpp
+++ b/src/experiment/svg_plot.hpp
@@ -1,4 +1,4 @@
-// A plot over time as SVG: stacked shares, and lines over them.
+// Draws plots over time as SVG, with stacked areas and with lines.
 #pragma once
 
 #include <string>
@@ -7,22 +7,24 @@
 
 namespace borageford::experiment {
 
-/// Values at equal steps of time; the same number in all series of a plot.
+/// One value for each second.
 struct plot_series {
     std::string name;
-    std::string colour; ///< as SVG takes it
+    std::string colour; ///< an SVG colour, for example "#4a9"
     std::vector<double> values;
 };
 
+/// One plot: areas stacked on each other, and lines drawn over them.
 struct plot {
     std::string title;
     std::string unit; ///< of the vertical axis
     std::vector<plot_series> stacked;
     std::vector<plot_series> lines;
-    std::vector<std::pair<double, std::string>> marks; ///< at a step, what happened
+    std::vector<std::pair<double, std::string>>
+        marks; ///< events to mark: the time in seconds and a description
 };
 
-/// A whole SVG document with the plots under each other.
+/// Returns an SVG document with the plots below each other.
 [[nodiscard]] std::string draw(const std::vector<plot>& plots);
 
 } // namespace borageford::experiment
--- a/src/program/logs_command.cpp
+++ b/src/program/logs_command.cpp
@@ -17,8 +17,8 @@
 namespace borageford::program {
 namespace {
 
-/// The length of the time windows of the loss report. Bursts and recoveries take some seconds, so that
-/// shorter windows than these seconds show them.
+/// The length of the time windows of the loss report: bursts and recoveries take some seconds, and this
+/// length shows when they begin and end.
 constexpr std::chrono::seconds loss_window{2};
 
 /// Called with each parsed line.
--- a/src/program/main.cpp
+++ b/src/program/main.cpp
@@ -67,10 +67,10 @@
 }
 
 constexpr std::array process_commands{
-    command{"entry", "--settings FILE", "takes callers' requests", "", entry_command},
-    command{"gateway", "--settings FILE", "carries requests straight to backend servers", "",
+    command{"entry", "--settings FILE", "accepts callers' requests", "", entry_command},
+    command{"gateway", "--settings FILE", "forwards requests directly to backend servers", "",
             gateway_command},
-    command{"sidecar", "--settings FILE", "stands beside one backend server", "", sidecar_command},
+    command{"sidecar", "--settings FILE", "runs beside one backend server", "", sidecar_command},
 };
 
 /// Null when there is no subcommand of this name.
@@ -91,7 +91,7 @@
 }
 
 void print_usage(std::ostream& out) {
-    out << "borageford: a request scheduler for unlike engines\n\nProcesses:\n";
+    out << "borageford: a request scheduler for heterogeneous engines\n\nProcesses:\n";
     print_table(out, process_commands);
     out << "\nFor operators:\n";
     print_table(out, operator_commands());
