--- a/src/emulator/batching_engine.cpp
+++ b/src/emulator/batching_engine.cpp
@@ -1,4 +1,5 @@
-// One step after the other: some prompt tokens are read, and every request whose prompt is read gets a token.
+// Simulates the engine step by step. In each step the engine reads some prompt tokens, and produces one token
+// for every running request whose prompt has been read.
 #include "emulator/batching_engine.hpp"
 
 #include <algorithm>
@@ -8,7 +9,8 @@
 
 namespace {
 
-/// What an idle engine waits before it looks for a request whose setup has ended.
+/// The shortest step. While all running requests are still in their setup, the engine checks after this time
+/// whether a setup has ended.
 constexpr double least_step_ms = 1;
 
 } // namespace
--- a/src/emulator/emulated_backend.cpp
+++ b/src/emulator/emulated_backend.cpp
@@ -1,4 +1,4 @@
-// An engine's model driven by real time, and a plain service's work as a pause.
+// A model engine is driven by the steady clock; the work of a plain service is emulated by a delay.
 #include "emulator/emulated_backend.hpp"
 
 #include "base/pause.hpp"
@@ -23,19 +23,21 @@
 constexpr unsigned status_misdirected = 421;
 constexpr unsigned status_error = 500;
 constexpr unsigned status_unavailable = 503;
-/// How often a stream looks for events of its engine.
+/// The period at which a stream checks for new events of its engine.
 constexpr milliseconds look_period{2};
 
 std::string header_of(const http::request& call, const std::string& name) {
     return std::string(http::find_header(call.headers, name).value_or(""));
 }
 
+/// The number at the begin of a text; 0 when there is none.
 double number_of(std::string_view text) {
     unsigned value = 0;
     std::from_chars(text.data(), text.data() + text.size(), value);
     return value;
 }
 
+/// The answer to a request that the HTTP server couldn't parse.
 http::response refuse_unread(error_kind kind, std::string_view detail) {
     return http::make_response(answer_for(kind).http_status, "text/plain", std::string(detail));
 }
@@ -47,7 +49,7 @@
 
 } // namespace
 
-/// The model, and what it has made that its streams haven't taken yet.
+/// The engine's model, and the events that it has produced and that no stream has sent yet.
 struct emulated_backend::engine_driver {
     explicit engine_driver(engine_model model) : engine(model, steady_clock::now()) {}
 
@@ -88,7 +90,7 @@
     m_server.drain();
 }
 
-/// Sets the flag when the caller has closed its connection.
+/// Sets the flag `is_gone` when the caller closes its connection.
 void emulated_backend::watch_caller(http::response_writer& writer, const std::shared_ptr<bool>& is_gone) {
     const auto watch = [](http::response_writer watched,
                           std::shared_ptr<bool> flag) -> asio::awaitable<void> {
--- a/src/emulator/emulated_backend.hpp
+++ b/src/emulator/emulated_backend.hpp
@@ -1,5 +1,5 @@
-// One backend server on loopback: a model engine that streams events, or a plain service, with the faults
-// that such servers have.
+// An emulated backend server on a loopback address, with fault injection. It is either a model engine that
+// answers with a stream of events, or a plain service that answers with one response.
 #pragma once
 
 #include "base/timer_service.hpp"
@@ -21,33 +21,34 @@
 
 namespace borageford::emulator {
 
-/// What the server does with the requests that it gets.
+/// How the server misbehaves.
 enum class backend_fault : std::uint8_t {
     none,
-    error,          ///< answers 500 after running
-    refuse,         ///< says that it didn't run the request
-    cut_unanswered, ///< runs the request and ends the connection without an answer
-    cut_midway,     ///< ends the connection in the middle of the answer
+    error,          ///< runs the request and answers 500
+    refuse,         ///< answers 503 with the header field Not-Executed, without running the request
+    cut_unanswered, ///< runs the request and closes the connection without a complete answer
+    cut_midway,     ///< closes the connection in the middle of the answer
     hang,           ///< runs the request and never answers
-    garble,         ///< answers with bytes that are no response
-    second_answer,  ///< sends an answer that belongs to nobody after its own
-    unframed,       ///< an answer without a length that ends with the connection
+    garble,         ///< answers with bytes that are no HTTP response
+    second_answer,  ///< sends another response, for which there is no request, after the correct one
+    unframed,       ///< answers without a length, so that only the end of the connection ends the answer
 };
 
+/// Fixed properties of an emulated server.
 struct backend_options {
     std::string id;
-    std::uint64_t start = 0; ///< names this start, as it is registered; 0: not told
+    std::uint64_t start = 0; ///< distinguishes the starts of one server, as registered; 0: not registered
     std::string service;
-    std::string version; ///< of its software, as it is registered; empty: not told
-    unsigned slots = 8;
-    std::size_t queue = 48;
-    /// A model engine; nothing for a plain service.
+    std::string version;    ///< the software's version, as registered; empty: not registered
+    unsigned slots = 8;     ///< requests that run at a time
+    std::size_t queue = 48; ///< requests that wait for a slot; further ones are refused
+    /// The model engine; nothing for a plain service.
     std::optional<engine_model> engine;
-    std::chrono::milliseconds work{10}; ///< of a call to a plain service
-    std::chrono::seconds keep_alive{0}; ///< told with each answer; 0: not told
+    std::chrono::milliseconds work{10}; ///< how long a call to a plain service takes
+    std::chrono::seconds keep_alive{0}; ///< announced in the header Keep-Alive of each answer; 0: none
 };
 
-/// One request that a server has begun to run.
+/// The record of a request that a server began to run.
 struct recorded_run {
     std::string request_id;
     std::string target;
@@ -57,7 +58,7 @@
     bool is_finished = false;
 };
 
-/// Belongs to one thread's executor.
+/// Must be used on one executor with one thread only.
 class emulated_backend {
 public:
     emulated_backend(boost::asio::any_io_executor executor, timer_service& timers,
@@ -68,23 +69,24 @@
     emulated_backend(emulated_backend&&) = delete;
     emulated_backend& operator=(emulated_backend&&) = delete;
 
+    /// Begins to accept connections. Port 0 lets the kernel choose; returns the address in use.
     boost::asio::ip::tcp::endpoint listen(const boost::asio::ip::tcp::endpoint& address);
 
-    /// Takes no more connections, as a server that has crashed; open ones are ended.
+    /// Emulates a crash: no more connections are accepted, and the running requests' connections are closed.
     void stop();
 
-    /// The next `count` requests meet this fault; all of them when 0.
+    /// Applies this fault to the next `count` requests; to all further requests when `count` is 0.
     void set_fault(backend_fault fault, unsigned count = 0) noexcept;
-    /// Times as long as usual.
+    /// Makes all work take `factor` times as long as usual.
     void set_slowness(double factor);
 
     [[nodiscard]] const backend_options& options() const noexcept { return m_options; }
-    /// Of this start, among all that there were: the id, with the start where it tells one.
+    /// The server's id, followed by "@" and the start number if there is one.
     [[nodiscard]] std::string name() const;
     [[nodiscard]] const std::vector<recorded_run>& runs() const noexcept { return m_runs; }
     [[nodiscard]] std::size_t in_progress() const noexcept { return m_in_progress; }
     [[nodiscard]] std::size_t open_connections() const noexcept { return m_server.open_connections(); }
-    /// Requests that reached it, run or refused.
+    /// How many requests arrived, whether they were run or refused.
     [[nodiscard]] std::uint64_t arrivals() const noexcept { return m_arrivals; }
 
 private:
--- a/src/emulator/emulated_store.cpp
+++ b/src/emulator/emulated_store.cpp
@@ -1,4 +1,4 @@
-// Decode, look, answer.
+// Decodes the calls of the store's HTTP interface, executes them on a row_store, and encodes the answers.
 #include "emulator/emulated_store.hpp"
 
 #include "base/pause.hpp"
@@ -17,7 +17,7 @@
 
 namespace {
 
-/// How often an open question for changes looks for them.
+/// The period at which an open poll checks for new changes.
 constexpr milliseconds look_period{5};
 constexpr unsigned status_not_found = 404;
 constexpr unsigned status_too_many = 429;
@@ -32,6 +32,7 @@
     return http::make_response(status, "application/json", "{}");
 }
 
+/// The answer to a request that the HTTP server couldn't parse.
 http::response refuse_unread(error_kind kind, std::string_view detail) {
     return http::make_response(answer_for(kind).http_status, "text/plain", std::string(detail));
 }
--- a/src/emulator/emulated_store.hpp
+++ b/src/emulator/emulated_store.hpp
@@ -1,4 +1,4 @@
-// The users' metadata store on loopback, with the outages that a store can have.
+// An emulation of the platform's metadata store on a loopback address, with fault injection.
 #pragma once
 
 #include "base/timer_service.hpp"
@@ -16,26 +16,27 @@
 
 namespace borageford::emulator {
 
-/// How the store meets its callers.
+/// How the store treats calls.
 enum class store_state : std::uint8_t {
-    well,
-    busy,   ///< refuses every call; nothing is done
-    many,   ///< refuses every call as over its rate
-    reset,  ///< ends every connection without an answer
-    silent, ///< takes calls and never answers, nor those that are open when it falls silent
-    partly, ///< refuses every other call
+    well,   ///< answers every call
+    busy,   ///< answers every call with 503 without executing it
+    many,   ///< answers every call with 429 (too many requests) without executing it
+    reset,  ///< closes the connection of every call without an answer
+    silent, ///< never answers a call, including the calls that were open when this state began
+    partly, ///< answers every second call with 503 without executing it
 };
 
-/// A return from an older copy. What was lost is written again by who wrote it, if nobody has written the row
-/// since.
+/// How the store is restored from an older copy. The restore loses the latest changes. As in the real system,
+/// the writers of these changes write them again later, unless the row has been written in the meantime.
 struct store_return {
-    std::chrono::milliseconds age{2000}; ///< of the copy
-    /// From the return until servers, and operators, write again what was lost.
+    std::chrono::milliseconds age{2000}; ///< age of the copy
+    /// From the restore until lost changes in the table of backend servers are written again.
     std::chrono::milliseconds servers_after{1000};
+    /// From the restore until all other lost changes are written again.
     std::chrono::milliseconds operators_after{1000};
 };
 
-/// Belongs to one thread's executor.
+/// Must be used on one executor with one thread only.
 class emulated_store {
 public:
     emulated_store(boost::asio::any_io_executor executor, timer_service& timers);
@@ -43,16 +44,19 @@
     /// Port 0 lets the kernel choose; returns the address in use.
     boost::asio::ip::tcp::endpoint listen(const boost::asio::ip::tcp::endpoint& address);
 
+    /// The contents; changes to them take effect immediately.
     [[nodiscard]] row_store& rows() noexcept { return m_rows; }
     void set_state(store_state state) noexcept { m_state = state; }
-    /// The store becomes what it was some time ago.
+    /// Restores the contents of some time ago and begins a new era.
     void return_from_copy(const store_return& how);
-    /// The next answers tell this era, as answers do that were given before a return; nothing: the true one.
+    /// Makes the following answers contain this era, like delayed answers from before a restore; nothing: the
+    /// current era.
     void tell_era(std::optional<std::uint64_t> era) noexcept { m_told_era = era; }
-    /// Every answer takes this long.
+    /// Delays every answer by this time.
     void set_delay(std::chrono::milliseconds delay) noexcept { m_delay = delay; }
+    /// How many calls arrived.
     [[nodiscard]] std::uint64_t calls() const noexcept { return m_calls; }
-    /// Calls whose callers wait for an answer that never comes.
+    /// How many calls are open that will never be answered.
     [[nodiscard]] std::uint64_t unanswered() const noexcept { return m_unanswered; }
 
 private:
@@ -60,6 +64,8 @@
     boost::asio::awaitable<void> leave_unanswered(http::response_writer& writer);
     boost::asio::awaitable<http::response> answer(const http::request& call);
     [[nodiscard]] bool refuses_next_call() noexcept;
+    /// Writes lost changes again, except to rows that were written after the restore. `copied_version` is the
+    /// version of the copy.
     void write_again(const std::vector<store::row_change>& lost, std::uint64_t copied_version);
     boost::asio::awaitable<http::response> wait_for_changes(std::string table, std::uint64_t after,
                                                             std::chrono::milliseconds wait);
--- a/src/emulator/load_model.cpp
+++ b/src/emulator/load_model.cpp
@@ -1,4 +1,5 @@
-// Arrivals in clumps, sizes from log-normal distributions.
+// Draws the requests of a load: the number of arrivals from a compound Poisson distribution, sizes from
+// log-normal distributions.
 #include "emulator/load_model.hpp"
 
 #include <algorithm>
@@ -10,16 +11,18 @@
 
 namespace {
 
-/// How far callers' guesses at the length of an answer are off, as the spread of their logarithm.
+/// The error of callers' guesses at the length of an answer: the standard deviation of the guess's logarithm.
 constexpr double hint_spread = 0.5;
-/// Time slices in which the rate counts as constant.
+/// The length of the time slices within which the rate is constant.
 constexpr std::chrono::milliseconds slice{10};
 
+/// Draws a size with this mean; `spread` is the standard deviation of the logarithm.
 double draw_size(std::mt19937_64& random, double mean, double spread, double most) {
     std::lognormal_distribution<double> sizes(std::log(mean) - spread * spread / 2, spread);
     return std::clamp(sizes(random), 1.0, most);
 }
 
+/// The product of the factors of all bursts that affect a class at a time.
 double factor_at(const load_model& load, const request_class& of, duration at) {
     double factor = 1;
     for (const auto& burst : load.bursts) {
--- a/src/emulator/load_model.hpp
+++ b/src/emulator/load_model.hpp
@@ -1,4 +1,4 @@
-// The requests of a trial: how many, how large, when, and what their callers count as served.
+// A model of a load, from which requests are drawn at random: their times, sizes and latency targets.
 #pragma once
 
 #include "policy/time.hpp"
@@ -14,32 +14,33 @@
 using policy::duration;
 using policy::time_point;
 
-/// One kind of requests. Sizes are spread log-normally around their means.
+/// A class of similar requests. Their sizes have log-normal distributions.
 struct request_class {
     std::string name;
-    int tier = 0;
-    double per_second = 1;
-    double prompt_tokens = 500;
-    double prompt_spread = 1; ///< of the logarithm
+    int tier = 0;               ///< 0 is the highest
+    double per_second = 1;      ///< mean rate of requests
+    double prompt_tokens = 500; ///< mean
+    double prompt_spread = 1;   ///< standard deviation of the logarithm
     double most_prompt_tokens = 40000;
-    double output_tokens = 100;
-    double output_spread = 1.5;
+    double output_tokens = 100; ///< mean
+    double output_spread = 1.5; ///< standard deviation of the logarithm
     double most_output_tokens = 3000;
-    duration target{};       ///< to the first event
-    duration pause_target{}; ///< between two events
-    duration deadline{};
-    double worth = 1;      ///< of an answer in time
-    double late_worth = 0; ///< of a whole answer that was late
+    duration target{};       ///< the longest time to the first event that counts as in time
+    duration pause_target{}; ///< the longest pause between two events that counts as in time
+    duration deadline{};     ///< when the caller gives up, after it first sent the request
+    double worth = 1;        ///< value of an answer that is in time
+    double late_worth = 0;   ///< value of a complete answer that is late
 };
 
-/// More traffic for a while, of one class or, with an empty name, of all.
+/// A time span in which the rate of requests is multiplied.
 struct load_burst {
     duration begin{};
     duration length{};
     double factor = 1;
-    std::string request_class;
+    std::string request_class; ///< request_class::name of the affected class; empty: all classes
 };
 
+/// A complete load.
 struct load_model {
     std::vector<request_class> classes;
     std::vector<load_burst> bursts;
@@ -50,14 +51,14 @@
 
 /// One request that a caller sends.
 struct offered_request {
-    std::size_t request_class = 0;
-    time_point at;
+    std::size_t request_class = 0; ///< index in load_model::classes
+    time_point at;                 ///< when the caller sends it
     double prompt_tokens = 0;
     unsigned output_tokens = 1;
-    double hinted_output = 1; ///< the caller's guess
+    double hinted_output = 1; ///< the caller's guess at output_tokens
 };
 
-/// All requests in the order of their times; the same for the same model.
+/// Draws all requests, sorted by time. The result depends only on the model (which has the seed) and `start`.
 [[nodiscard]] std::vector<offered_request> draw_requests(const load_model& load, time_point start);
 
 } // namespace borageford::emulator
--- a/src/emulator/policy_trial.cpp
+++ b/src/emulator/policy_trial.cpp
@@ -1,4 +1,5 @@
-// One slice of time after the other: arrivals, decisions, engines, callers.
+// Simulates the trial in short time slices. Each slice processes arrivals, engine crashes, the engines'
+// events, released slots, the decisions about slots, and the callers' deadlines.
 #include "emulator/policy_trial.hpp"
 
 #include "emulator/slot_deciders.hpp"
@@ -14,25 +15,26 @@
 
 namespace {
 
-/// Time after the last arrival in which what is left comes to its end.
+/// How long the simulation goes on after the last arrival, so that the requests still in progress can end.
 constexpr std::chrono::seconds drain_time{16};
 constexpr double ms_per_second = 1000;
 
-/// A caller's request through all its tries.
+/// A caller's request, through all its attempts.
 struct live_request {
     offered_request offered;
     time_point first_sent;
     policy::slot_ticket ticket = 0;
-    unsigned refusals = 0;
+    unsigned refusals = 0; ///< how often it was refused so far
     bool is_waiting = false;
-    std::optional<std::size_t> engine;
-    time_point granted;
+    std::optional<std::size_t> engine; ///< the engine on which it runs
+    time_point granted;                ///< when it was granted a slot
     std::optional<time_point> first_event;
     time_point last_event;
-    bool is_late = false;
+    bool is_late = false; ///< its first event or a later event came after the target
     bool is_over = false;
 };
 
+/// One run of the simulation.
 class trial {
 public:
     explicit trial(const trial_options& options)
@@ -69,6 +71,7 @@
         return m_options.load.classes[request.offered.request_class];
     }
 
+    /// Whether an engine is in an outage now.
     bool is_out(std::size_t engine) const {
         return std::ranges::any_of(m_options.outages, [&](const engine_outage& outage) {
             return outage.engine == engine && m_now >= m_start + outage.begin &&
@@ -244,7 +247,8 @@
         }
     }
 
-    /// Larger answers are worth more to their callers, within bounds.
+    /// The value of a request relative to the mean of its class: larger requests are worth more, up to four
+    /// times as much.
     double worth_factor(const live_request& request) const {
         constexpr double fixed_part = 0.3;
         constexpr double output_weight = 10;
--- a/src/emulator/row_store.cpp
+++ b/src/emulator/row_store.cpp
@@ -1,4 +1,4 @@
-// One ordered map and one list of changes.
+// Keeps the rows in an ordered map, and the latest changes in a list for readers of changes and for restores.
 #include "emulator/row_store.hpp"
 
 #include <algorithm>
@@ -8,9 +8,10 @@
 
 namespace {
 
-/// Changes that are remembered; older ones count as forgotten.
+/// The most changes that are kept in the history.
 constexpr std::size_t most_history = 10'000;
 
+/// The table that a key belongs to.
 std::string_view table_of(std::string_view key) {
     return key.substr(0, key.find('/'));
 }
--- a/src/emulator/row_store.hpp
+++ b/src/emulator/row_store.hpp
@@ -1,4 +1,4 @@
-// A transactional table with a history of its changes, in memory.
+// An in-memory transactional key-value store with a history of its changes.
 #pragma once
 
 #include "store/row.hpp"
@@ -14,38 +14,41 @@
 
 namespace borageford::emulator {
 
-/// Keys are "TABLE/NAME". Invariant: within an era the version grows by one with each transaction that
-/// commits.
+/// Keys have the form "TABLE/NAME". Invariant: within an era, each committed transaction increases the
+/// version by one. An era ends when the store is restored from an older copy.
 class row_store {
 public:
     using clock = std::chrono::steady_clock;
 
-    /// All or nothing. When a condition fails, the result names the keys.
+    /// Applies all changes, or none when a condition fails; the result then has the keys of the failed
+    /// conditions.
     store::transaction_result transact(const store::transaction& changes);
 
     [[nodiscard]] std::optional<store::row> read(std::string_view key) const;
-    /// Rows whose keys start with the prefix, from after `after` on, or from `after` itself.
+    /// At most `limit` rows whose keys start with the prefix, sorted by key. They begin after the key
+    /// `after`, or with it when `includes_after` is set; an empty `after` means from the first row.
     [[nodiscard]] store::row_page scan(std::string_view prefix, std::string_view after, std::size_t limit,
                                        bool includes_after = false) const;
 
-    /// What changed in a table after a version; nothing when that history is gone, or when there is no such
-    /// version.
+    /// The changes of a table after a version. Returns nothing when the history doesn't reach back to that
+    /// version, or when the version is higher than the current one.
     [[nodiscard]] std::optional<store::change_page> changes(std::string_view table,
                                                             std::uint64_t after) const;
-    /// Drops the history: whoever follows has to read everything again.
+    /// Drops the history, so that readers of changes have to read all rows again.
     void forget_history();
 
-    /// Becomes what it was at a moment, as far back as its history reaches, and begins a new era. Returns
-    /// what is lost, in its order.
+    /// Restores the contents as of `moment`, or as of the begin of the history if that is later, and begins a
+    /// new era. Returns the lost changes, oldest first.
     std::vector<store::row_change> restore(clock::time_point moment);
 
     [[nodiscard]] std::uint64_t version() const noexcept { return m_version; }
     [[nodiscard]] std::uint64_t era() const noexcept { return m_era; }
 
 private:
+    /// A change and what is needed to undo it.
     struct past_change {
         store::row_change change;
-        std::optional<store::row> former; ///< what it replaced
+        std::optional<store::row> former; ///< the row before the change; nothing if there was none
         clock::time_point at;
     };
 
@@ -56,7 +59,7 @@
     std::deque<past_change> m_history;
     std::uint64_t m_version = 0;
     std::uint64_t m_era = 1;
-    std::uint64_t m_history_begin = 0; ///< changes after this version are known
+    std::uint64_t m_history_begin = 0; ///< the history has all changes after this version
 };
 
 } // namespace borageford::emulator
--- a/src/emulator/slot_deciders.cpp
+++ b/src/emulator/slot_deciders.cpp
@@ -1,4 +1,4 @@
-// One scheduler, or several that know less.
+// Distributes requests over one or several instances of policy::slot_scheduler, depending on the layout.
 #include "emulator/slot_deciders.hpp"
 
 #include <algorithm>
@@ -7,9 +7,10 @@
 
 namespace {
 
-/// Engines to which a request is offered at once, where each engine decides for itself.
+/// The number of engines to which a request is offered at once in the layout slot_layout::offered.
 constexpr std::size_t offers = 2;
 
+/// The number of processes that decide about slots.
 std::size_t count_deciders(const trial_options& options) {
     switch (options.layout) {
     case slot_layout::one_coordinator:
@@ -24,7 +25,7 @@
     return options.engines.size();
 }
 
-/// Whether this decider gives out slots of this engine.
+/// Whether a decider grants slots of an engine.
 bool decides_about(const trial_options& options, std::size_t decider, std::size_t engine) {
     switch (options.layout) {
     case slot_layout::one_coordinator:
@@ -148,7 +149,7 @@
         for (const auto& refusal : m_schedulers[decider].take_refusals()) {
             auto& places = m_places[refusal.ticket];
             std::erase(places, decider);
-            // Refused by one engine's process, a request may still wait at another's.
+            // In the layout slot_layout::offered, the request may still wait at another engine's decider.
             if (places.empty()) {
                 m_places.erase(refusal.ticket);
                 refusals.push_back(refusal);
--- a/src/emulator/slot_deciders.hpp
+++ b/src/emulator/slot_deciders.hpp
@@ -1,4 +1,4 @@
-// The schedulers of a trial, in each of the layouts that decide about slots.
+// The processes that decide about slots in a trial, for each slot_layout.
 #pragma once
 
 #include "emulator/policy_trial.hpp"
@@ -12,27 +12,37 @@
 
 namespace borageford::emulator {
 
+/// Holds one policy::slot_scheduler for each deciding process ("decider"), and gives a trial the interface of
+/// a single scheduler.
 class slot_deciders {
 public:
+    /// All engines of a trial serve this one service.
     static constexpr policy::service_key service = 1;
+    /// The key under which the schedulers know an engine, given its index in trial_options::engines.
     [[nodiscard]] static policy::server_key key_of(std::size_t engine) { return engine + 1; }
 
     explicit slot_deciders(const trial_options& options);
 
+    /// Queues a request at the decider or deciders that the layout chooses.
     void add(const policy::slot_request& request, time_point now);
+    /// Removes a waiting request.
     void withdraw(policy::slot_ticket ticket);
+    /// Frees the slot of a request that has ended.
     void release(const policy::slot_release& ended, time_point now);
+    /// Grants the slots that are free at `now`.
     [[nodiscard]] std::vector<policy::slot_grant> grant(time_point now);
+    /// Returns the refusals since the last call. A request that was offered to two engines is refused only
+    /// when both refuse it.
     [[nodiscard]] std::vector<policy::slot_refusal> take_refusals();
 
 private:
-    /// What one decider will hear of another's doings.
+    /// In the layout slot_layout::told: a grant or a release that the other deciders learn of later.
     struct news {
-        time_point at;
-        std::size_t from = 0;
+        time_point at;        ///< when the other deciders learn of it
+        std::size_t from = 0; ///< the decider that made it
         policy::slot_ticket ticket = 0;
         policy::server_key server = 0;
-        bool has_ended = false;
+        bool has_ended = false; ///< a release; otherwise a grant
     };
 
     [[nodiscard]] std::vector<std::size_t> choose_deciders();
@@ -44,7 +54,7 @@
     duration m_told_after;
     std::vector<policy::slot_scheduler> m_schedulers;
     policy::random_sequence m_random{1};
-    /// Where a ticket waits; the one that granted it, once it was.
+    /// The deciders at which a ticket waits; after a grant, only the decider that granted the slot.
     std::unordered_map<policy::slot_ticket, std::vector<std::size_t>> m_places;
     std::queue<news> m_news;
 };
--- a/src/events/event_log.hpp
+++ b/src/events/event_log.hpp
@@ -46,8 +46,8 @@
     line_time(const char* utc) : text(utc) {}
 
     std::string text; ///< in UTC, as format_log_time() writes it
-    std::chrono::milliseconds
-        clock_step{}; ///< how far the system clock is ahead of `text`; 0: less than 100 ms
+    /// How far the system clock is ahead of `text`; 0 when the difference is below 100 ms.
+    std::chrono::milliseconds clock_step{};
 };
 
 /// The JSON text of one line, without a line end: for tests, and for lines that are written elsewhere.
--- a/src/program/command_flags.hpp
+++ b/src/program/command_flags.hpp
@@ -20,8 +20,8 @@
     std::string token;         ///< authenticates the operator at the entry
     std::string operator_name; ///< recorded with every revision
     bool json = false;         ///< print the response body unchanged
-    std::optional<std::chrono::milliseconds>
-        wait;              ///< how long to wait until a change is in force everywhere; nothing: not at all
+    /// How long to wait until a change is in force everywhere; nothing: don't wait.
+    std::optional<std::chrono::milliseconds> wait;
     std::string workspace; ///< list only requests of this workspace
     std::string since;     ///< how far back to list requests, for example "30m"
     int limit = 20;        ///< the most entries that are listed
--- a/tests/unit/test_emulated_store_return.cpp
+++ b/tests/unit/test_emulated_store_return.cpp
@@ -1,4 +1,4 @@
-// The emulated store as it was some time ago.
+// Tests of restoring the emulated store to an earlier state.
 #include "emulator/row_store.hpp"
 
 #include <catch2/catch.hpp>
@@ -21,7 +21,7 @@
 
 } // namespace
 
-TEST_CASE("a store that returns from a copy has lost just what came after it", "[emulator]") {
+TEST_CASE("a restored store has lost exactly the changes after the copy", "[emulator]") {
     emulator::row_store rows;
     put(rows, "t/changed", "old");
     put(rows, "t/removed", "old");
@@ -40,13 +40,14 @@
     CHECK_FALSE(rows.read("t/added").has_value());
     CHECK(rows.version() == copied);
     CHECK(rows.era() == 2);
-    CHECK_FALSE(rows.changes("t", copied + 1).has_value()); // it has no such version
+    CHECK_FALSE(
+        rows.changes("t", copied + 1).has_value()); // this version doesn't exist in the restored store
     put(rows, "t/added", "again");
-    CHECK(rows.read("t/added")->version == copied + 1); // given out twice
+    CHECK(rows.read("t/added")->version == copied + 1); // this version number existed before the restore too
     CHECK(rows.changes("t", copied)->position == store::position{2, copied + 1});
 }
 
-TEST_CASE("a store returns no further back than its history reaches", "[emulator]") {
+TEST_CASE("a store is restored no further back than its history reaches", "[emulator]") {
     emulator::row_store rows;
     put(rows, "t/a", "old");
     const auto copied_at = emulator::row_store::clock::now();
--- a/tests/unit/test_policy_trial.cpp
+++ b/tests/unit/test_policy_trial.cpp
@@ -1,4 +1,5 @@
-// Loads played against the scheduler in virtual time: what callers get, not which decisions are taken.
+// Tests that simulate loads on the slot scheduler in virtual time. They check how callers' requests end, not
+// which decisions the scheduler makes.
 #include "emulator/batching_engine.hpp"
 #include "emulator/policy_trial.hpp"
 
@@ -10,8 +11,9 @@
 
 namespace {
 
-/// Twelve engines, a third of them three times as fast as the others, near their limit: urgent summaries with
-/// long prompts, tags, and notes that stream for long and can wait.
+/// A load near the limit of twelve engines, of which four are almost three times as fast as the other eight.
+/// The highest tier consists of summaries with long prompts, the middle tier of tags, and the lowest tier of
+/// notes with long answers. Two bursts multiply the load by 1.6 and by 2.1.
 trial_options heavy_load(std::uint64_t seed) {
     trial_options options;
     for (int index = 0; index < 12; ++index) {
@@ -34,7 +36,7 @@
 
 } // namespace
 
-TEST_CASE("an engine's model: shared parts are read once, the queue is bounded", "[emulator]") {
+TEST_CASE("the engine model reads shared prompt parts once and bounds its queue", "[emulator]") {
     engine_model model;
     model.slots = 2;
     model.queue = 1;
@@ -61,21 +63,22 @@
 }
 
 TEST_CASE("bursts to twice the load leave the highest tier in time", "[emulator][policy]") {
-    // Many users come at once, twice. Without order everybody would be late: first come, first served gave
-    // the summaries 0.62 of their worth and the whole load 0.60; ordered by tier 0.91 and 0.89; with servers
-    // chosen by their expected first event, and late requests after those that can be in time, 0.96 and 0.93.
+    // Guards against a scheduler that lets the highest tier become late in a burst. The worth of the
+    // summaries and of the whole load was 0.62 and 0.60 with requests served in the order of arrival, 0.91
+    // and 0.89 ordered by tier, and 0.96 and 0.93 with servers chosen by the expected first event and late
+    // requests served last.
     const auto result = play(heavy_load(1));
     CHECK(share_in_time(result.classes[0]) > 0.93);
     CHECK(share_in_time(result.classes[1]) > 0.80);
     CHECK(result.classes[0].refused == 0);
-    // The lowest tier pays, but isn't starved.
+    // The lowest tier loses most, but isn't starved.
     CHECK(result.classes[2].worth > 0.45);
     CHECK(result.worth > 0.91);
 }
 
-TEST_CASE("the lowest tier is served by small engines too", "[emulator][policy]") {
-    // The same load before twice as many engines of half the size. With two of four slots kept from the
-    // lowest tier its callers were refused while slots were idle.
+TEST_CASE("small engines serve the lowest tier too", "[emulator][policy]") {
+    // The same load on twice as many engines with four slots each. While two of the four slots were reserved
+    // for higher tiers, requests of the lowest tier were refused although slots were idle.
     auto options = heavy_load(1);
     const auto engines = options.engines;
     options.engines.insert(options.engines.end(), engines.begin(), engines.end());
@@ -89,7 +92,7 @@
     CHECK(share_in_time(let_in.classes[0]) > 0.93);
 }
 
-TEST_CASE("a quarter of the engines crashed costs the highest tier next to nothing", "[emulator][policy]") {
+TEST_CASE("a crash of a quarter of the engines hardly affects the highest tier", "[emulator][policy]") {
     auto options = heavy_load(2);
     options.outages = {{1, 10500ms, 2s}, {4, 10500ms, 2s}, {9, 10500ms, 2s}};
     const auto result = play(options);
@@ -97,7 +100,8 @@
     CHECK(result.worth > 0.90);
 }
 
-TEST_CASE("under lasting overload the tiers are served in their order", "[emulator][policy]") {
+TEST_CASE("under lasting overload, a higher tier has a higher share of answers in time",
+          "[emulator][policy]") {
     auto options = heavy_load(4);
     options.load.bursts = {{0ms, 30s, 1.8, ""}};
     const auto result = play(options);
