--- a/src/events/event_log.cpp
+++ b/src/events/event_log.cpp
@@ -57,7 +57,7 @@
     log_clock clock{std::chrono::system_clock::now(), std::chrono::steady_clock::now()};
     std::string process = "borageford";
     std::string vm;
-    std::atomic<std::uint64_t> told_lost = 0;
+    std::atomic<std::uint64_t> reported_lost = 0;
     bool is_started = false;
 };
 
@@ -142,10 +142,10 @@
 }
 
 /// Adds the field `lost_lines` to a rendered line when more lines were lost since the field was last written.
-void tell_lost_lines(std::string& line) {
+void append_lost_lines(std::string& line) {
     auto& state = shared_state();
     const auto lost = state.buffer.lost();
-    if (lost != state.told_lost.exchange(lost)) {
+    if (lost != state.reported_lost.exchange(lost)) {
         line.pop_back();
         line.append(R"(,"lost_lines":)");
         append_number(line, lost);
@@ -211,7 +211,7 @@
         return;
     }
     auto line = render(kind, fields, *left_out, current_time(state.clock));
-    tell_lost_lines(line);
+    append_lost_lines(line);
     root.log(level, line);
 }
 
--- a/src/events/line_buffer.cpp
+++ b/src/events/line_buffer.cpp
@@ -12,8 +12,8 @@
 namespace {
 
 bool is_writable(int descriptor) noexcept {
-    pollfd question{descriptor, POLLOUT, 0};
-    return ::poll(&question, 1, 0) == 1 && (question.revents & POLLOUT) != 0;
+    pollfd request{descriptor, POLLOUT, 0};
+    return ::poll(&request, 1, 0) == 1 && (request.revents & POLLOUT) != 0;
 }
 
 } // namespace
