--- a/src/diagnosis/log_record.cpp
+++ b/src/diagnosis/log_record.cpp
@@ -16,13 +16,13 @@
 namespace json = boost::json;
 
 /// Reads numbers with a fixed count of digits from the front of a text, each followed by a separator.
-class digit_reader {
+class number_reader {
 public:
-    explicit digit_reader(std::string_view text) : m_text(text) {}
+    explicit number_reader(std::string_view text) : m_text(text) {}
 
     /// Removes the next number and its separator from the text. When either differs from what is expected,
     /// the value is meaningless and is_good() is false from then on.
-    unsigned take(std::size_t digits, char separator) {
+    unsigned read(std::size_t digits, char separator) {
         const auto part = m_text.substr(0, digits);
         unsigned value = 0;
         const auto read = std::from_chars(part.data(), part.data() + part.size(), value);
@@ -44,7 +44,7 @@
 };
 
 /// Removes a field from the object and returns its text; empty when the field is missing or no text.
-std::string take_text(json::object& object, std::string_view name) {
+std::string extract_text(json::object& object, std::string_view name) {
     const auto* value = object.if_contains(name);
     std::string result;
     if (value != nullptr && value->is_string()) {
@@ -55,7 +55,7 @@
 }
 
 /// Removes a field from the object and returns its number; 0 when the field is missing or no number.
-std::uint64_t take_count(json::object& object, std::string_view name) {
+std::uint64_t extract_count(json::object& object, std::string_view name) {
     const auto* value = object.if_contains(name);
     boost::system::error_code error;
     const auto result = value != nullptr ? value->to_number<std::uint64_t>(error) : 0;
@@ -107,14 +107,14 @@
 }
 
 std::optional<log_time> read_log_time(std::string_view text) {
-    digit_reader reader(text);
-    const std::chrono::year year(static_cast<int>(reader.take(4, '-')));
-    const std::chrono::month month(reader.take(2, '-'));
-    const std::chrono::day day(reader.take(2, 'T'));
-    const std::chrono::hours hours(reader.take(2, ':'));
-    const std::chrono::minutes minutes(reader.take(2, ':'));
-    const std::chrono::seconds seconds(reader.take(2, '.'));
-    const std::chrono::microseconds fraction(reader.take(6, 'Z'));
+    number_reader reader(text);
+    const std::chrono::year year(static_cast<int>(reader.read(4, '-')));
+    const std::chrono::month month(reader.read(2, '-'));
+    const std::chrono::day day(reader.read(2, 'T'));
+    const std::chrono::hours hours(reader.read(2, ':'));
+    const std::chrono::minutes minutes(reader.read(2, ':'));
+    const std::chrono::seconds seconds(reader.read(2, '.'));
+    const std::chrono::microseconds fraction(reader.read(6, 'Z'));
     const std::chrono::year_month_day date(year, month, day);
     if (!reader.is_good() || !date.ok()) {
         return std::nullopt;
@@ -135,11 +135,11 @@
     auto& object = value.as_object();
     log_record record;
     record.fields = without_common_fields(object);
-    const auto time = read_log_time(take_text(object, "time"));
-    record.vm = take_text(object, "vm");
-    record.event = take_text(object, "event");
-    record.left_out = take_count(object, "left_out");
-    record.lost_lines = take_count(object, "lost_lines");
+    const auto time = read_log_time(extract_text(object, "time"));
+    record.vm = extract_text(object, "vm");
+    record.event = extract_text(object, "event");
+    record.left_out = extract_count(object, "left_out");
+    record.lost_lines = extract_count(object, "lost_lines");
     if (!time || record.event.empty()) {
         return std::nullopt;
     }
--- a/src/diagnosis/loss_report.cpp
+++ b/src/diagnosis/loss_report.cpp
@@ -13,7 +13,7 @@
 
 /// Share of the latency target. A request that was granted a slot within this share was granted it early: by
 /// default policy::slot_scheduler_limits::hopeless_wait is the same share.
-constexpr double early_part = 0.4;
+constexpr double early_share = 0.4;
 constexpr int name_width = 24;
 constexpr int column_width = 10;
 
@@ -43,7 +43,7 @@
     const auto target = record.number("target_ms");
     if (target > 0 && record.number("to_first_ms") > target) {
         const bool was_early =
-            static_cast<double>(record.number("waited_ms")) < early_part * static_cast<double>(target);
+            static_cast<double>(record.number("waited_ms")) < early_share * static_cast<double>(target);
         return was_early ? request_end::late_at_server : request_end::late_by_wait;
     }
     const auto pause = record.number("pause_target_ms");
@@ -92,7 +92,7 @@
     return std::accumulate(ends.begin(), ends.end(), std::uint64_t(0));
 }
 
-void loss_report::take(const log_record& record) {
+void loss_report::add(const log_record& record) {
     const auto end = classify(record);
     if (!end.has_value()) {
         return;
@@ -110,7 +110,7 @@
     }
 }
 
-void loss_report::tell_heading(std::ostream& out, std::string_view what) {
+void loss_report::print_heading(std::ostream& out, std::string_view what) {
     out << '\n'
         << std::left << std::setw(name_width) << what << std::right << std::setw(column_width) << "requests";
     for (const auto& column : ends) {
@@ -119,7 +119,7 @@
     out << '\n';
 }
 
-void loss_report::tell_row(std::ostream& out, std::string_view name, const tally& row) {
+void loss_report::print_row(std::ostream& out, std::string_view name, const tally& row) {
     out << std::left << std::setw(name_width) << name << std::right << std::setw(column_width) << row.total();
     for (const auto count : row.ends) {
         out << std::setw(column_width) << count;
@@ -127,25 +127,25 @@
     out << '\n';
 }
 
-void loss_report::tell_table(std::ostream& out, std::string_view what, const tallies& rows) {
-    tell_heading(out, what);
+void loss_report::print_table(std::ostream& out, std::string_view what, const tallies& rows) {
+    print_heading(out, what);
     for (const auto& [name, row] : rows) {
-        tell_row(out, name, row);
+        print_row(out, name, row);
     }
 }
 
-void loss_report::tell(std::ostream& out) const {
+void loss_report::print(std::ostream& out) const {
     out << "l.: late, by a wait for a slot, at the server, or by a pause between events; r.: refused, for "
            "load,\n"
            "for a limit of the workspace or of repeats, or for what the caller sent\n";
-    tell_heading(out, "");
-    tell_row(out, "all", m_all);
-    tell_table(out, "route", m_routes);
-    tell_table(out, "workspace", m_workspaces);
-    tell_heading(out, "from second");
+    print_heading(out, "");
+    print_row(out, "all", m_all);
+    print_table(out, "route", m_routes);
+    print_table(out, "workspace", m_workspaces);
+    print_heading(out, "from second");
     for (const auto& [time, row] : m_windows) {
         const auto since = std::chrono::duration_cast<std::chrono::seconds>(time - m_windows.begin()->first);
-        tell_row(out, std::to_string(since.count()), row);
+        print_row(out, std::to_string(since.count()), row);
     }
     if (m_left_out > 0) {
         out << "\nnot counted: " << m_left_out << " requests whose lines were over their kinds' bounds\n";
--- a/src/diagnosis/loss_report.hpp
+++ b/src/diagnosis/loss_report.hpp
@@ -46,12 +46,12 @@
     explicit loss_report(std::chrono::seconds window) : m_window(window) {}
 
     /// Counts the line if it reports the end of a request.
-    void take(const log_record& record);
+    void add(const log_record& record);
 
     /// Whether any line reported the end of a request.
     [[nodiscard]] bool has_requests() const noexcept { return m_all.total() > 0; }
     /// Prints the tables.
-    void tell(std::ostream& out) const;
+    void print(std::ostream& out) const;
 
 private:
     static constexpr auto end_count = static_cast<std::size_t>(request_end::last_end) + 1;
@@ -63,9 +63,9 @@
     };
     using tallies = std::map<std::string, tally, std::less<>>;
 
-    static void tell_heading(std::ostream& out, std::string_view what);
-    static void tell_row(std::ostream& out, std::string_view name, const tally& row);
-    static void tell_table(std::ostream& out, std::string_view what, const tallies& rows);
+    static void print_heading(std::ostream& out, std::string_view what);
+    static void print_row(std::ostream& out, std::string_view name, const tally& row);
+    static void print_table(std::ostream& out, std::string_view what, const tallies& rows);
 
     std::chrono::seconds m_window;
     tally m_all;
--- a/src/diagnosis/request_story.cpp
+++ b/src/diagnosis/request_story.cpp
@@ -16,7 +16,7 @@
 
 /// State changes that were logged within this time after a request ended are printed too. They often explain
 /// the end: for example, a process notices only then that a server was removed or that the store is lost.
-constexpr std::chrono::seconds aftermath{1};
+constexpr std::chrono::seconds time_after_end{1};
 
 bool is_about_requests(const log_record& record) {
     return record.event.starts_with("request_") || record.event == "slot_refused";
@@ -62,13 +62,13 @@
 }
 
 /// What part of a process's assumed state a log line sets. The latest line about a subject tells its state.
-struct belief {
-    std::string subject;   ///< for example "backend engine-4"; a later line replaces an earlier one
-    bool is_usual = false; ///< a normal state, which isn't printed
+struct state_change {
+    std::string subject;    ///< for example "backend engine-4"; a later line replaces an earlier one
+    bool is_normal = false; ///< a normal state, which isn't printed
 };
 
 /// The subject that a line is about; the subject is empty for lines that set no state.
-belief belief_of(const log_record& record) {
+state_change state_change_of(const log_record& record) {
     const auto& event = record.event;
     if (event.starts_with("configuration_in")) {
         return {"configuration", false};
@@ -80,9 +80,9 @@
         return {"store " + record.text("table"), event == "store_regained"};
     }
     if (event.starts_with("backend_")) {
-        const bool is_usual =
+        const bool is_normal =
             event == "backend_ready" || event == "backend_recovered" || event == "backend_gone";
-        return {"backend " + record.text("backend"), is_usual};
+        return {"backend " + record.text("backend"), is_normal};
     }
     if (event == "stop_requested" || event == "started" || event == "stopped") {
         return {"process", event == "started"};
@@ -90,17 +90,17 @@
     return {"", true};
 }
 
-std::string name_of_error(const log_record& record) {
+std::string status_and_error(const log_record& record) {
     return record.text("status") + " " + record.text("error");
 }
 
-std::string tries_text(const log_record& record) {
-    const auto tries = record.number("tries");
-    if (tries == 0) {
+std::string attempts_text(const log_record& record) {
+    const auto attempts = record.number("tries");
+    if (attempts == 0) {
         return "it was never sent to a backend server";
     }
-    return "it had been sent to " + std::to_string(tries) +
-           (tries == 1 ? " backend server" : " backend servers");
+    return "it had been sent to " + std::to_string(attempts) +
+           (attempts == 1 ? " backend server" : " backend servers");
 }
 
 /// One sentence about how the request ended.
@@ -111,8 +111,8 @@
     }
     if (end.event == "request_refused") {
         const auto retry = end.number("retry_after_ms");
-        return "refused with " + name_of_error(end) + " (" + end.text("reason") + ") after " +
-               end.text("held_ms") + " ms; " + tries_text(end) +
+        return "refused with " + status_and_error(end) + " (" + end.text("reason") + ") after " +
+               end.text("held_ms") + " ms; " + attempts_text(end) +
                (retry > 0 ? "; told to come back after " + std::to_string(retry) + " ms" : "");
     }
     if (end.event == "request_cut") {
@@ -124,7 +124,7 @@
 
 } // namespace
 
-void request_story::take(log_record record) {
+void request_story::add(log_record record) {
     ++m_lines;
     m_left_out += record.left_out;
     if (record.lost_lines > 0) {
@@ -132,19 +132,19 @@
     }
     if (!is_about_requests(record)) {
         const auto time = record.time;
-        m_beliefs[record.vm].emplace(time, std::move(record));
+        m_state_changes[record.vm].emplace(time, std::move(record));
     } else if (record.event == "slot_refused") {
         auto ticket = record.text("ticket");
         m_slot_refusals.insert_or_assign(std::move(ticket), std::move(record));
     } else if (record.text("request") == m_id) {
-        m_own.push_back(std::move(record));
+        m_request_lines.push_back(std::move(record));
     }
 }
 
 request_story::timeline request_story::lines_about_request() const {
     timeline result;
     std::set<std::string> tickets;
-    for (const auto& record : m_own) {
+    for (const auto& record : m_request_lines) {
         result.emplace(record.time, record);
         tickets.insert(record.text("ticket"));
     }
@@ -165,9 +165,9 @@
     return result;
 }
 
-void request_story::tell_beliefs(std::ostream& out, const std::string& vm, log_time at) const {
-    const auto found = m_beliefs.find(vm);
-    if (found == m_beliefs.end()) {
+void request_story::print_state(std::ostream& out, const std::string& vm, log_time at) const {
+    const auto found = m_state_changes.find(vm);
+    if (found == m_state_changes.end()) {
         return;
     }
     std::map<std::string, const log_record*> newest;
@@ -175,25 +175,25 @@
         if (time > at) {
             break;
         }
-        newest[belief_of(record).subject] = &record;
+        newest[state_change_of(record).subject] = &record;
     }
     for (const auto& [subject, record] : newest) {
-        if (!belief_of(*record).is_usual) {
+        if (!state_change_of(*record).is_normal) {
             out << "  " << vm << ": " << record->event << ' ' << fields_text(*record) << " (since "
                 << seconds_text(between(record->time, at)) << " s)\n";
         }
     }
 }
 
-void request_story::tell_lines(std::ostream& out, const timeline& lines,
-                               const std::set<std::string>& vms) const {
+void request_story::print_lines(std::ostream& out, const timeline& lines,
+                                const std::set<std::string>& vms) const {
     const auto first = lines.begin()->first;
     const auto last = std::prev(lines.end())->first;
     auto all = lines;
     for (const auto& vm : vms) {
-        const auto found = m_beliefs.find(vm);
-        if (found != m_beliefs.end()) {
-            all.insert(found->second.lower_bound(first), found->second.upper_bound(last + aftermath));
+        const auto found = m_state_changes.find(vm);
+        if (found != m_state_changes.end()) {
+            all.insert(found->second.lower_bound(first), found->second.upper_bound(last + time_after_end));
         }
     }
     for (const auto& [time, record] : all) {
@@ -203,7 +203,7 @@
     }
 }
 
-void request_story::tell_gaps(std::ostream& out) const {
+void request_story::print_missing_lines(std::ostream& out) const {
     std::uint64_t lost = 0;
     for (const auto& [vm, count] : m_lost_lines) {
         lost += count;
@@ -222,22 +222,22 @@
     return end_text(end->second);
 }
 
-void request_story::tell(std::ostream& out) const {
+void request_story::print(std::ostream& out) const {
     if (!has_lines()) {
         out << "No line tells of request " << m_id << ". ";
-        tell_gaps(out);
+        print_missing_lines(out);
         return;
     }
     const auto lines = lines_about_request();
     const auto vms = vms_of(lines);
     out << "Request " << m_id << ": " << outcome() << ".\n\nKnown when it came:\n";
     for (const auto& vm : vms) {
-        tell_beliefs(out, vm, lines.begin()->first);
+        print_state(out, vm, lines.begin()->first);
     }
     out << "\nWhat happened:\n";
-    tell_lines(out, lines, vms);
+    print_lines(out, lines, vms);
     out << '\n';
-    tell_gaps(out);
+    print_missing_lines(out);
 }
 
 } // namespace borageford::diagnosis
--- a/src/diagnosis/request_story.hpp
+++ b/src/diagnosis/request_story.hpp
@@ -23,14 +23,14 @@
     explicit request_story(std::string id) : m_id(std::move(id)) {}
 
     /// Stores the line if it may concern the request.
-    void take(log_record record);
+    void add(log_record record);
 
     /// Whether any line about the request was found.
-    [[nodiscard]] bool has_lines() const noexcept { return !m_own.empty(); }
+    [[nodiscard]] bool has_lines() const noexcept { return !m_request_lines.empty(); }
 
     /// Prints the timeline as text. When no line about the request was found, it prints how many lines were
     /// dropped and may therefore be missing.
-    void tell(std::ostream& out) const;
+    void print(std::ostream& out) const;
 
     /// One sentence about how the request ended.
     [[nodiscard]] std::string outcome() const;
@@ -41,17 +41,17 @@
 
     [[nodiscard]] timeline lines_about_request() const;
     [[nodiscard]] std::set<std::string> vms_of(const timeline& lines) const;
-    void tell_beliefs(std::ostream& out, const std::string& vm, log_time at) const;
-    void tell_lines(std::ostream& out, const timeline& lines, const std::set<std::string>& vms) const;
-    void tell_gaps(std::ostream& out) const;
+    void print_state(std::ostream& out, const std::string& vm, log_time at) const;
+    void print_lines(std::ostream& out, const timeline& lines, const std::set<std::string>& vms) const;
+    void print_missing_lines(std::ostream& out) const;
 
     std::string m_id;
-    std::vector<log_record> m_own; ///< the lines about the request
+    std::vector<log_record> m_request_lines; ///< the lines about the request
     /// Coordinators' refusals of slots, by ticket. Which tickets belong to the request is known only when all
     /// lines have been read.
     std::unordered_map<std::string, log_record> m_slot_refusals;
     /// Lines about no request, by VM: they tell the state that the VM's process assumed.
-    std::map<std::string, timeline> m_beliefs;
+    std::map<std::string, timeline> m_state_changes;
     std::uint64_t m_lines = 0;    ///< lines read
     std::uint64_t m_left_out = 0; ///< lines dropped by the rate limit
     std::map<std::string, std::uint64_t>
--- a/src/program/logs_command.cpp
+++ b/src/program/logs_command.cpp
@@ -22,35 +22,35 @@
 constexpr std::chrono::seconds loss_window{2};
 
 /// Called with each parsed line.
-using record_taker = std::function<void(diagnosis::log_record)>;
+using record_handler = std::function<void(diagnosis::log_record)>;
 
-void read_lines(std::istream& input, const record_taker& take) {
+void read_lines(std::istream& input, const record_handler& handle) {
     for (std::string line; std::getline(input, line);) {
         if (auto record = diagnosis::read_log_record(line)) {
-            take(std::move(*record));
+            handle(std::move(*record));
         }
     }
 }
 
 /// Throws usage_error when the file can't be read.
-void read_file(const std::string& name, const record_taker& take) {
+void read_file(const std::string& name, const record_handler& handle) {
     std::ifstream file(name);
     if (!file) {
         throw usage_error("can't read the file \"" + name + "\"");
     }
-    read_lines(file, take);
+    read_lines(file, handle);
     if (file.bad()) {
         throw usage_error("reading the file \"" + name + "\" failed");
     }
 }
 
 /// Reads all files, or standard input when no file is named.
-void read_all(arguments files, const record_taker& take) {
+void read_all(arguments files, const record_handler& handle) {
     for (const auto& name : files) {
-        read_file(name, take);
+        read_file(name, handle);
     }
     if (files.empty()) {
-        read_lines(std::cin, take);
+        read_lines(std::cin, handle);
     }
 }
 
@@ -60,16 +60,17 @@
     if (words.empty() || words.front().empty()) {
         throw usage_error("logs needs the ID of one request, and the files to look in");
     }
-    diagnosis::request_story story(words.front());
-    read_all(words.subspan(1), [&story](diagnosis::log_record record) { story.take(std::move(record)); });
-    story.tell(std::cout);
-    return story.has_lines() ? exit_code::done : exit_code::failed;
+    diagnosis::request_story timeline(words.front());
+    read_all(words.subspan(1),
+             [&timeline](diagnosis::log_record record) { timeline.add(std::move(record)); });
+    timeline.print(std::cout);
+    return timeline.has_lines() ? exit_code::done : exit_code::failed;
 }
 
 exit_code run_losses(arguments words) {
     diagnosis::loss_report report(loss_window);
-    read_all(words, [&report](const diagnosis::log_record& record) { report.take(record); });
-    report.tell(std::cout);
+    read_all(words, [&report](const diagnosis::log_record& record) { report.add(record); });
+    report.print(std::cout);
     return report.has_requests() ? exit_code::done : exit_code::failed;
 }
 
--- a/tests/unit/test_diagnosis.cpp
+++ b/tests/unit/test_diagnosis.cpp
@@ -23,15 +23,15 @@
            R"(000Z","process":"gateway","vm":")" + vm + R"(",)" + fields + "}";
 }
 
-void take(request_story& story, const std::string& line) {
+void add(request_story& timeline, const std::string& line) {
     auto record = read_log_record(line);
     REQUIRE(record);
-    story.take(std::move(*record));
+    timeline.add(std::move(*record));
 }
 
-std::string told(const request_story& story) {
+std::string printed(const request_story& timeline) {
     std::ostringstream out;
-    story.tell(out);
+    timeline.print(out);
     return out.str();
 }
 
@@ -63,20 +63,20 @@
 
 TEST_CASE("the timeline of a refused request has the coordinator's reason and the state that was assumed",
           "[diagnosis]") {
-    request_story story("r1");
-    take(story, line_of("edge-1", 300, "request_refused",
-                        R"("request":"r1","ticket":77,"error":"overloaded","status":503,)"
-                        R"("reason":"no slot in time","held_ms":180,"tries":0,"retry_after_ms":900)"));
-    take(story,
-         line_of("edge-2", 299, "slot_refused",
-                 R"("ticket":77,"member":"10.0.0.1","reason":"overloaded","needed":2.1,"available":0.7)"));
-    take(story, line_of("edge-2", 290, "slot_refused", R"("ticket":78,"reason":"over_allowance")"));
-    take(story, line_of("edge-2", 100, "backend_resting", R"("backend":"engine-4","rest_ms":800)"));
-    take(story, line_of("edge-2", 110, "backend_resting", R"("backend":"engine-5","rest_ms":800)"));
-    take(story, line_of("edge-2", 120, "backend_recovered", R"("backend":"engine-5")"));
-    take(story, line_of("edge-3", 100, "backend_resting", R"("backend":"engine-9","rest_ms":800)"));
-    const auto text = told(story);
-    CHECK(story.outcome() ==
+    request_story timeline("r1");
+    add(timeline, line_of("edge-1", 300, "request_refused",
+                          R"("request":"r1","ticket":77,"error":"overloaded","status":503,)"
+                          R"("reason":"no slot in time","held_ms":180,"tries":0,"retry_after_ms":900)"));
+    add(timeline,
+        line_of("edge-2", 299, "slot_refused",
+                R"("ticket":77,"member":"10.0.0.1","reason":"overloaded","needed":2.1,"available":0.7)"));
+    add(timeline, line_of("edge-2", 290, "slot_refused", R"("ticket":78,"reason":"over_allowance")"));
+    add(timeline, line_of("edge-2", 100, "backend_resting", R"("backend":"engine-4","rest_ms":800)"));
+    add(timeline, line_of("edge-2", 110, "backend_resting", R"("backend":"engine-5","rest_ms":800)"));
+    add(timeline, line_of("edge-2", 120, "backend_recovered", R"("backend":"engine-5")"));
+    add(timeline, line_of("edge-3", 100, "backend_resting", R"("backend":"engine-9","rest_ms":800)"));
+    const auto text = printed(timeline);
+    CHECK(timeline.outcome() ==
           "refused with 503 overloaded (no slot in time) after 180 ms; it was never sent to "
           "a backend server; told to come back after 900 ms");
     CHECK(text.find("needed=2.1 available=0.7") != std::string::npos);
@@ -89,13 +89,16 @@
 }
 
 TEST_CASE("a timeline has the state changes around the request, sorted by time", "[diagnosis]") {
-    request_story story("r2");
-    take(story, line_of("edge-1", 400, "request_cut",
-                        R"("request":"r2","reason":"the response ended early","events":12,"total_ms":390)"));
-    take(story, line_of("edge-1", 10, "request_placed", R"("request":"r2","ticket":5,"backend":"engine-1")"));
-    take(story, line_of("edge-1", 600, "backend_gone", R"("backend":"engine-1","reason":"left the store")"));
-    take(story, line_of("edge-1", 200, "configuration_in_force", R"("version":9)"));
-    const auto text = told(story);
+    request_story timeline("r2");
+    add(timeline,
+        line_of("edge-1", 400, "request_cut",
+                R"("request":"r2","reason":"the response ended early","events":12,"total_ms":390)"));
+    add(timeline,
+        line_of("edge-1", 10, "request_placed", R"("request":"r2","ticket":5,"backend":"engine-1")"));
+    add(timeline,
+        line_of("edge-1", 600, "backend_gone", R"("backend":"engine-1","reason":"left the store")"));
+    add(timeline, line_of("edge-1", 200, "configuration_in_force", R"("version":9)"));
+    const auto text = printed(timeline);
     const auto placed = text.find("request_placed");
     const auto changed = text.find("configuration_in_force");
     const auto cut = text.find("request_cut");
@@ -104,18 +107,19 @@
     CHECK(changed < cut);
     CHECK(cut < gone);
     CHECK(gone != std::string::npos);
-    CHECK(story.outcome() ==
+    CHECK(timeline.outcome() ==
           "its stream was ended after 12 events (the response ended early), 390 ms after it "
           "came");
 }
 
 TEST_CASE("without any line about the request, the output tells how many lines may be missing",
           "[diagnosis]") {
-    request_story story("r3");
-    take(story, line_of("edge-1", 10, "request_answered", R"("request":"r4","left_out":41,"lost_lines":3)"));
-    take(story, line_of("edge-1", 20, "request_answered", R"("request":"r5","lost_lines":5)"));
-    CHECK_FALSE(story.has_lines());
-    const auto text = told(story);
+    request_story timeline("r3");
+    add(timeline,
+        line_of("edge-1", 10, "request_answered", R"("request":"r4","left_out":41,"lost_lines":3)"));
+    add(timeline, line_of("edge-1", 20, "request_answered", R"("request":"r5","lost_lines":5)"));
+    CHECK_FALSE(timeline.has_lines());
+    const auto text = printed(timeline);
     CHECK(text.find("No line tells of request r3") != std::string::npos);
     CHECK(text.find("41 more were left out") != std::string::npos);
     CHECK(text.find("5 were lost") != std::string::npos);
--- a/tests/unit/test_diagnosis_losses.cpp
+++ b/tests/unit/test_diagnosis_losses.cpp
@@ -59,15 +59,15 @@
           "[diagnosis][losses]") {
     loss_report report(2s);
     CHECK_FALSE(report.has_requests());
-    report.take(record_of("request_answered", answer(10, 100, 0), "00"));
-    report.take(record_of("request_answered", answer(10, 600, 0), "01"));
+    report.add(record_of("request_answered", answer(10, 100, 0), "00"));
+    report.add(record_of("request_answered", answer(10, 600, 0), "01"));
     auto refused = record_of("request_refused", refusal("overloaded", 503), "05");
     refused.left_out = 41;
-    report.take(refused);
-    report.take(record_of("backend_gone", R"("backend":"b")"));
+    report.add(refused);
+    report.add(record_of("backend_gone", R"("backend":"b")"));
     CHECK(report.has_requests());
     std::ostringstream out;
-    report.tell(out);
+    report.print(out);
     const auto text = out.str();
     const std::string row = "         3         1         0         1         0         1";
     CHECK(text.find("digest                  " + row) != std::string::npos);
