--- a/src/experiment/load_runner.cpp
+++ b/src/experiment/load_runner.cpp
@@ -65,7 +65,7 @@
 
 load_runner::~load_runner() = default;
 
-void load_runner::ask_readiness(std::function<void(std::size_t)> answer) {
+void load_runner::check_readiness(std::function<void(std::size_t)> answer) {
     const auto open = std::make_shared<std::size_t>(m_plan.gateways.size());
     const auto told = std::make_shared<std::function<void(std::size_t)>>(std::move(answer));
     for (std::size_t index = 0; index < m_plan.gateways.size(); ++index) {
@@ -91,7 +91,7 @@
     m_begin = clock::now();
     m_offered = emulator::draw_requests(m_plan.load, m_begin);
     m_readiness_timer =
-        m_timers.every(m_executor, readiness_period, [this] { ask_readiness([](std::size_t) {}); });
+        m_timers.every(m_executor, readiness_period, [this] { check_readiness([](std::size_t) {}); });
     send_due();
 }
 
--- a/src/experiment/load_runner.hpp
+++ b/src/experiment/load_runner.hpp
@@ -30,7 +30,7 @@
     load_runner& operator=(load_runner&&) = delete;
 
     /// Requests the readiness of all gateways, and then calls `answer` with the number of ready gateways.
-    void ask_readiness(std::function<void(std::size_t)> answer);
+    void check_readiness(std::function<void(std::size_t)> answer);
 
     /// Sends all requests at their planned times, which count from this call, and calls `on_done` when the
     /// last request has ended.
--- a/src/program/check_command.cpp
+++ b/src/program/check_command.cpp
@@ -23,8 +23,8 @@
     if (!problems.empty()) {
         return "";
     }
-    std::vector<settings::problem> repeated; // not used: the reader chosen below reports these errors again
-    const auto document = settings::parse_ini(text, file, repeated);
+    std::vector<settings::problem> ignored; // not used: the reader chosen below reports these errors again
+    const auto document = settings::parse_ini(text, file, ignored);
     if (process::find_section(document, "sidecar") != nullptr) {
         static_cast<void>(sidecar::read_sidecar_settings(file, problems));
         return "settings of a sidecar";
--- a/src/program/command_output.cpp
+++ b/src/program/command_output.cpp
@@ -71,7 +71,7 @@
 }
 
 /// The exit code for an error that the API reported.
-exit_code code_for(error_kind kind) {
+exit_code exit_code_for(error_kind kind) {
     switch (kind) {
     case error_kind::plan_conflict:
         return exit_code::conflict;
@@ -92,7 +92,7 @@
     std::cerr << "borageford: " << kind << ": " << text_of(error, "message") << '\n';
     print_problems(error);
     std::cerr << "  " << text_of(error, "remedy") << '\n';
-    return code_for(find_error_kind(kind).value_or(error_kind::internal));
+    return exit_code_for(find_error_kind(kind).value_or(error_kind::internal));
 }
 
 /// Prints on which nodes a change is in force.
--- a/src/program/emulate_command.cpp
+++ b/src/program/emulate_command.cpp
@@ -46,7 +46,7 @@
         m_site.start();
         show_gateways();
         m_waiting_since = std::chrono::steady_clock::now();
-        ask_readiness();
+        check_readiness();
         m_context.run();
         return m_result;
     }
@@ -59,20 +59,20 @@
         std::cout << "waiting until these are ready" << std::endl;
     }
 
-    void ask_readiness() {
+    void check_readiness() {
         m_timer = m_timers.after(m_context.get_executor(), readiness_check_period, [this] {
-            m_runner.ask_readiness([this](std::size_t ready) { take_readiness(ready); });
+            m_runner.check_readiness([this](std::size_t ready) { on_readiness(ready); });
         });
     }
 
-    void take_readiness(std::size_t ready) {
+    void on_readiness(std::size_t ready) {
         if (ready == m_plan.gateways.size()) {
             begin();
         } else if (std::chrono::steady_clock::now() - m_waiting_since > m_ready_limit) {
             std::cerr << "only " << ready << " of " << m_plan.gateways.size() << " gateways are ready\n";
             finish(exit_code::failed);
         } else {
-            ask_readiness();
+            check_readiness();
         }
     }
 
@@ -90,14 +90,14 @@
     void report() {
         experiment::write_summary(std::cout, m_runner.outcomes(), m_marks);
         experiment::write_report(m_folder, m_plan.name, m_runner.outcomes(), m_marks);
-        const auto doubled = count_doubled();
-        std::cout << "requests that may run once and ran more often: " << doubled << "\nreport in "
+        const auto duplicates = count_duplicate_runs();
+        std::cout << "requests that may run once and ran more often: " << duplicates << "\nreport in "
                   << m_folder.string() << '\n';
-        finish(doubled == 0 ? exit_code::done : exit_code::failed);
+        finish(duplicates == 0 ? exit_code::done : exit_code::failed);
     }
 
     /// Counts the requests that must run at most once but ran more often.
-    [[nodiscard]] std::size_t count_doubled() const {
+    [[nodiscard]] std::size_t count_duplicate_runs() const {
         const auto runs = m_site.count_runs();
         std::size_t result = 0;
         for (const auto& id : m_runner.unrepeatable_ids()) {
--- a/src/program/main.cpp
+++ b/src/program/main.cpp
@@ -44,7 +44,7 @@
     "  --wait-limit=30s       how long --wait waits at most\n";
 
 /// Runs a process with the file that the flag `settings` names.
-exit_code with_settings(int (*run)(const std::string&)) {
+exit_code run_with_settings(int (*run)(const std::string&)) {
     const auto file = absl::GetFlag(FLAGS_settings);
     if (file.empty()) {
         throw usage_error("--settings FILE is required");
@@ -53,17 +53,17 @@
 }
 
 exit_code entry_command(arguments) {
-    return with_settings(borageford::entry::run_entry);
+    return run_with_settings(borageford::entry::run_entry);
 }
 
 exit_code sidecar_command(arguments) {
-    return with_settings(borageford::sidecar::run_sidecar);
+    return run_with_settings(borageford::sidecar::run_sidecar);
 }
 
 exit_code gateway_command(arguments) {
-    static const auto speech = borageford::platform::users_platform();
-    return with_settings(
-        [](const std::string& file) { return borageford::gateway::run_gateway(file, speech); });
+    static const auto user_platform = borageford::platform::users_platform();
+    return run_with_settings(
+        [](const std::string& file) { return borageford::gateway::run_gateway(file, user_platform); });
 }
 
 constexpr std::array process_commands{
@@ -85,8 +85,8 @@
 }
 
 void print_table(std::ostream& out, std::span<const command> table) {
-    for (const auto& entry : table) {
-        out << "  " << entry.name << ' ' << entry.words << "\n      " << entry.summary << '\n';
+    for (const auto& subcommand : table) {
+        out << "  " << subcommand.name << ' ' << subcommand.words << "\n      " << subcommand.summary << '\n';
     }
 }
 
@@ -98,17 +98,17 @@
     out << '\n' << operator_flags << '\n' << exit_codes;
 }
 
-void print_help(const command& entry) {
-    std::cout << "borageford " << entry.name << ' ' << entry.words << "\n\n"
-              << entry.summary << '\n'
-              << entry.details << '\n';
-    if (std::ranges::find(process_commands, entry.name, &command::name) == process_commands.end()) {
+void print_help(const command& subcommand) {
+    std::cout << "borageford " << subcommand.name << ' ' << subcommand.words << "\n\n"
+              << subcommand.summary << '\n'
+              << subcommand.details << '\n';
+    if (std::ranges::find(process_commands, subcommand.name, &command::name) == process_commands.end()) {
         std::cout << operator_flags << '\n';
     }
     std::cout << exit_codes;
 }
 
-bool asks_for_help(std::span<char*> words) {
+bool has_help_flag(std::span<char*> words) {
     return std::ranges::any_of(words, [](std::string_view word) { return word == "--help" || word == "-h"; });
 }
 
@@ -124,9 +124,9 @@
 
 /// Prints the program's own help. Abseil's help lists flags but no subcommands, and ends with exit code 1.
 int help(std::span<char*> words) {
-    const auto* entry = words.empty() ? nullptr : find_command(words.front());
-    if (entry != nullptr) {
-        print_help(*entry);
+    const auto* subcommand = words.empty() ? nullptr : find_command(words.front());
+    if (subcommand != nullptr) {
+        print_help(*subcommand);
     } else {
         print_usage(std::cout);
     }
@@ -134,19 +134,19 @@
 }
 
 exit_code run_command(arguments words) {
-    const auto* entry = words.empty() ? nullptr : find_command(words.front());
-    if (entry == nullptr) {
+    const auto* subcommand = words.empty() ? nullptr : find_command(words.front());
+    if (subcommand == nullptr) {
         print_usage(std::cerr);
         return exit_code::wrong_input;
     }
     try {
-        return entry->run(words.subspan(1));
+        return subcommand->run(words.subspan(1));
     } catch (const usage_error& error) {
-        std::cerr << "borageford " << entry->name << ": " << error.what() << "\n  Usage: borageford "
-                  << entry->name << ' ' << entry->words << '\n';
+        std::cerr << "borageford " << subcommand->name << ": " << error.what() << "\n  Usage: borageford "
+                  << subcommand->name << ' ' << subcommand->words << '\n';
         return exit_code::wrong_input;
     } catch (const entry_error& error) {
-        std::cerr << "borageford " << entry->name << ": " << error.what() << '\n'
+        std::cerr << "borageford " << subcommand->name << ": " << error.what() << '\n'
                   << (error.may_have_acted() ? "  It may have been done; calling again is safe.\n"
                                              : "  Nothing was sent. Try another entry.\n");
         return error.may_have_acted() ? exit_code::outcome_unknown : exit_code::failed;
@@ -156,9 +156,9 @@
 } // namespace
 
 int main(int argument_count, char** argument_values) {
-    const std::span given(argument_values, static_cast<std::size_t>(argument_count));
-    if (asks_for_help(given.subspan(1))) {
-        return help(given.subspan(1));
+    const std::span raw_arguments(argument_values, static_cast<std::size_t>(argument_count));
+    if (has_help_flag(raw_arguments.subspan(1))) {
+        return help(raw_arguments.subspan(1));
     }
     absl::FlagsUsageConfig configuration;
     configuration.version_string = [] {
@@ -166,10 +166,10 @@
     };
     absl::SetFlagsUsageConfig(configuration);
     absl::SetProgramUsageMessage("borageford --help lists the subcommands");
-    std::vector<std::string> spelled;
-    std::ranges::transform(given, std::back_inserter(spelled), with_underscores);
+    std::vector<std::string> normalized;
+    std::ranges::transform(raw_arguments, std::back_inserter(normalized), with_underscores);
     std::vector<char*> values;
-    std::ranges::transform(spelled, std::back_inserter(values),
+    std::ranges::transform(normalized, std::back_inserter(values),
                            [](std::string& word) { return word.data(); });
     const auto parsed = absl::ParseCommandLine(argument_count, values.data());
     const std::vector<std::string> words(parsed.begin() + 1, parsed.end());
--- a/src/program/operator_commands.cpp
+++ b/src/program/operator_commands.cpp
@@ -20,7 +20,7 @@
 namespace {
 
 /// The only argument. Throws usage_error unless there is exactly one; `what` describes it in the message.
-const std::string& only_word(arguments words, std::string_view what) {
+const std::string& require_single_argument(arguments words, std::string_view what) {
     if (words.size() != 1) {
         throw usage_error("this command needs " + std::string(what));
     }
@@ -28,7 +28,7 @@
 }
 
 /// Throws usage_error when there is any argument.
-void no_words(arguments words) {
+void require_no_arguments(arguments words) {
     if (!words.empty()) {
         throw usage_error("unexpected \"" + words.front() + "\"");
     }
@@ -47,7 +47,7 @@
 }
 
 exit_code run_plan(arguments words) {
-    const auto& file = only_word(words, "one FILE with the intent");
+    const auto& file = require_single_argument(words, "one FILE with the intent");
     std::vector<settings::problem> problems;
     const auto text = settings::read_file(file, problems);
     if (!problems.empty()) {
@@ -57,64 +57,64 @@
 }
 
 exit_code run_confirm(arguments words) {
-    const auto& plan = only_word(words, "the id of one PLAN");
+    const auto& plan = require_single_argument(words, "the id of one PLAN");
     return call_and_print("POST", "/admin/plans/" + encode_for_target(plan) + "/confirm" + wait_query(),
                           print_commit);
 }
 
 exit_code run_revisions(arguments words) {
-    no_words(words);
+    require_no_arguments(words);
     const auto limit = std::to_string(read_command_flags().limit);
     return call_and_print("GET", "/admin/revisions?limit=" + limit, print_revisions);
 }
 
 exit_code run_show(arguments words) {
-    const auto& revision = only_word(words, "the number of one REVISION");
+    const auto& revision = require_single_argument(words, "the number of one REVISION");
     return call_and_print("GET", "/admin/revisions/" + encode_for_target(revision), print_revision);
 }
 
 exit_code run_revert(arguments words) {
-    const auto& revision = only_word(words, "the number of one REVISION");
+    const auto& revision = require_single_argument(words, "the number of one REVISION");
     return call_and_print("POST", "/admin/revisions/" + encode_for_target(revision) + "/revert", print_plan);
 }
 
 exit_code run_status(arguments words) {
-    no_words(words);
+    require_no_arguments(words);
     return call_and_print("GET", "/admin/status", print_status);
 }
 
 exit_code run_servers(arguments words) {
-    no_words(words);
+    require_no_arguments(words);
     return call_and_print("GET", "/admin/backend_servers", print_servers);
 }
 
 exit_code run_drain(arguments words) {
-    const auto& server = only_word(words, "the name of one BACKEND_SERVER");
+    const auto& server = require_single_argument(words, "the name of one BACKEND_SERVER");
     return call_and_print("POST",
                           "/admin/backend_servers/" + encode_for_target(server) + "/drain" + wait_query(),
                           print_commit);
 }
 
 exit_code run_undrain(arguments words) {
-    const auto& server = only_word(words, "the name of one BACKEND_SERVER");
+    const auto& server = require_single_argument(words, "the name of one BACKEND_SERVER");
     return call_and_print("POST",
                           "/admin/backend_servers/" + encode_for_target(server) + "/undrain" + wait_query(),
                           print_commit);
 }
 
 exit_code run_quarantine(arguments words) {
-    no_words(words);
+    require_no_arguments(words);
     return call_and_print("GET", "/admin/quarantine", print_quarantine);
 }
 
 exit_code run_release(arguments words) {
-    const auto& fingerprint = only_word(words, "one FINGERPRINT");
+    const auto& fingerprint = require_single_argument(words, "one FINGERPRINT");
     return call_and_print("POST", "/admin/quarantine/" + encode_for_target(fingerprint) + "/release",
                           print_release);
 }
 
 exit_code run_limits(arguments words) {
-    no_words(words);
+    require_no_arguments(words);
     return call_and_print("GET", "/admin/limits", print_limits);
 }
 
@@ -122,7 +122,7 @@
 /// workspace.
 exit_code run_explain(arguments words) {
     if (!words.empty()) {
-        const auto& id = only_word(words, "one REQUEST_ID");
+        const auto& id = require_single_argument(words, "one REQUEST_ID");
         return call_and_print("GET", "/admin/requests/" + encode_for_target(id), print_explanation);
     }
     const auto flags = read_command_flags();
