--- a/src/experiment/experiment_plan.hpp
+++ b/src/experiment/experiment_plan.hpp
@@ -39,9 +39,9 @@
 struct caller_group {
     std::string name;
     std::string route;
-    std::string key;      ///< the API key of a workspace; empty on public routes
-    unsigned returns = 1; ///< how often a refused caller retries at most
-    double gives_up = 0;  ///< probability that a caller disconnects early, between 0 and 1
+    std::string key;                   ///< the API key of a workspace; empty on public routes
+    unsigned max_retries = 1;          ///< how often a refused caller retries at most
+    double disconnect_probability = 0; ///< probability that a caller disconnects early, between 0 and 1
 };
 
 /// What goes wrong. The faults of the store follow the faults of backend servers.
--- a/src/experiment/experiment_reader.cpp
+++ b/src/experiment/experiment_reader.cpp
@@ -217,8 +217,8 @@
         caller_group group;
         group.name = section.name;
         group.route = reader.text("route");
-        group.returns = static_cast<unsigned>(reader.number("returns", group.returns, 0, 100));
-        group.gives_up = reader.real("gives_up", group.gives_up, 0, 1);
+        group.max_retries = static_cast<unsigned>(reader.number("returns", group.max_retries, 0, 100));
+        group.disconnect_probability = reader.real("gives_up", group.disconnect_probability, 0, 1);
         group.key = read_key(reader);
         emulator::request_class sizes;
         sizes.name = section.name;
@@ -279,9 +279,9 @@
         fault.copy_age = reader.duration("copy_age", fault.copy_age, none, longest);
         fault.rewritten_after = reader.duration("rewritten_after", fault.rewritten_after, none, longest);
         fault.service = reader.text("service", "");
-        const bool needs_service = fault.kind < fault_kind::store_refuses;
-        const bool knows_service = find_named(m_plan.configuration.services, fault.service).has_value();
-        if (needs_service && !knows_service) {
+        const bool is_server_fault = fault.kind < fault_kind::store_refuses;
+        const bool has_service = find_named(m_plan.configuration.services, fault.service).has_value();
+        if (is_server_fault && !has_service) {
             reader.complain("service", "the name of a [service] section");
         }
         reader.finish();
--- a/src/experiment/experiment_report.cpp
+++ b/src/experiment/experiment_report.cpp
@@ -24,13 +24,14 @@
 /// The colours of the outcomes in the plot, in the order of the enumeration `outcome`.
 constexpr std::array<std::string_view, outcome_count> colours{"#4a9", "#dc6", "#e94", "#c44", "#bbb"};
 
-void write_row(std::ostream& out, std::string_view name, const outcome_table::summary& of) {
-    out << std::left << std::setw(name_width) << name << std::right << std::setw(cell_width) << of.requests;
+void write_row(std::ostream& out, std::string_view name, const outcome_table::summary& summary) {
+    out << std::left << std::setw(name_width) << name << std::right << std::setw(cell_width)
+        << summary.requests;
     for (std::size_t index = 0; index < outcome_count; ++index) {
         out << std::setw(cell_width) << std::fixed << std::setprecision(3)
-            << of.share(static_cast<outcome>(index));
+            << summary.share(static_cast<outcome>(index));
     }
-    for (const auto quantile : {of.first_p50, of.first_p95, of.first_p99}) {
+    for (const auto quantile : {summary.first_event_p50, summary.first_event_p95, summary.first_event_p99}) {
         out << std::setw(cell_width) << quantile.count();
     }
     out << '\n';
@@ -59,7 +60,7 @@
     for (const auto& request : outcomes.requests()) {
         out << request.begun.count() << ',' << outcomes.groups().at(request.group) << ','
             << to_string(request.what) << ',' << request.first_event.count() << ',' << request.total.count()
-            << ',' << request.tries << ',' << request.status << ',' << request.id << '\n';
+            << ',' << request.attempts << ',' << request.status << ',' << request.id << '\n';
     }
     return out.str();
 }
@@ -105,16 +106,17 @@
                 marks_of(faults)};
     for (std::size_t index = 0; index < outcome_count; ++index) {
         shares.stacked.push_back({std::string(to_string(static_cast<outcome>(index))),
-                                  std::string(colours.at(index)), values_of(seconds, [index](const auto& of) {
-                                      return static_cast<double>(of.by_outcome.at(index));
+                                  std::string(colours.at(index)),
+                                  values_of(seconds, [index](const auto& summary) {
+                                      return static_cast<double>(summary.by_outcome.at(index));
                                   })});
     }
     plot times{"time to the first event", "ms", {}, {}, marks_of(faults)};
-    times.lines.push_back({"median", "#4a9", values_of(seconds, [](const auto& of) {
-                               return static_cast<double>(of.first_p50.count());
+    times.lines.push_back({"median", "#4a9", values_of(seconds, [](const auto& summary) {
+                               return static_cast<double>(summary.first_event_p50.count());
                            })});
-    times.lines.push_back({"95 in 100", "#c44", values_of(seconds, [](const auto& of) {
-                               return static_cast<double>(of.first_p95.count());
+    times.lines.push_back({"95 in 100", "#c44", values_of(seconds, [](const auto& summary) {
+                               return static_cast<double>(summary.first_event_p95.count());
                            })});
     return draw({shares, times});
 }
--- a/src/experiment/experiment_site.cpp
+++ b/src/experiment/experiment_site.cpp
@@ -43,21 +43,21 @@
 }
 
 void experiment_site::add_servers(std::size_t group) {
-    const auto& of = m_plan.servers[group];
-    for (std::size_t index = 0; index < of.count; ++index) {
-        auto address = of.first_address;
+    const auto& planned = m_plan.servers[group];
+    for (std::size_t index = 0; index < planned.count; ++index) {
+        auto address = planned.first_address;
         if (address.port() != 0) {
             address.port(static_cast<std::uint16_t>(address.port() + index));
         }
         auto& unit = m_servers.emplace_back();
         unit.group = group;
         unit.address = address;
-        unit.speed = of.speeds[index % of.speeds.size()];
-        start_server(unit, draw_id(unit));
+        unit.speed = planned.speeds[index % planned.speeds.size()];
+        start_server(unit, next_id(unit));
     }
 }
 
-std::string experiment_site::draw_id(server_unit& unit) const {
+std::string experiment_site::next_id(server_unit& unit) const {
     const auto number = static_cast<std::uint64_t>(&unit - m_servers.data());
     return m_plan.servers[unit.group].service + "-" + std::to_string(id_base * (unit.starts + 1) + number);
 }
@@ -132,7 +132,7 @@
     }
     const auto id = unit.server->options().id;
     unit.server->stop();
-    m_former.push_back(std::move(unit.server));
+    m_stopped.push_back(std::move(unit.server));
     const auto number = unit.starts;
     after(registration_life, [this, id, server, number] {
         const auto& now = m_servers.at(server);
@@ -158,7 +158,7 @@
     auto& unit = m_servers.at(server);
     if (unit.server != nullptr) {
         unit.server->stop();
-        m_former.push_back(std::move(unit.server));
+        m_stopped.push_back(std::move(unit.server));
         start_server(unit, unit.id);
     }
 }
@@ -166,7 +166,7 @@
 void experiment_site::restart(std::size_t server) {
     auto& unit = m_servers.at(server);
     if (unit.server == nullptr) {
-        start_server(unit, draw_id(unit));
+        start_server(unit, next_id(unit));
     }
 }
 
@@ -185,7 +185,7 @@
             visit(*unit.server);
         }
     }
-    for (const auto& server : m_former) {
+    for (const auto& server : m_stopped) {
         visit(*server);
     }
 }
@@ -206,7 +206,7 @@
 }
 
 void experiment_site::after(milliseconds delay, std::function<void()> call) {
-    m_planned.push_back(m_timers.after(m_executor, delay, std::move(call)));
+    m_scheduled_calls.push_back(m_timers.after(m_executor, delay, std::move(call)));
 }
 
 void experiment_site::begin_faults(std::function<void(std::string_view)> on_fault) {
--- a/src/experiment/experiment_site.hpp
+++ b/src/experiment/experiment_site.hpp
@@ -91,7 +91,7 @@
     };
 
     void add_servers(std::size_t group);
-    [[nodiscard]] std::string draw_id(server_unit& unit) const;
+    [[nodiscard]] std::string next_id(server_unit& unit) const;
     void start_server(server_unit& unit, std::string id);
     void write_registration(const server_unit& unit);
     void begin_fault(const planned_fault& fault);
@@ -107,7 +107,7 @@
     publisher m_publish;
     std::vector<server_unit> m_servers;
     std::vector<std::unique_ptr<emulator::emulated_backend>> m_former; ///< stopped servers
-    std::vector<timer_subscription> m_planned;                         ///< calls at later times
+    std::vector<timer_subscription> m_scheduled_calls;                 ///< calls at later times
 };
 
 } // namespace borageford::experiment
--- a/src/experiment/load_call.cpp
+++ b/src/experiment/load_call.cpp
@@ -38,14 +38,15 @@
 void kept_connections::keep(const asio::ip::tcp::endpoint& server,
                             std::shared_ptr<net::connection> connection) {
     const std::weak_ptr<net::connection> weak = connection;
-    const auto drop = [weak] {
+    const auto close_connection = [weak] {
         if (const auto ended = weak.lock()) {
             ended->close();
         }
     };
     // An idle connection becomes unusable when the server sends bytes without a request or closes the
     // connection.
-    connection->set_handlers({drop, [drop](net::connection_end) { drop(); },
+    connection->set_handlers({close_connection,
+                              [close_connection](net::connection_end) { close_connection(); },
                               [] {
                               }});
     connection->read();
@@ -54,17 +55,17 @@
     idle.push_back(std::move(connection));
 }
 
-load_call::load_call(asio::any_io_executor executor, std::shared_ptr<kept_connections> kept,
+load_call::load_call(asio::any_io_executor executor, std::shared_ptr<kept_connections> pool,
                      asio::ip::tcp::endpoint server, std::string request, done on_done)
     : m_executor(std::move(executor)),
-      m_kept(std::move(kept)),
+      m_pool(std::move(pool)),
       m_server(std::move(server)),
       m_request(std::move(request)),
       m_on_done(std::move(on_done)) {}
 
 void load_call::start() {
     m_result.sent = clock::now();
-    auto connection = m_kept->take(m_server);
+    auto connection = m_pool->take(m_server);
     if (connection != nullptr) {
         m_result.was_kept = true;
         send_on(std::move(connection));
@@ -93,28 +94,27 @@
     m_result.has_connected = true;
     m_connection = std::move(connection);
     const auto self = shared_from_this();
-    m_connection->set_handlers({[self] { self->take_input(); },
-                                [self](net::connection_end) { self->take_end(); },
+    m_connection->set_handlers({[self] { self->on_input(); }, [self](net::connection_end) { self->on_end(); },
                                 [] {
                                 }});
     m_connection->send(m_request);
     m_connection->read();
 }
 
-void load_call::take_input() {
+void load_call::on_input() {
     if (m_is_over) {
         return;
     }
     try {
         const auto used = m_reader.read(m_connection->input(), m_piece);
         m_connection->consume(used);
-        take_body();
+        process_body();
     } catch (const http::response_error&) {
         finish(false);
     }
 }
 
-void load_call::take_body() {
+void load_call::process_body() {
     if (m_reader.has_head() && m_result.status == 0) {
         m_result.status = m_reader.status();
         m_result.retry_after = read_retry_after(m_reader.fields());
@@ -137,13 +137,13 @@
     }
 }
 
-void load_call::take_end() {
+void load_call::on_end() {
     if (m_is_over) {
         return;
     }
     try {
         m_reader.read_end();
-        take_body();
+        process_body();
     } catch (const http::response_error&) {
         finish(false);
     }
@@ -160,7 +160,7 @@
     }
     auto connection = std::move(m_connection);
     if (connection != nullptr && is_whole && m_reader.keeps_connection() && connection->is_open()) {
-        m_kept->keep(m_server, std::move(connection));
+        m_pool->keep(m_server, std::move(connection));
     } else if (connection != nullptr) {
         connection->close();
     }
--- a/src/experiment/load_call.hpp
+++ b/src/experiment/load_call.hpp
@@ -56,9 +56,9 @@
 public:
     using done = std::function<void(const call_result&)>;
 
-    /// `kept` is the pool from which the call takes its connection and to which it returns the connection.
+    /// `pool` is the pool from which the call takes its connection and to which it returns the connection.
     /// `request` is the complete text of the request.
-    load_call(boost::asio::any_io_executor executor, std::shared_ptr<kept_connections> kept,
+    load_call(boost::asio::any_io_executor executor, std::shared_ptr<kept_connections> pool,
               boost::asio::ip::tcp::endpoint server, std::string request, done on_done);
 
     void start();
@@ -68,13 +68,13 @@
 private:
     void connect();
     void send_on(std::shared_ptr<net::connection> connection);
-    void take_input();
-    void take_body();
-    void take_end();
+    void on_input();
+    void process_body();
+    void on_end();
     void finish(bool is_whole);
 
     boost::asio::any_io_executor m_executor;
-    std::shared_ptr<kept_connections> m_kept;
+    std::shared_ptr<kept_connections> m_pool;
     boost::asio::ip::tcp::endpoint m_server;
     std::string m_request;
     done m_on_done;
--- a/src/experiment/load_runner.cpp
+++ b/src/experiment/load_runner.cpp
@@ -18,7 +18,7 @@
 /// The wait before a caller whose connection failed retries, as many HTTP clients do.
 constexpr milliseconds reconnect_wait{100};
 /// The wait before a refused caller retries when the refusal had no Retry-After header.
-constexpr milliseconds assumed_retry_wait{500};
+constexpr milliseconds default_retry_wait{500};
 constexpr unsigned first_success = 200;
 constexpr unsigned first_redirect = 300;
 constexpr unsigned too_many_requests = 429;
@@ -43,9 +43,9 @@
     std::size_t group = 0; ///< index in experiment_plan::callers
     emulator::offered_request sizes;
     clock::time_point begun;
-    unsigned tries = 0;  ///< attempts so far
-    bool leaves = false; ///< the caller will disconnect early
-    std::string id;      ///< of the latest attempt
+    unsigned attempts = 0;        ///< attempts so far
+    bool will_disconnect = false; ///< the caller will disconnect early
+    std::string id;               ///< of the latest attempt
     call_result last;
     std::shared_ptr<load_call> call;
     timer_subscription timer;
@@ -66,20 +66,20 @@
 load_runner::~load_runner() = default;
 
 void load_runner::check_readiness(std::function<void(std::size_t)> answer) {
-    const auto open = std::make_shared<std::size_t>(m_plan.gateways.size());
-    const auto told = std::make_shared<std::function<void(std::size_t)>>(std::move(answer));
+    const auto pending = std::make_shared<std::size_t>(m_plan.gateways.size());
+    const auto callback = std::make_shared<std::function<void(std::size_t)>>(std::move(answer));
     for (std::size_t index = 0; index < m_plan.gateways.size(); ++index) {
         const auto& place = m_plan.gateways[index];
         const boost::asio::ip::tcp::endpoint address(place.address,
                                                      static_cast<std::uint16_t>(place.first_port + 1));
-        const auto question = "GET " + platform::users_platform().readiness_path +
-                              " HTTP/1.1\r\nHost: gateway\r\nConnection: close\r\n\r\n";
+        const auto request = "GET " + platform::users_platform().readiness_path +
+                             " HTTP/1.1\r\nHost: gateway\r\nConnection: close\r\n\r\n";
         std::make_shared<load_call>(
-            m_executor, m_kept, address, question,
-            [this, index, open, told](const call_result& result) {
+            m_executor, m_pool, address, request,
+            [this, index, pending, callback](const call_result& result) {
                 m_is_ready[index] = result.status == first_success;
-                if (--*open == 0) {
-                    (*told)(static_cast<std::size_t>(std::ranges::count(m_is_ready, true)));
+                if (--*pending == 0) {
+                    (*callback)(static_cast<std::size_t>(std::ranges::count(m_is_ready, true)));
                 }
             })
             ->start();
@@ -99,17 +99,18 @@
     const auto now = clock::now();
     while (m_next < m_offered.size() && m_offered[m_next].at <= now) {
         const auto& sizes = m_offered[m_next++];
-        auto by = std::make_shared<caller>();
-        by->group = sizes.request_class;
-        by->sizes = sizes;
-        by->begun = now;
-        by->leaves = std::bernoulli_distribution(m_plan.callers[by->group].gives_up)(m_random);
-        ++m_open;
-        send(by);
+        auto sender = std::make_shared<caller>();
+        sender->group = sizes.request_class;
+        sender->sizes = sizes;
+        sender->begun = now;
+        sender->will_disconnect =
+            std::bernoulli_distribution(m_plan.callers[sender->group].disconnect_probability)(m_random);
+        ++m_in_progress;
+        send(sender);
     }
     if (m_next < m_offered.size()) {
         m_timer = m_timers.after(m_executor, m_offered[m_next].at - now, [this] { send_due(); });
-    } else if (m_open == 0) {
+    } else if (m_in_progress == 0) {
         m_on_done();
     }
 }
@@ -127,90 +128,92 @@
     return {place.address, place.first_port};
 }
 
-std::string load_runner::compose(const caller& by, const std::string& id) const {
-    const auto& group = m_plan.callers[by.group];
-    const auto& sizes = m_plan.load.classes[by.group];
+std::string load_runner::compose(const caller& sender, const std::string& id) const {
+    const auto& group = m_plan.callers[sender.group];
+    const auto& sizes = m_plan.load.classes[sender.group];
     const auto route = std::ranges::find(m_plan.configuration.routes, group.route, &routing::route::name);
     call_description call;
     call.host = route->host;
     call.target = route->prefix + "x";
     call.id = id;
-    call.time_left = std::chrono::duration_cast<milliseconds>(sizes.deadline - (clock::now() - by.begun));
+    call.time_left = std::chrono::duration_cast<milliseconds>(sizes.deadline - (clock::now() - sender.begun));
     if (route->kind == routing::route_kind::stream) {
-        call.sizes = told_sizes{static_cast<std::size_t>(by.sizes.prompt_tokens), by.sizes.output_tokens,
-                                static_cast<std::size_t>(by.sizes.hinted_output)};
+        call.sizes =
+            told_sizes{static_cast<std::size_t>(sender.sizes.prompt_tokens), sender.sizes.output_tokens,
+                       static_cast<std::size_t>(sender.sizes.hinted_output)};
     }
     call.key = group.key;
-    const auto size = static_cast<std::size_t>(by.sizes.prompt_tokens * bytes_per_token);
+    const auto size = static_cast<std::size_t>(sender.sizes.prompt_tokens * bytes_per_token);
     call.body.assign(std::min(most_body, size), 'x');
     return compose_call(call);
 }
 
-void load_runner::send(const std::shared_ptr<caller>& by) {
-    const auto& sizes = m_plan.load.classes[by->group];
-    ++by->tries;
-    by->id = std::to_string(m_run) + "-" + std::to_string(++m_last_id);
-    const auto& group = m_plan.callers[by->group];
+void load_runner::send(const std::shared_ptr<caller>& sender) {
+    const auto& sizes = m_plan.load.classes[sender->group];
+    ++sender->attempts;
+    sender->id = std::to_string(m_run) + "-" + std::to_string(++m_last_id);
+    const auto& group = m_plan.callers[sender->group];
     const auto route = std::ranges::find(m_plan.configuration.routes, group.route, &routing::route::name);
     if (!route->may_repeat()) {
-        m_unrepeatable_ids.push_back(by->id);
+        m_at_most_once_ids.push_back(sender->id);
     }
-    by->call =
-        std::make_shared<load_call>(m_executor, m_kept, pick_gateway(), compose(*by, by->id),
-                                    [this, by](const call_result& result) { take_result(by, result); });
-    const auto left = sizes.deadline - (clock::now() - by->begun);
-    const auto patience = by->leaves ? left / 4 : left;
-    by->deadline = m_timers.after(m_executor, patience, [this, by] {
-        by->call->give_up();
-        end(by, by->leaves ? outcome::left : outcome::failed);
+    sender->call = std::make_shared<load_call>(
+        m_executor, m_pool, pick_gateway(), compose(*sender, sender->id),
+        [this, sender](const call_result& result) { handle_result(sender, result); });
+    const auto left = sizes.deadline - (clock::now() - sender->begun);
+    const auto timeout = sender->will_disconnect ? left / 4 : left;
+    sender->deadline = m_timers.after(m_executor, timeout, [this, sender] {
+        sender->call->give_up();
+        end(sender, sender->will_disconnect ? outcome::left : outcome::failed);
     });
-    by->call->start();
+    sender->call->start();
 }
 
-void load_runner::take_result(const std::shared_ptr<caller>& by, const call_result& result) {
-    by->deadline.cancel();
-    by->last = result;
+void load_runner::handle_result(const std::shared_ptr<caller>& sender, const call_result& result) {
+    sender->deadline.cancel();
+    sender->last = result;
     const bool is_success = result.status >= first_success && result.status < first_redirect;
     const bool is_refused = result.status == too_many_requests || result.status == unavailable;
-    const auto& group = m_plan.callers[by->group];
-    const auto& sizes = m_plan.load.classes[by->group];
+    const auto& group = m_plan.callers[sender->group];
+    const auto& sizes = m_plan.load.classes[sender->group];
     if (result.is_whole && is_success) {
-        const bool is_in_time = result.first_event - by->begun <= sizes.target;
-        end(by, is_in_time ? outcome::in_time : outcome::late);
+        const bool is_in_time = result.first_event - sender->begun <= sizes.target;
+        end(sender, is_in_time ? outcome::in_time : outcome::late);
         return;
     }
-    const bool may_return = by->tries <= group.returns;
-    if (may_return && is_refused) {
-        come_back(by, result.retry_after.value_or(assumed_retry_wait));
+    const bool may_retry = sender->attempts <= group.max_retries;
+    if (may_retry && is_refused) {
+        schedule_retry(sender, result.retry_after.value_or(default_retry_wait));
         return;
     }
-    if (may_return && !result.has_connected) {
-        come_back(by, reconnect_wait);
+    if (may_retry && !result.has_connected) {
+        schedule_retry(sender, reconnect_wait);
         return;
     }
-    end(by, is_refused ? outcome::refused : outcome::failed);
+    end(sender, is_refused ? outcome::refused : outcome::failed);
 }
 
-void load_runner::come_back(const std::shared_ptr<caller>& by, milliseconds wait) {
-    const auto& sizes = m_plan.load.classes[by->group];
-    if (clock::now() + wait - by->begun >= sizes.deadline) {
-        end(by, outcome::refused);
+void load_runner::schedule_retry(const std::shared_ptr<caller>& sender, milliseconds wait) {
+    const auto& sizes = m_plan.load.classes[sender->group];
+    if (clock::now() + wait - sender->begun >= sizes.deadline) {
+        end(sender, outcome::refused);
         return;
     }
-    by->timer = m_timers.after(m_executor, wait, [this, by] { send(by); });
+    sender->timer = m_timers.after(m_executor, wait, [this, sender] { send(sender); });
 }
 
-void load_runner::end(const std::shared_ptr<caller>& by, outcome what) {
-    if (std::exchange(by->is_over, true)) {
+void load_runner::end(const std::shared_ptr<caller>& sender, outcome what) {
+    if (std::exchange(sender->is_over, true)) {
         return;
     }
-    by->deadline.cancel();
-    by->timer.cancel();
-    by->call.reset();
+    sender->deadline.cancel();
+    sender->timer.cancel();
+    sender->call.reset();
     const auto now = clock::now();
-    m_outcomes.add({by->group, what, since(m_begin, by->begun), since(by->begun, by->last.first_event),
-                    since(by->begun, now), by->tries, by->last.status, by->id});
-    if (--m_open == 0 && m_next == m_offered.size()) {
+    m_outcomes.add({sender->group, what, since(m_begin, sender->begun),
+                    since(sender->begun, sender->last.first_event), since(sender->begun, now),
+                    sender->attempts, sender->last.status, sender->id});
+    if (--m_in_progress == 0 && m_next == m_offered.size()) {
         m_on_done();
     }
 }
--- a/src/experiment/load_runner.hpp
+++ b/src/experiment/load_runner.hpp
@@ -39,32 +39,32 @@
     [[nodiscard]] const outcome_table& outcomes() const noexcept { return m_outcomes; }
     /// The ids of all requests on routes whose requests must run at most once. Each attempt of a caller has
     /// an id of its own.
-    [[nodiscard]] const std::vector<std::string>& unrepeatable_ids() const noexcept {
-        return m_unrepeatable_ids;
+    [[nodiscard]] const std::vector<std::string>& at_most_once_ids() const noexcept {
+        return m_at_most_once_ids;
     }
 
 private:
     struct caller;
 
     void send_due();
-    void send(const std::shared_ptr<caller>& by);
-    void take_result(const std::shared_ptr<caller>& by, const call_result& result);
-    void come_back(const std::shared_ptr<caller>& by, milliseconds wait);
-    void end(const std::shared_ptr<caller>& by, outcome what);
-    [[nodiscard]] std::string compose(const caller& by, const std::string& id) const;
+    void send(const std::shared_ptr<caller>& sender);
+    void handle_result(const std::shared_ptr<caller>& sender, const call_result& result);
+    void schedule_retry(const std::shared_ptr<caller>& sender, milliseconds wait);
+    void end(const std::shared_ptr<caller>& sender, outcome what);
+    [[nodiscard]] std::string compose(const caller& sender, const std::string& id) const;
     [[nodiscard]] boost::asio::ip::tcp::endpoint pick_gateway();
 
     boost::asio::any_io_executor m_executor;
     timer_service& m_timers;
     const experiment_plan& m_plan;
-    std::shared_ptr<kept_connections> m_kept = std::make_shared<kept_connections>();
+    std::shared_ptr<kept_connections> m_pool = std::make_shared<kept_connections>();
     outcome_table m_outcomes;
-    std::vector<std::string> m_unrepeatable_ids;
+    std::vector<std::string> m_at_most_once_ids;
     std::vector<emulator::offered_request> m_offered;
-    std::size_t m_next = 0;      ///< index of the next request to send
-    std::size_t m_open = 0;      ///< requests sent that haven't ended
-    std::uint64_t m_last_id = 0; ///< number in the latest request id
-    std::uint64_t m_run = 0;     ///< random number in the request ids, so that ids of different runs differ
+    std::size_t m_next = 0;        ///< index of the next request to send
+    std::size_t m_in_progress = 0; ///< requests sent that haven't ended
+    std::uint64_t m_last_id = 0;   ///< number in the latest request id
+    std::uint64_t m_run = 0;       ///< random number in the request ids, so that ids of different runs differ
     clock::time_point m_begin;
     std::vector<bool> m_is_ready; ///< by gateway, as of the latest check
     std::mt19937_64 m_random;
--- a/src/experiment/outcome_table.cpp
+++ b/src/experiment/outcome_table.cpp
@@ -37,9 +37,9 @@
         }
     }
     std::ranges::sort(first);
-    result.first_p50 = quantile(first, middle);
-    result.first_p95 = quantile(first, high);
-    result.first_p99 = quantile(first, highest);
+    result.first_event_p50 = quantile(first, middle);
+    result.first_event_p95 = quantile(first, high);
+    result.first_event_p99 = quantile(first, highest);
     return result;
 }
 
--- a/src/experiment/outcome_table.hpp
+++ b/src/experiment/outcome_table.hpp
@@ -33,7 +33,7 @@
     milliseconds begun{0};       ///< when it was first sent, since the experiment's begin
     milliseconds first_event{0}; ///< from the first attempt to the first event
     milliseconds total{0};       ///< from the first attempt to the end
-    unsigned tries = 1;          ///< attempts of the caller
+    unsigned attempts = 1;       ///< attempts of the caller
     unsigned status = 0;         ///< HTTP status of the last answer; 0: none
     std::string id;              ///< of the last attempt
 };
@@ -51,9 +51,9 @@
         std::array<std::size_t, outcome_count> by_outcome{};
         // Quantiles of the time from the first attempt to the first event, over requests that were answered
         // completely.
-        milliseconds first_p50{0};
-        milliseconds first_p95{0};
-        milliseconds first_p99{0};
+        milliseconds first_event_p50{0};
+        milliseconds first_event_p95{0};
+        milliseconds first_event_p99{0};
 
         /// The share of requests with this outcome, between 0 and 1.
         [[nodiscard]] double share(outcome what) const;
--- a/src/program/emulate_command.cpp
+++ b/src/program/emulate_command.cpp
@@ -100,7 +100,7 @@
     [[nodiscard]] std::size_t count_duplicate_runs() const {
         const auto runs = m_site.count_runs();
         std::size_t result = 0;
-        for (const auto& id : m_runner.unrepeatable_ids()) {
+        for (const auto& id : m_runner.at_most_once_ids()) {
             const auto found = runs.find(id);
             result += found != runs.end() && found->second > 1 ? 1 : 0;
         }
