--- a/src/emulator/batching_engine.cpp
+++ b/src/emulator/batching_engine.cpp
@@ -11,7 +11,7 @@
 
 /// The shortest step. While all running requests are still in their setup, the engine checks after this time
 /// whether a setup has ended.
-constexpr double least_step_ms = 1;
+constexpr double min_step_ms = 1;
 
 } // namespace
 
@@ -45,9 +45,9 @@
     m_waiting.clear();
     m_running.clear();
     m_step_end.reset();
-    m_kept.clear();
-    m_kept_by_id.clear();
-    m_kept_tokens = 0;
+    m_cache.clear();
+    m_cache_index.clear();
+    m_cached_tokens = 0;
 }
 
 void batching_engine::admit(time_point now) {
@@ -55,41 +55,41 @@
         running_request entry;
         entry.request = std::move(m_waiting.front());
         m_waiting.pop_front();
-        entry.unread = count_unread(entry.request);
-        entry.readable = now + scaled(m_model.setup_ms);
+        entry.unread = count_uncached_tokens(entry.request);
+        entry.setup_end = now + scaled(m_model.setup_ms);
         m_running.push_back(std::move(entry));
     }
 }
 
-double batching_engine::count_unread(const engine_request& request) {
+double batching_engine::count_uncached_tokens(const engine_request& request) {
     double unread = 0;
-    bool all_before_are_kept = true;
+    bool is_prefix_cached = true;
     for (const auto& part : request.prompt) {
-        const auto kept = m_kept_by_id.find(part.id);
-        all_before_are_kept = all_before_are_kept && kept != m_kept_by_id.end();
-        if (all_before_are_kept) {
-            m_kept.splice(m_kept.end(), m_kept, kept->second);
-            m_tokens_kept += part.tokens;
+        const auto cached = m_cache_index.find(part.id);
+        is_prefix_cached = is_prefix_cached && cached != m_cache_index.end();
+        if (is_prefix_cached) {
+            m_cache.splice(m_cache.end(), m_cache, cached->second);
+            m_tokens_from_cache += part.tokens;
         } else {
             unread += part.tokens;
-            keep(part);
+            add_to_cache(part);
         }
     }
     m_tokens_read += unread;
     return unread;
 }
 
-void batching_engine::keep(const prompt_part& part) {
-    if (m_kept_by_id.contains(part.id)) {
+void batching_engine::add_to_cache(const prompt_part& part) {
+    if (m_cache_index.contains(part.id)) {
         return;
     }
-    m_kept.push_back(part);
-    m_kept_by_id[part.id] = std::prev(m_kept.end());
-    m_kept_tokens += part.tokens;
-    while (m_kept_tokens > m_model.cache_tokens && m_kept.size() > 1) {
-        m_kept_tokens -= m_kept.front().tokens;
-        m_kept_by_id.erase(m_kept.front().id);
-        m_kept.pop_front();
+    m_cache.push_back(part);
+    m_cache_index[part.id] = std::prev(m_cache.end());
+    m_cached_tokens += part.tokens;
+    while (m_cached_tokens > m_model.cache_tokens && m_cache.size() > 1) {
+        m_cached_tokens -= m_cache.front().tokens;
+        m_cache_index.erase(m_cache.front().id);
+        m_cache.pop_front();
     }
 }
 
@@ -104,7 +104,7 @@
     double pairs = 0;
     bool has_output = false;
     for (auto& entry : m_running) {
-        if (entry.readable > now) {
+        if (entry.setup_end > now) {
             continue;
         }
         if (entry.unread <= 0) {
@@ -123,13 +123,13 @@
     if (has_output) {
         step_ms += m_model.step_ms + m_model.step_ms_per_slot * static_cast<double>(m_running.size());
     }
-    m_step_end = now + scaled(std::max(step_ms, least_step_ms));
+    m_step_end = now + scaled(std::max(step_ms, min_step_ms));
 }
 
 void batching_engine::make_token(running_request& entry, std::vector<engine_event>& events) {
-    ++entry.made;
-    const bool is_finished = entry.made >= entry.request.output_tokens;
-    if (entry.made == 1 || entry.made % m_model.tokens_per_event == 0 || is_finished) {
+    ++entry.tokens_made;
+    const bool is_finished = entry.tokens_made >= entry.request.output_tokens;
+    if (entry.tokens_made == 1 || entry.tokens_made % m_model.tokens_per_event == 0 || is_finished) {
         events.push_back({entry.request.id, engine_event::kind::output, m_now});
     }
     if (is_finished) {
@@ -139,12 +139,12 @@
 
 void batching_engine::end_step(std::vector<engine_event>& events) {
     for (auto& entry : m_running) {
-        if (entry.unread <= 0 && entry.readable <= m_now) {
+        if (entry.unread <= 0 && entry.setup_end <= m_now) {
             make_token(entry, events);
         }
     }
     m_running.remove_if(
-        [](const running_request& entry) { return entry.made >= entry.request.output_tokens; });
+        [](const running_request& entry) { return entry.tokens_made >= entry.request.output_tokens; });
 }
 
 std::vector<engine_event> batching_engine::advance(time_point now) {
--- a/src/emulator/batching_engine.hpp
+++ b/src/emulator/batching_engine.hpp
@@ -83,16 +83,16 @@
     /// Prompt tokens that had to be read, of all requests so far.
     [[nodiscard]] double tokens_read() const noexcept { return m_tokens_read; }
     /// Prompt tokens that were found in the cache instead, of all requests so far.
-    [[nodiscard]] double tokens_kept() const noexcept { return m_tokens_kept; }
+    [[nodiscard]] double tokens_from_cache() const noexcept { return m_tokens_from_cache; }
 
 private:
     /// A request that occupies a slot.
     struct running_request {
         engine_request request;
-        double unread = 0;   ///< prompt tokens that are still to be read
-        double read = 0;     ///< prompt tokens that this request has read
-        time_point readable; ///< when its setup ends
-        unsigned made = 0;   ///< output tokens produced
+        double unread = 0;        ///< prompt tokens that are still to be read
+        double read = 0;          ///< prompt tokens that this request has read
+        time_point setup_end;     ///< when its setup ends
+        unsigned tokens_made = 0; ///< output tokens produced
     };
 
     void admit(time_point now);
@@ -100,9 +100,9 @@
     void end_step(std::vector<engine_event>& events);
     void make_token(running_request& entry, std::vector<engine_event>& events);
     /// The prompt tokens that aren't cached. Adds them to the cache.
-    [[nodiscard]] double count_unread(const engine_request& request);
+    [[nodiscard]] double count_uncached_tokens(const engine_request& request);
     /// Adds a part to the cache, and removes the least recently used parts when the cache is too large.
-    void keep(const prompt_part& part);
+    void add_to_cache(const prompt_part& part);
     /// How long work takes that takes this many milliseconds at speed 1.
     [[nodiscard]] duration scaled(double milliseconds) const;
 
@@ -111,11 +111,11 @@
     std::list<running_request> m_running;
     std::optional<time_point> m_step_end;
     time_point m_now;
-    std::list<prompt_part> m_kept; ///< the prompt cache; the most recently used part is the last one
-    std::unordered_map<std::uint64_t, std::list<prompt_part>::iterator> m_kept_by_id;
-    double m_kept_tokens = 0;
+    std::list<prompt_part> m_cache; ///< the prompt cache; the most recently used part is the last one
+    std::unordered_map<std::uint64_t, std::list<prompt_part>::iterator> m_cache_index;
+    double m_cached_tokens = 0;
     double m_tokens_read = 0;
-    double m_tokens_kept = 0;
+    double m_tokens_from_cache = 0;
 };
 
 } // namespace borageford::emulator
--- a/src/emulator/emulated_backend.cpp
+++ b/src/emulator/emulated_backend.cpp
@@ -24,14 +24,14 @@
 constexpr unsigned status_error = 500;
 constexpr unsigned status_unavailable = 503;
 /// The period at which a stream checks for new events of its engine.
-constexpr milliseconds look_period{2};
+constexpr milliseconds poll_period{2};
 
-std::string header_of(const http::request& call, const std::string& name) {
+std::string header_value(const http::request& call, const std::string& name) {
     return std::string(http::find_header(call.headers, name).value_or(""));
 }
 
 /// The number at the begin of a text; 0 when there is none.
-double number_of(std::string_view text) {
+double parse_number(std::string_view text) {
     unsigned value = 0;
     std::from_chars(text.data(), text.data() + text.size(), value);
     return value;
@@ -134,7 +134,7 @@
 }
 
 http::header_fields emulated_backend::answer_fields(const http::request& call, std::size_t number) const {
-    http::header_fields fields{{m_fields.request_id, header_of(call, m_fields.request_id)},
+    http::header_fields fields{{m_fields.request_id, header_value(call, m_fields.request_id)},
                                {m_fields.signature, name() + "." + std::to_string(number)}};
     if (m_options.keep_alive.count() > 0) {
         fields.push_back({"Keep-Alive", "timeout=" + std::to_string(m_options.keep_alive.count())});
@@ -144,7 +144,7 @@
 
 asio::awaitable<void> emulated_backend::handle(const http::request& call, http::response_writer& writer) {
     ++m_arrivals;
-    const auto expected = header_of(call, m_fields.expected_server);
+    const auto expected = header_value(call, m_fields.expected_server);
     const bool is_full = m_in_progress >= m_options.slots + m_options.queue;
     unsigned refused = 0;
     if (!expected.empty() && expected != m_options.id) {
@@ -170,8 +170,8 @@
 
 asio::awaitable<void> emulated_backend::run(const http::request& call, http::response_writer& writer) {
     const auto number = m_runs.size();
-    m_runs.push_back({header_of(call, m_fields.request_id), call.target, call.body,
-                      header_of(call, m_fields.workspace), steady_clock::now(), false});
+    m_runs.push_back({header_value(call, m_fields.request_id), call.target, call.body,
+                      header_value(call, m_fields.workspace), steady_clock::now(), false});
     const auto fault = take_fault();
     if (fault == backend_fault::hang) {
         co_await writer.wait_for_disconnect();
@@ -224,11 +224,11 @@
 engine_request emulated_backend::make_engine_request(const http::request& call) const {
     engine_request request;
     request.id = ++m_engine->last_number;
-    const auto tokens = header_of(call, m_fields.tokens);
+    const auto tokens = header_value(call, m_fields.tokens);
     const auto comma = tokens.find(',');
-    const double prompt = number_of(tokens);
+    const double prompt = parse_number(tokens);
     request.output_tokens = static_cast<unsigned>(std::max(
-        1.0, comma == std::string::npos ? 1.0 : number_of(std::string_view(tokens).substr(comma + 1))));
+        1.0, comma == std::string::npos ? 1.0 : parse_number(std::string_view(tokens).substr(comma + 1))));
     request.prompt.push_back({request.id, std::max(1.0, prompt)});
     return request;
 }
@@ -242,7 +242,7 @@
         co_await writer.write(answer);
         co_return;
     }
-    const auto begin_after = number_of(header_of(call, m_fields.last_event));
+    const auto begin_after = parse_number(header_value(call, m_fields.last_event));
     http::response_head head{status_ok, answer_fields(call, number)};
     head.headers.push_back({"Content-Type", "text/event-stream"});
     std::uint64_t event_number = 0;
@@ -251,7 +251,7 @@
     watch_caller(writer, is_gone);
     try {
         while (!is_finished) {
-            co_await pause(m_timers, look_period);
+            co_await pause(m_timers, poll_period);
             if (*is_gone || m_is_stopped) {
                 m_engine->engine.cancel(id, steady_clock::now());
                 writer.cut();
--- a/src/emulator/emulated_store.cpp
+++ b/src/emulator/emulated_store.cpp
@@ -18,7 +18,7 @@
 namespace {
 
 /// The period at which an open poll checks for new changes.
-constexpr milliseconds look_period{5};
+constexpr milliseconds poll_period{5};
 constexpr unsigned status_not_found = 404;
 constexpr unsigned status_too_many = 429;
 constexpr unsigned status_unavailable = 503;
@@ -64,16 +64,16 @@
         co_await leave_unanswered(writer);
         co_return;
     }
-    auto whole = co_await answer(call);
+    auto response = co_await answer(call);
     if (m_state == store_state::silent) {
         co_await leave_unanswered(writer);
         co_return;
     }
-    platform::tell_era(whole, m_told_era.value_or(m_rows.era()));
-    co_await writer.write(whole);
+    platform::tell_era(response, m_era_override.value_or(m_rows.era()));
+    co_await writer.write(response);
 }
 
-bool emulated_store::refuses_next_call() noexcept {
+bool emulated_store::should_refuse_call() noexcept {
     return m_state == store_state::busy || (m_state == store_state::partly && m_calls % 2 == 0);
 }
 
@@ -87,7 +87,7 @@
     }
     const auto plan = [this](milliseconds delay, std::vector<store::row_change> changes) {
         auto write = [this, changes = std::move(changes), copied = m_rows.version()] {
-            write_again(changes, copied);
+            rewrite_lost_changes(changes, copied);
         };
         m_planned_writes.push_back(m_timers.after(m_executor, delay, std::move(write)));
     };
@@ -95,7 +95,8 @@
     plan(how.operators_after, std::move(of_operators));
 }
 
-void emulated_store::write_again(const std::vector<store::row_change>& lost, std::uint64_t copied_version) {
+void emulated_store::rewrite_lost_changes(const std::vector<store::row_change>& lost,
+                                          std::uint64_t copied_version) {
     std::map<std::string, store::row_change> last;
     for (const auto& change : lost) {
         last.insert_or_assign(change.now.key, change);
@@ -105,13 +106,13 @@
         if (now.has_value() && now->version > copied_version) {
             continue;
         }
-        store::transaction again;
+        store::transaction transaction;
         if (change.is_removed) {
-            again.deletes.push_back(key);
+            transaction.deletes.push_back(key);
         } else {
-            again.puts.push_back({key, change.now.value});
+            transaction.puts.push_back({key, change.now.value});
         }
-        static_cast<void>(m_rows.transact(again));
+        static_cast<void>(m_rows.transact(transaction));
     }
 }
 
@@ -123,7 +124,7 @@
 }
 
 asio::awaitable<http::response> emulated_store::answer(const http::request& call) {
-    if (refuses_next_call()) {
+    if (should_refuse_call()) {
         co_return refuse(status_unavailable);
     }
     if (m_state == store_state::many) {
@@ -169,7 +170,7 @@
             page->store_time = clock_ms();
             co_return platform::encode_changes(*page);
         }
-        co_await pause(m_timers, look_period);
+        co_await pause(m_timers, poll_period);
     }
 }
 
--- a/src/emulator/emulated_store.hpp
+++ b/src/emulator/emulated_store.hpp
@@ -51,7 +51,7 @@
     void return_from_copy(const store_return& how);
     /// Makes the following answers contain this era, like delayed answers from before a restore; nothing: the
     /// current era.
-    void tell_era(std::optional<std::uint64_t> era) noexcept { m_told_era = era; }
+    void tell_era(std::optional<std::uint64_t> era) noexcept { m_era_override = era; }
     /// Delays every answer by this time.
     void set_delay(std::chrono::milliseconds delay) noexcept { m_delay = delay; }
     /// How many calls arrived.
@@ -63,10 +63,10 @@
     boost::asio::awaitable<void> handle(const http::request& call, http::response_writer& writer);
     boost::asio::awaitable<void> leave_unanswered(http::response_writer& writer);
     boost::asio::awaitable<http::response> answer(const http::request& call);
-    [[nodiscard]] bool refuses_next_call() noexcept;
+    [[nodiscard]] bool should_refuse_call() noexcept;
     /// Writes lost changes again, except to rows that were written after the restore. `copied_version` is the
     /// version of the copy.
-    void write_again(const std::vector<store::row_change>& lost, std::uint64_t copied_version);
+    void rewrite_lost_changes(const std::vector<store::row_change>& lost, std::uint64_t copied_version);
     boost::asio::awaitable<http::response> wait_for_changes(std::string table, std::uint64_t after,
                                                             std::chrono::milliseconds wait);
 
@@ -75,7 +75,7 @@
     row_store m_rows;
     store_state m_state = store_state::well;
     std::chrono::milliseconds m_delay{0};
-    std::optional<std::uint64_t> m_told_era;
+    std::optional<std::uint64_t> m_era_override;
     std::vector<timer_subscription> m_planned_writes;
     std::uint64_t m_calls = 0;
     std::uint64_t m_unanswered = 0;
--- a/src/emulator/policy_trial.cpp
+++ b/src/emulator/policy_trial.cpp
@@ -72,7 +72,7 @@
     }
 
     /// Whether an engine is in an outage now.
-    bool is_out(std::size_t engine) const {
+    bool is_down(std::size_t engine) const {
         return std::ranges::any_of(m_options.outages, [&](const engine_outage& outage) {
             return outage.engine == engine && m_now >= m_start + outage.begin &&
                    m_now < m_start + outage.begin + outage.length;
@@ -83,18 +83,18 @@
         while (!m_arrivals.empty() && m_arrivals.top().first <= m_now) {
             const auto index = m_arrivals.top().second;
             m_arrivals.pop();
-            ask(index);
+            request_slot(index);
         }
         crash_engines();
         for (std::size_t engine = 0; engine < m_engines.size(); ++engine) {
-            take_events(engine);
+            process_events(engine);
         }
         while (!m_releases.empty() && m_releases.front().first <= m_now) {
             m_deciders.release(m_releases.front().second, m_now);
             m_releases.pop();
         }
         for (const auto& grant : m_deciders.grant(m_now)) {
-            begin(m_by_ticket.at(grant.ticket), grant);
+            begin_request(m_by_ticket.at(grant.ticket), grant);
         }
         for (const auto& refusal : m_deciders.take_refusals()) {
             refuse(m_by_ticket.at(refusal.ticket), refusal.retry_after);
@@ -102,32 +102,32 @@
         check_deadlines();
     }
 
-    void ask(std::size_t index) {
+    void request_slot(std::size_t index) {
         auto& request = m_requests[index];
         const auto& of = class_of(request);
-        policy::slot_request wanted;
-        wanted.ticket = ++m_last_ticket;
-        wanted.service = slot_deciders::service;
-        wanted.tier = of.tier;
-        wanted.arrived = m_now;
-        wanted.deadline = request.first_sent + of.deadline;
-        wanted.target = of.target;
-        wanted.cost = {request.offered.prompt_tokens, request.offered.hinted_output};
-        wanted.returns = request.refusals;
-        request.ticket = wanted.ticket;
+        policy::slot_request slot_request;
+        slot_request.ticket = ++m_last_ticket;
+        slot_request.service = slot_deciders::service;
+        slot_request.tier = of.tier;
+        slot_request.arrived = m_now;
+        slot_request.deadline = request.first_sent + of.deadline;
+        slot_request.target = of.target;
+        slot_request.cost = {request.offered.prompt_tokens, request.offered.hinted_output};
+        slot_request.returns = request.refusals;
+        request.ticket = slot_request.ticket;
         request.is_waiting = true;
-        m_by_ticket[wanted.ticket] = index;
-        m_deciders.add(wanted, m_now);
+        m_by_ticket[slot_request.ticket] = index;
+        m_deciders.add(slot_request, m_now);
         m_live.push_back(index);
     }
 
-    void begin(std::size_t index, const policy::slot_grant& grant) {
+    void begin_request(std::size_t index, const policy::slot_grant& grant) {
         auto& request = m_requests[index];
         request.is_waiting = false;
         const auto engine = static_cast<std::size_t>(grant.server - 1);
-        if (is_out(engine)) {
+        if (is_down(engine)) {
             release(request, engine, policy::slot_outcome::unreachable);
-            ask(index);
+            request_slot(index);
             return;
         }
         engine_request work;
@@ -137,7 +137,7 @@
         request.granted = m_now;
         if (!m_engines[engine].add(work, m_now + m_options.control_delay)) {
             release(request, engine, policy::slot_outcome::refused);
-            ask(index);
+            request_slot(index);
             return;
         }
         request.engine = engine;
@@ -151,17 +151,17 @@
         request.engine.reset();
     }
 
-    void take_events(std::size_t engine) {
+    void process_events(std::size_t engine) {
         for (const auto& event : m_engines[engine].advance(m_now)) {
             const auto found = m_by_ticket.find(event.request);
             if (found == m_by_ticket.end() || m_requests[found->second].is_over) {
                 continue;
             }
-            take_event(m_requests[found->second], engine, event);
+            process_event(m_requests[found->second], engine, event);
         }
     }
 
-    void take_event(live_request& request, std::size_t engine, const engine_event& event) {
+    void process_event(live_request& request, std::size_t engine, const engine_event& event) {
         const auto& of = class_of(request);
         if (event.what == engine_event::kind::finished) {
             release(request, engine, policy::slot_outcome::served);
--- a/src/emulator/policy_trial.hpp
+++ b/src/emulator/policy_trial.hpp
@@ -34,7 +34,7 @@
     slot_layout layout = slot_layout::one_coordinator;
     std::size_t gateways = 4; ///< not used by the layouts one_coordinator and offered
     /// In the layout `told`, the delay after which a gateway learns of another gateway's grants and releases.
-    duration told_after = std::chrono::milliseconds(50);
+    duration update_delay = std::chrono::milliseconds(50);
     load_model load;
     std::vector<engine_model> engines;
     policy::slot_scheduler_limits limits;
--- a/src/emulator/row_store.cpp
+++ b/src/emulator/row_store.cpp
@@ -34,20 +34,20 @@
     result.version = ++m_version;
     for (const auto& put : changes.puts) {
         const store::row row{put.key, put.value, m_version};
-        remember({row, false}, read(put.key));
+        record_change({row, false}, read(put.key));
         m_rows[put.key] = row;
     }
     for (const auto& key : changes.deletes) {
-        if (auto former = read(key)) {
+        if (auto previous = read(key)) {
             m_rows.erase(key);
-            remember({{key, "", m_version}, true}, std::move(former));
+            record_change({{key, "", m_version}, true}, std::move(previous));
         }
     }
     return result;
 }
 
-void row_store::remember(store::row_change change, std::optional<store::row> former) {
-    m_history.push_back({std::move(change), std::move(former), clock::now()});
+void row_store::record_change(store::row_change change, std::optional<store::row> previous) {
+    m_history.push_back({std::move(change), std::move(previous), clock::now()});
     if (m_history.size() > most_history) {
         m_history_begin = m_history.front().change.now.version;
         m_history.pop_front();
@@ -68,8 +68,8 @@
 }
 
 void row_store::undo(const past_change& last) {
-    if (last.former.has_value()) {
-        m_rows[last.former->key] = *last.former;
+    if (last.previous.has_value()) {
+        m_rows[last.previous->key] = *last.previous;
     } else {
         m_rows.erase(last.change.now.key);
     }
@@ -102,7 +102,7 @@
     }
     store::change_page page;
     page.position = {m_era, m_version};
-    for (const auto& [change, former, at] : m_history) {
+    for (const auto& [change, previous, at] : m_history) {
         if (change.now.version > after && table_of(change.now.key) == table) {
             page.changes.push_back(change);
         }
--- a/src/emulator/row_store.hpp
+++ b/src/emulator/row_store.hpp
@@ -48,11 +48,11 @@
     /// A change and what is needed to undo it.
     struct past_change {
         store::row_change change;
-        std::optional<store::row> former; ///< the row before the change; nothing if there was none
+        std::optional<store::row> previous; ///< the row before the change; nothing if there was none
         clock::time_point at;
     };
 
-    void remember(store::row_change change, std::optional<store::row> former);
+    void record_change(store::row_change change, std::optional<store::row> previous);
     void undo(const past_change& last);
 
     std::map<std::string, store::row, std::less<>> m_rows;
--- a/src/emulator/slot_deciders.cpp
+++ b/src/emulator/slot_deciders.cpp
@@ -8,7 +8,7 @@
 namespace {
 
 /// The number of engines to which a request is offered at once in the layout slot_layout::offered.
-constexpr std::size_t offers = 2;
+constexpr std::size_t offers_per_request = 2;
 
 /// The number of processes that decide about slots.
 std::size_t count_deciders(const trial_options& options) {
@@ -43,7 +43,7 @@
 } // namespace
 
 slot_deciders::slot_deciders(const trial_options& options)
-    : m_layout(options.layout), m_told_after(options.told_after) {
+    : m_layout(options.layout), m_update_delay(options.update_delay) {
     auto limits = options.limits;
     if (options.layout == slot_layout::divided) {
         limits.share = 1 / static_cast<double>(options.gateways);
@@ -64,7 +64,7 @@
         return {first};
     }
     std::vector<std::size_t> chosen{first};
-    while (chosen.size() < std::min(offers, m_schedulers.size())) {
+    while (chosen.size() < std::min(offers_per_request, m_schedulers.size())) {
         const auto next = m_random.below(m_schedulers.size());
         if (std::ranges::find(chosen, next) == chosen.end()) {
             chosen.push_back(next);
@@ -75,68 +75,68 @@
 
 void slot_deciders::add(const policy::slot_request& request, time_point now) {
     auto chosen = choose_deciders();
-    m_places[request.ticket] = chosen;
+    m_deciders_by_ticket[request.ticket] = chosen;
     for (const auto decider : chosen) {
         m_schedulers[decider].add(request, now);
     }
 }
 
 void slot_deciders::withdraw(policy::slot_ticket ticket) {
-    for (const auto decider : m_places[ticket]) {
+    for (const auto decider : m_deciders_by_ticket[ticket]) {
         m_schedulers[decider].withdraw(ticket);
     }
-    m_places.erase(ticket);
+    m_deciders_by_ticket.erase(ticket);
 }
 
 void slot_deciders::release(const policy::slot_release& ended, time_point now) {
-    const auto found = m_places.find(ended.ticket);
-    if (found == m_places.end()) {
+    const auto found = m_deciders_by_ticket.find(ended.ticket);
+    if (found == m_deciders_by_ticket.end()) {
         return;
     }
     const auto decider = found->second.front();
     m_schedulers[decider].release(ended, now);
-    tell_others(decider, ended.ticket, ended.server, true, now);
-    m_places.erase(found);
+    publish_update(decider, ended.ticket, ended.server, true, now);
+    m_deciders_by_ticket.erase(found);
 }
 
-void slot_deciders::tell_others(std::size_t from, policy::slot_ticket ticket, policy::server_key server,
-                                bool has_ended, time_point now) {
+void slot_deciders::publish_update(std::size_t from, policy::slot_ticket ticket, policy::server_key server,
+                                   bool has_ended, time_point now) {
     if (m_layout == slot_layout::told) {
-        m_news.push({now + m_told_after, from, ticket, server, has_ended});
+        m_pending_updates.push({now + m_update_delay, from, ticket, server, has_ended});
     }
 }
 
-void slot_deciders::hear_news(time_point now) {
-    while (!m_news.empty() && m_news.front().at <= now) {
-        const auto heard = m_news.front();
-        m_news.pop();
+void slot_deciders::apply_updates(time_point now) {
+    while (!m_pending_updates.empty() && m_pending_updates.front().at <= now) {
+        const auto update = m_pending_updates.front();
+        m_pending_updates.pop();
         for (std::size_t decider = 0; decider < m_schedulers.size(); ++decider) {
-            if (decider == heard.from) {
+            if (decider == update.from) {
                 continue;
             }
-            if (heard.has_ended) {
+            if (update.has_ended) {
                 m_schedulers[decider].release(
-                    {heard.ticket, heard.server, policy::slot_outcome::abandoned, {}, {}}, now);
+                    {update.ticket, update.server, policy::slot_outcome::abandoned, {}, {}}, now);
             } else {
-                m_schedulers[decider].add_running({heard.ticket, heard.server, 0, 0}, now);
+                m_schedulers[decider].add_running({update.ticket, update.server, 0, 0}, now);
             }
         }
     }
 }
 
 std::vector<policy::slot_grant> slot_deciders::grant(time_point now) {
-    hear_news(now);
+    apply_updates(now);
     std::vector<policy::slot_grant> grants;
     for (std::size_t decider = 0; decider < m_schedulers.size(); ++decider) {
         for (const auto& grant : m_schedulers[decider].grant(now)) {
-            auto& places = m_places[grant.ticket];
-            for (const auto other : places) {
+            auto& deciders = m_deciders_by_ticket[grant.ticket];
+            for (const auto other : deciders) {
                 if (other != decider) {
                     m_schedulers[other].withdraw(grant.ticket);
                 }
             }
-            places = {decider};
-            tell_others(decider, grant.ticket, grant.server, false, now);
+            deciders = {decider};
+            publish_update(decider, grant.ticket, grant.server, false, now);
             grants.push_back(grant);
         }
     }
@@ -147,11 +147,11 @@
     std::vector<policy::slot_refusal> refusals;
     for (std::size_t decider = 0; decider < m_schedulers.size(); ++decider) {
         for (const auto& refusal : m_schedulers[decider].take_refusals()) {
-            auto& places = m_places[refusal.ticket];
-            std::erase(places, decider);
+            auto& deciders = m_deciders_by_ticket[refusal.ticket];
+            std::erase(deciders, decider);
             // In the layout slot_layout::offered, the request may still wait at another engine's decider.
-            if (places.empty()) {
-                m_places.erase(refusal.ticket);
+            if (deciders.empty()) {
+                m_deciders_by_ticket.erase(refusal.ticket);
                 refusals.push_back(refusal);
             }
         }
--- a/src/emulator/slot_deciders.hpp
+++ b/src/emulator/slot_deciders.hpp
@@ -37,7 +37,7 @@
 
 private:
     /// In the layout slot_layout::told: a grant or a release that the other deciders learn of later.
-    struct news {
+    struct decision_update {
         time_point at;        ///< when the other deciders learn of it
         std::size_t from = 0; ///< the decider that made it
         policy::slot_ticket ticket = 0;
@@ -46,17 +46,17 @@
     };
 
     [[nodiscard]] std::vector<std::size_t> choose_deciders();
-    void tell_others(std::size_t from, policy::slot_ticket ticket, policy::server_key server, bool has_ended,
-                     time_point now);
-    void hear_news(time_point now);
+    void publish_update(std::size_t from, policy::slot_ticket ticket, policy::server_key server,
+                        bool has_ended, time_point now);
+    void apply_updates(time_point now);
 
     slot_layout m_layout;
-    duration m_told_after;
+    duration m_update_delay;
     std::vector<policy::slot_scheduler> m_schedulers;
     policy::random_sequence m_random{1};
     /// The deciders at which a ticket waits; after a grant, only the decider that granted the slot.
-    std::unordered_map<policy::slot_ticket, std::vector<std::size_t>> m_places;
-    std::queue<news> m_news;
+    std::unordered_map<policy::slot_ticket, std::vector<std::size_t>> m_deciders_by_ticket;
+    std::queue<decision_update> m_pending_updates;
 };
 
 } // namespace borageford::emulator
--- a/src/program/main.cpp
+++ b/src/program/main.cpp
@@ -61,9 +61,9 @@
 }
 
 exit_code gateway_command(arguments) {
-    static const auto user_platform = borageford::platform::users_platform();
+    static const auto users_deployment = borageford::platform::users_platform();
     return run_with_settings(
-        [](const std::string& file) { return borageford::gateway::run_gateway(file, user_platform); });
+        [](const std::string& file) { return borageford::gateway::run_gateway(file, users_deployment); });
 }
 
 constexpr std::array process_commands{
--- a/tests/unit/test_policy_trial.cpp
+++ b/tests/unit/test_policy_trial.cpp
@@ -51,7 +51,7 @@
         finished += event.what == engine_event::kind::finished ? 1 : 0;
     }
     CHECK(finished + refused == 4);
-    CHECK(engine.tokens_kept() == 1000);
+    CHECK(engine.tokens_from_cache() == 1000);
     CHECK_FALSE(engine.next_step().has_value());
 }
 
