--- a/src/diagnosis/loss_report.cpp
+++ b/src/diagnosis/loss_report.cpp
@@ -11,8 +11,9 @@
 namespace borageford::diagnosis {
 namespace {
 
-/// Share of the latency target. A request that was granted a slot within this share was granted it early: by
-/// default policy::slot_scheduler_limits::hopeless_wait is the same share.
+/// Share of the latency target. When a request that waited less than this share for its slot is late, the
+/// server counts as the cause, otherwise the wait. The scheduler's limit
+/// policy::slot_scheduler_limits::hopeless_wait has the same default.
 constexpr double early_share = 0.4;
 constexpr int name_width = 24;
 constexpr int column_width = 10;
--- a/src/diagnosis/loss_report.hpp
+++ b/src/diagnosis/loss_report.hpp
@@ -21,10 +21,9 @@
 enum class request_end : std::uint8_t {
     in_time,        ///< its first event and all later events came within their targets
     late_by_wait,   ///< its first event came too late, after a long wait for a slot
-    late_at_server, ///< its first event came too late, although it was granted a slot early
+    late_at_server, ///< its first event came too late, although the request waited only briefly for a slot
     late_by_pause,  ///< its first event was in time, but a pause between two later events was too long
-    refused_load,   ///< refused because no server could have served it in time, or the gateway was shutting
-                    ///< down
+    refused_load,   ///< refused because of the load, or because the gateway was shutting down
     refused_limit,  ///< refused because of its workspace's quota, the retry budget, or its quarantine
     refused_caller, ///< refused for an error of the caller: an unknown key, no such path, too large
     failed,         ///< answered with an error after a server may have run it, or after its deadline
--- a/src/emulator/batching_engine.hpp
+++ b/src/emulator/batching_engine.hpp
@@ -31,7 +31,7 @@
     unsigned tokens_per_event = 4; ///< tokens between two events of a stream
     unsigned prompt_chunk = 4096;  ///< the most prompt tokens that are read in one step
     std::size_t queue = 48;        ///< the most requests that wait for a slot; further ones are refused
-    double speed = 1;              ///< 2: all work takes half as long
+    double speed = 1;              ///< a factor: at 2, all work takes half as long
     double cache_tokens = 375000;  ///< size of the prompt cache, in tokens
 };
 
--- a/src/emulator/load_model.cpp
+++ b/src/emulator/load_model.cpp
@@ -42,9 +42,9 @@
         const auto& of = load.classes[index];
         for (duration at{}; at < load.length; at += slice) {
             const double expected = of.per_second * factor_at(load, of, at) * policy::to_seconds(slice);
-            const auto clumps = std::poisson_distribution<int>(expected / load.clump)(random);
-            for (int clump = 0; clump < clumps; ++clump) {
-                const auto count = std::poisson_distribution<int>(load.clump)(random);
+            const auto groups = std::poisson_distribution<int>(expected / load.mean_group_size)(random);
+            for (int group = 0; group < groups; ++group) {
+                const auto count = std::poisson_distribution<int>(load.mean_group_size)(random);
                 for (int number = 0; number < count; ++number) {
                     offered_request request;
                     request.request_class = index;
--- a/src/emulator/load_model.hpp
+++ b/src/emulator/load_model.hpp
@@ -45,7 +45,7 @@
     std::vector<request_class> classes;
     std::vector<load_burst> bursts;
     duration length = std::chrono::seconds(30);
-    double clump = 3; ///< requests that arrive together, on average
+    double mean_group_size = 3; ///< requests that arrive together, on average
     std::uint64_t seed = 1;
 };
 
--- a/src/experiment/experiment_plan.hpp
+++ b/src/experiment/experiment_plan.hpp
@@ -55,8 +55,9 @@
     store_refuses, ///< the store refuses every call
     store_silent,  ///< the store accepts calls and never answers
     store_slow,    ///< each answer of the store is delayed by `factor` times 100 ms
-    store_returns, ///< the store closes the connection of every call, and is then restored from a copy that
-                   ///< is `copy_age` old
+    /// The store closes the connection of every call, and is then restored from a copy that is `copy_age`
+    /// old.
+    store_returns,
 };
 
 /// A fault and when it happens.
--- a/src/experiment/experiment_reader.cpp
+++ b/src/experiment/experiment_reader.cpp
@@ -97,7 +97,7 @@
         m_plan.name = reader.text("name", "experiment");
         m_plan.load.length = reader.duration("length", milliseconds(30000), milliseconds(100), longest);
         m_plan.load.seed = static_cast<std::uint64_t>(reader.number("seed", 1, 0, 1'000'000'000));
-        m_plan.load.clump = reader.real("clump", 1, 1, 1000);
+        m_plan.load.mean_group_size = reader.real("clump", 1, 1, 1000);
         m_plan.store = reader.address("store");
         m_plan.gateway_settings = read_gateway_settings(reader);
         read_gateways(reader);
--- a/src/experiment/load_runner.cpp
+++ b/src/experiment/load_runner.cpp
@@ -43,7 +43,7 @@
     std::size_t group = 0; ///< index in experiment_plan::callers
     emulator::offered_request sizes;
     clock::time_point begun;
-    unsigned attempts = 0;        ///< attempts so far
+    unsigned attempts = 0;        ///< how often the request was sent so far
     bool will_disconnect = false; ///< the caller will disconnect early
     std::string id;               ///< of the latest attempt
     call_result last;
--- a/src/experiment/svg_plot.cpp
+++ b/src/experiment/svg_plot.cpp
@@ -43,7 +43,7 @@
     return result;
 }
 
-/// Writes one plot, whose upper edge is `top` pixels below the document's.
+/// Writes one plot, whose upper edge is `top` pixels below the upper edge of the document.
 class plot_writer {
 public:
     plot_writer(std::ostringstream& out, const plot& what, double top)
--- a/src/program/entry_client.cpp
+++ b/src/program/entry_client.cpp
@@ -22,7 +22,7 @@
 /// The most time until the response's head arrives, in addition to the time that the flag `wait` lets the
 /// entry wait.
 constexpr milliseconds answer_limit{30'000};
-constexpr unsigned char first_non_ascii = 0x7f; ///< the first code after the printable ASCII characters
+constexpr unsigned char first_unprintable = 0x7f; ///< the first code after the printable ASCII characters
 
 /// The address from the flag `entry`. Throws usage_error when it is missing or malformed.
 http::endpoint entry_address(const command_flags& flags) {
@@ -48,7 +48,7 @@
         throw usage_error("--token-file FILE (or BORAGEFORD_TOKEN) is required");
     }
     const bool is_usable =
-        std::ranges::all_of(flags.token, [](unsigned char c) { return c >= ' ' && c < first_non_ascii; });
+        std::ranges::all_of(flags.token, [](unsigned char c) { return c >= ' ' && c < first_unprintable; });
     if (!is_usable) {
         throw usage_error("the token must be one line of printable characters");
     }
