--- a/src/emulator/batching_engine.hpp
+++ b/src/emulator/batching_engine.hpp
@@ -103,7 +103,7 @@
     [[nodiscard]] double count_uncached_tokens(const engine_request& request);
     /// Adds a part to the cache, and removes the least recently used parts when the cache is too large.
     void add_to_cache(const prompt_part& part);
-    /// How long work takes that takes this many milliseconds at speed 1.
+    /// Converts the time that work takes at speed 1 to the time that it takes at the engine's speed.
     [[nodiscard]] duration scaled(double milliseconds) const;
 
     engine_model m_model;
--- a/src/emulator/emulated_store.hpp
+++ b/src/emulator/emulated_store.hpp
@@ -56,7 +56,7 @@
     void set_delay(std::chrono::milliseconds delay) noexcept { m_delay = delay; }
     /// How many calls arrived.
     [[nodiscard]] std::uint64_t calls() const noexcept { return m_calls; }
-    /// How many calls are open that will never be answered.
+    /// How many open calls will never be answered.
     [[nodiscard]] std::uint64_t unanswered() const noexcept { return m_unanswered; }
 
 private:
--- a/src/experiment/experiment_plan.hpp
+++ b/src/experiment/experiment_plan.hpp
@@ -22,7 +22,7 @@
 /// Emulated backend servers of one service, which differ only in speed.
 struct server_group {
     std::string service;
-    std::size_t count = 1; ///< servers
+    std::size_t count = 1; ///< number of servers
     /// The address of the first server; each further server listens on the next port.
     boost::asio::ip::tcp::endpoint first_address;
     unsigned slots = 8;                           ///< requests that a server runs at a time
--- a/src/experiment/experiment_site.hpp
+++ b/src/experiment/experiment_site.hpp
@@ -106,8 +106,8 @@
     boost::asio::ip::tcp::endpoint m_store_address;
     publisher m_publish;
     std::vector<server_unit> m_servers;
-    std::vector<std::unique_ptr<emulator::emulated_backend>> m_former; ///< stopped servers
-    std::vector<timer_subscription> m_scheduled_calls;                 ///< calls at later times
+    std::vector<std::unique_ptr<emulator::emulated_backend>> m_stopped; ///< stopped servers
+    std::vector<timer_subscription> m_scheduled_calls;                  ///< calls at later times
 };
 
 } // namespace borageford::experiment
--- a/src/experiment/outcome_table.hpp
+++ b/src/experiment/outcome_table.hpp
@@ -45,7 +45,7 @@
 
     void add(finished_request request) { m_requests.push_back(std::move(request)); }
 
-    /// Counts and times of some of the requests.
+    /// Counts and times of a subset of the requests, for example of one group.
     struct summary {
         std::size_t requests = 0;
         std::array<std::size_t, outcome_count> by_outcome{};
