--- a/tests/unit/test_policy_trial.cpp
+++ b/tests/unit/test_policy_trial.cpp
@@ -100,7 +100,7 @@
     CHECK(result.worth > 0.90);
 }
 
-TEST_CASE("under lasting overload, a higher tier has a higher share of answers in time",
+TEST_CASE("under lasting overload a higher tier has a higher share of answers in time",
           "[emulator][policy]") {
     auto options = heavy_load(4);
     options.load.bursts = {{0ms, 30s, 1.8, ""}};
