--- a/src/diagnosis/log_record.cpp
+++ b/src/diagnosis/log_record.cpp
@@ -1,4 +1,4 @@
-// Reading lines as events/event_log.cpp writes them.
+// Parses log lines in the format that events::render() writes.
 #include "diagnosis/log_record.hpp"
 
 #include <boost/json/parse.hpp>
@@ -15,12 +15,14 @@
 
 namespace json = boost::json;
 
-/// Takes digits from the front of a text, and what separates them from the next ones.
-class digit_reader {
+/// Reads numbers with a fixed count of digits from the front of a text, each followed by a separator.
+class number_reader {
 public:
-    explicit digit_reader(std::string_view text) : m_text(text) {}
+    explicit number_reader(std::string_view text) : m_text(text) {}
 
-    unsigned take(std::size_t digits, char separator) {
+    /// Removes the next number and its separator from the text. When either differs from what is expected,
+    /// the value is meaningless and is_good() is false from then on.
+    unsigned read(std::size_t digits, char separator) {
         const auto part = m_text.substr(0, digits);
         unsigned value = 0;
         const auto read = std::from_chars(part.data(), part.data() + part.size(), value);
@@ -33,6 +35,7 @@
         return value;
     }
 
+    /// Whether every read succeeded and the text is used up.
     [[nodiscard]] bool is_good() const noexcept { return m_is_good && m_text.empty(); }
 
 private:
@@ -40,7 +43,8 @@
     bool m_is_good = true;
 };
 
-std::string take_text(json::object& object, std::string_view name) {
+/// Removes a field from the object and returns its text; empty when the field is missing or no text.
+std::string extract_text(json::object& object, std::string_view name) {
     const auto* value = object.if_contains(name);
     std::string result;
     if (value != nullptr && value->is_string()) {
@@ -50,7 +54,8 @@
     return result;
 }
 
-std::uint64_t take_count(json::object& object, std::string_view name) {
+/// Removes a field from the object and returns its number; 0 when the field is missing or no number.
+std::uint64_t extract_count(json::object& object, std::string_view name) {
     const auto* value = object.if_contains(name);
     boost::system::error_code error;
     const auto result = value != nullptr ? value->to_number<std::uint64_t>(error) : 0;
@@ -58,7 +63,7 @@
     return error ? 0 : result;
 }
 
-/// As people write it; the library's own form is 2.1E0.
+/// Formats a number as in "2.1"; Boost.JSON would write 2.1E0.
 std::string plain_number(double value) {
     constexpr std::size_t longest = 32;
     std::array<char, longest> text{};
@@ -66,7 +71,8 @@
     return {text.data(), end};
 }
 
-/// erase() of a json::object moves the last field into the gap; rebuilding keeps the line's order.
+/// Copies the fields that belong to the event, without the fields that every line has. The copy keeps the
+/// order of the line, which json::object::erase() doesn't: it moves the last field into the gap.
 json::object without_common_fields(const json::object& object) {
     json::object result;
     for (const auto& field : object) {
@@ -101,14 +107,14 @@
 }
 
 std::optional<log_time> read_log_time(std::string_view text) {
-    digit_reader reader(text);
-    const std::chrono::year year(static_cast<int>(reader.take(4, '-')));
-    const std::chrono::month month(reader.take(2, '-'));
-    const std::chrono::day day(reader.take(2, 'T'));
-    const std::chrono::hours hours(reader.take(2, ':'));
-    const std::chrono::minutes minutes(reader.take(2, ':'));
-    const std::chrono::seconds seconds(reader.take(2, '.'));
-    const std::chrono::microseconds fraction(reader.take(6, 'Z'));
+    number_reader reader(text);
+    const std::chrono::year year(static_cast<int>(reader.read(4, '-')));
+    const std::chrono::month month(reader.read(2, '-'));
+    const std::chrono::day day(reader.read(2, 'T'));
+    const std::chrono::hours hours(reader.read(2, ':'));
+    const std::chrono::minutes minutes(reader.read(2, ':'));
+    const std::chrono::seconds seconds(reader.read(2, '.'));
+    const std::chrono::microseconds fraction(reader.read(6, 'Z'));
     const std::chrono::year_month_day date(year, month, day);
     if (!reader.is_good() || !date.ok()) {
         return std::nullopt;
@@ -129,11 +135,11 @@
     auto& object = value.as_object();
     log_record record;
     record.fields = without_common_fields(object);
-    const auto time = read_log_time(take_text(object, "time"));
-    record.vm = take_text(object, "vm");
-    record.event = take_text(object, "event");
-    record.left_out = take_count(object, "left_out");
-    record.lost_lines = take_count(object, "lost_lines");
+    const auto time = read_log_time(extract_text(object, "time"));
+    record.vm = extract_text(object, "vm");
+    record.event = extract_text(object, "event");
+    record.left_out = extract_count(object, "left_out");
+    record.lost_lines = extract_count(object, "lost_lines");
     if (!time || record.event.empty()) {
         return std::nullopt;
     }
--- a/src/events/line_buffer.cpp
+++ b/src/events/line_buffer.cpp
@@ -1,4 +1,5 @@
-// poll() tells whether a write may wait; a pipe that is writable takes PIPE_BUF bytes at once.
+// Non-blocking writes to a descriptor in blocking mode: poll() tells whether the descriptor is writable, and
+// a writable pipe accepts at least PIPE_BUF bytes without blocking.
 #include "events/line_buffer.hpp"
 
 #include <algorithm>
@@ -11,8 +12,8 @@
 namespace {
 
 bool is_writable(int descriptor) noexcept {
-    pollfd question{descriptor, POLLOUT, 0};
-    return ::poll(&question, 1, 0) == 1 && (question.revents & POLLOUT) != 0;
+    pollfd request{descriptor, POLLOUT, 0};
+    return ::poll(&request, 1, 0) == 1 && (request.revents & POLLOUT) != 0;
 }
 
 } // namespace
--- a/src/experiment/experiment_reader.cpp
+++ b/src/experiment/experiment_reader.cpp
@@ -1,4 +1,5 @@
-// Sections in the order in which later ones name earlier ones.
+// Reads the sections kind by kind, in an order in which a section refers only to sections that were read
+// before.
 #include "experiment/experiment_reader.hpp"
 
 #include "settings/section_reader.hpp"
@@ -22,7 +23,7 @@
 constexpr double most = 1e9;
 constexpr std::int64_t most_servers = 1000;
 constexpr std::int64_t most_tier = 7;
-/// Caller, readiness, peers and metrics of a gateway.
+/// A gateway listens on four consecutive ports: for callers, readiness, other gateways and metrics.
 constexpr std::uint16_t ports_of_a_gateway = 4;
 
 constexpr std::array<std::string_view, 7> section_kinds{"experiment", "service", "workspace", "route",
@@ -33,12 +34,14 @@
     "crash", "hang",          "fail",         "cut",        "slow",
     "drain", "store_refuses", "store_silent", "store_slow", "store_returns"};
 
+/// The index of the item with this name, or nothing.
 template <typename Item>
 std::optional<std::size_t> find_named(const std::vector<Item>& items, std::string_view name) {
     const auto found = std::ranges::find(items, name, &Item::name);
     return found == items.end() ? std::nullopt : std::optional<std::size_t>(found - items.begin());
 }
 
+/// Reads one document into a plan and collects all errors.
 class experiment_reader {
 public:
     experiment_reader(const settings::ini_document& document, std::vector<problem>& problems)
@@ -68,6 +71,7 @@
         }
     }
 
+    /// Reads all sections of one kind; each of them must have a name.
     void read_each(std::string_view kind, const std::function<void(const ini_section&)>& read_section) {
         for (const auto& section : m_document.sections) {
             if (section.kind != kind) {
@@ -93,14 +97,14 @@
         m_plan.name = reader.text("name", "experiment");
         m_plan.load.length = reader.duration("length", milliseconds(30000), milliseconds(100), longest);
         m_plan.load.seed = static_cast<std::uint64_t>(reader.number("seed", 1, 0, 1'000'000'000));
-        m_plan.load.clump = reader.real("clump", 1, 1, 1000);
+        m_plan.load.mean_group_size = reader.real("clump", 1, 1, 1000);
         m_plan.store = reader.address("store");
         m_plan.gateway_settings = read_gateway_settings(reader);
         read_gateways(reader);
         reader.finish();
     }
 
-    /// "key = value" pairs for the gateways' files, separated by commas.
+    /// Turns a comma-separated list of "key = value" pairs into lines of the gateways' settings files.
     static std::string read_gateway_settings(section_reader& reader) {
         std::string lines;
         for (const auto& pair : reader.list("gateway_settings")) {
@@ -213,8 +217,8 @@
         caller_group group;
         group.name = section.name;
         group.route = reader.text("route");
-        group.returns = static_cast<unsigned>(reader.number("returns", group.returns, 0, 100));
-        group.gives_up = reader.real("gives_up", group.gives_up, 0, 1);
+        group.max_retries = static_cast<unsigned>(reader.number("returns", group.max_retries, 0, 100));
+        group.disconnect_probability = reader.real("gives_up", group.disconnect_probability, 0, 1);
         group.key = read_key(reader);
         emulator::request_class sizes;
         sizes.name = section.name;
@@ -235,6 +239,7 @@
         m_plan.load.classes.push_back(std::move(sizes));
     }
 
+    /// The API key of the workspace that a section of callers names; empty when it names none.
     std::string read_key(section_reader& reader) {
         const auto name = reader.text("workspace", "");
         if (name.empty()) {
@@ -274,9 +279,9 @@
         fault.copy_age = reader.duration("copy_age", fault.copy_age, none, longest);
         fault.rewritten_after = reader.duration("rewritten_after", fault.rewritten_after, none, longest);
         fault.service = reader.text("service", "");
-        const bool needs_service = fault.kind < fault_kind::store_refuses;
-        const bool knows_service = find_named(m_plan.configuration.services, fault.service).has_value();
-        if (needs_service && !knows_service) {
+        const bool is_server_fault = fault.kind < fault_kind::store_refuses;
+        const bool has_service = find_named(m_plan.configuration.services, fault.service).has_value();
+        if (is_server_fault && !has_service) {
             reader.complain("service", "the name of a [service] section");
         }
         reader.finish();
--- a/src/experiment/experiment_site.cpp
+++ b/src/experiment/experiment_site.cpp
@@ -1,4 +1,5 @@
-// Servers register as the platform's do; faults are calls at planned times.
+// Starts the emulated servers, registers them in the store like servers of the platform, and injects the
+// faults at the planned times.
 #include "experiment/experiment_site.hpp"
 
 #include "platform/backend_codec.hpp"
@@ -13,9 +14,11 @@
 
 namespace {
 
-/// A registration whose server is gone is removed after some missed heartbeats.
+/// From a server's crash until its registration is removed: in the real system, the registration is removed
+/// after several missing heartbeats.
 constexpr milliseconds registration_life{1500};
 constexpr double slow_store_unit_ms = 100;
+/// A server's id ends in this number times its count of starts, plus the server's index.
 constexpr std::uint64_t id_base = 1000;
 
 std::string row_key(std::string_view id) {
@@ -40,21 +43,21 @@
 }
 
 void experiment_site::add_servers(std::size_t group) {
-    const auto& of = m_plan.servers[group];
-    for (std::size_t index = 0; index < of.count; ++index) {
-        auto address = of.first_address;
+    const auto& planned = m_plan.servers[group];
+    for (std::size_t index = 0; index < planned.count; ++index) {
+        auto address = planned.first_address;
         if (address.port() != 0) {
             address.port(static_cast<std::uint16_t>(address.port() + index));
         }
         auto& unit = m_servers.emplace_back();
         unit.group = group;
         unit.address = address;
-        unit.speed = of.speeds[index % of.speeds.size()];
-        start_server(unit, draw_id(unit));
+        unit.speed = planned.speeds[index % planned.speeds.size()];
+        start_server(unit, next_id(unit));
     }
 }
 
-std::string experiment_site::draw_id(server_unit& unit) const {
+std::string experiment_site::next_id(server_unit& unit) const {
     const auto number = static_cast<std::uint64_t>(&unit - m_servers.data());
     return m_plan.servers[unit.group].service + "-" + std::to_string(id_base * (unit.starts + 1) + number);
 }
@@ -75,7 +78,8 @@
     }
     unit.server = std::make_unique<emulator::emulated_backend>(m_executor, m_timers,
                                                                platform::header_field_names(), options);
-    // A port that the kernel chose may have been given to somebody else meanwhile.
+    // If the kernel chose the port, another process may have got the port since the last start, so that the
+    // kernel has to choose again.
     const bool is_chosen = group.first_address.port() == 0;
     unit.address = unit.server->listen(is_chosen ? group.first_address : unit.address);
     unit.state = routing::backend_state::ready;
@@ -128,11 +132,11 @@
     }
     const auto id = unit.server->options().id;
     unit.server->stop();
-    m_former.push_back(std::move(unit.server));
+    m_stopped.push_back(std::move(unit.server));
     const auto number = unit.starts;
     after(registration_life, [this, id, server, number] {
         const auto& now = m_servers.at(server);
-        if (now.id != id || now.starts == number) { // else a new start has the entry
+        if (now.id != id || now.starts == number) { // otherwise the server was started again under this id
             remove_entry(id);
         }
     });
@@ -154,7 +158,7 @@
     auto& unit = m_servers.at(server);
     if (unit.server != nullptr) {
         unit.server->stop();
-        m_former.push_back(std::move(unit.server));
+        m_stopped.push_back(std::move(unit.server));
         start_server(unit, unit.id);
     }
 }
@@ -162,7 +166,7 @@
 void experiment_site::restart(std::size_t server) {
     auto& unit = m_servers.at(server);
     if (unit.server == nullptr) {
-        start_server(unit, draw_id(unit));
+        start_server(unit, next_id(unit));
     }
 }
 
@@ -181,7 +185,7 @@
             visit(*unit.server);
         }
     }
-    for (const auto& server : m_former) {
+    for (const auto& server : m_stopped) {
         visit(*server);
     }
 }
@@ -202,7 +206,7 @@
 }
 
 void experiment_site::after(milliseconds delay, std::function<void()> call) {
-    m_planned.push_back(m_timers.after(m_executor, delay, std::move(call)));
+    m_scheduled_calls.push_back(m_timers.after(m_executor, delay, std::move(call)));
 }
 
 void experiment_site::begin_faults(std::function<void(std::string_view)> on_fault) {
--- a/src/program/emulate_command.cpp
+++ b/src/program/emulate_command.cpp
@@ -1,4 +1,5 @@
-// Writes the gateways' files, waits until they are ready, plays the load and writes the report.
+// Writes the settings files of the gateways, waits until the gateways are ready, generates the load and the
+// faults, and writes the report.
 #include "program/emulate_command.hpp"
 
 #include "experiment/experiment_reader.hpp"
@@ -21,7 +22,7 @@
 #include <vector>
 
 ABSL_FLAG(std::string, report, "report", "the folder for the gateways' files and the report");
-ABSL_FLAG(std::string, ready_limit, "60s", "how long emulate waits for the gateways");
+ABSL_FLAG(std::string, ready_limit, "60s", "how long emulate waits until the gateways are ready");
 
 namespace borageford::program {
 namespace {
@@ -30,7 +31,7 @@
 
 constexpr milliseconds readiness_check_period{200};
 
-/// One run, on one thread.
+/// One run of an experiment, on the calling thread.
 class experiment_run {
 public:
     experiment_run(const experiment::experiment_plan& plan, std::filesystem::path folder, milliseconds limit)
@@ -40,11 +41,12 @@
           m_site(m_context.get_executor(), m_timers, m_plan),
           m_runner(m_context.get_executor(), m_timers, m_plan) {}
 
+    /// Returns when the report is written, or when the gateways weren't ready in time.
     exit_code play() {
         m_site.start();
         show_gateways();
         m_waiting_since = std::chrono::steady_clock::now();
-        ask_readiness();
+        check_readiness();
         m_context.run();
         return m_result;
     }
@@ -57,20 +59,20 @@
         std::cout << "waiting until these are ready" << std::endl;
     }
 
-    void ask_readiness() {
+    void check_readiness() {
         m_timer = m_timers.after(m_context.get_executor(), readiness_check_period, [this] {
-            m_runner.ask_readiness([this](std::size_t ready) { take_readiness(ready); });
+            m_runner.check_readiness([this](std::size_t ready) { on_readiness(ready); });
         });
     }
 
-    void take_readiness(std::size_t ready) {
+    void on_readiness(std::size_t ready) {
         if (ready == m_plan.gateways.size()) {
             begin();
         } else if (std::chrono::steady_clock::now() - m_waiting_since > m_ready_limit) {
             std::cerr << "only " << ready << " of " << m_plan.gateways.size() << " gateways are ready\n";
             finish(exit_code::failed);
         } else {
-            ask_readiness();
+            check_readiness();
         }
     }
 
@@ -88,16 +90,17 @@
     void report() {
         experiment::write_summary(std::cout, m_runner.outcomes(), m_marks);
         experiment::write_report(m_folder, m_plan.name, m_runner.outcomes(), m_marks);
-        const auto doubled = count_doubled();
-        std::cout << "requests that may run once and ran more often: " << doubled << "\nreport in "
+        const auto duplicates = count_duplicate_runs();
+        std::cout << "requests that may run once and ran more often: " << duplicates << "\nreport in "
                   << m_folder.string() << '\n';
-        finish(doubled == 0 ? exit_code::done : exit_code::failed);
+        finish(duplicates == 0 ? exit_code::done : exit_code::failed);
     }
 
-    [[nodiscard]] std::size_t count_doubled() const {
+    /// Counts the requests that must run at most once but ran more often.
+    [[nodiscard]] std::size_t count_duplicate_runs() const {
         const auto runs = m_site.count_runs();
         std::size_t result = 0;
-        for (const auto& id : m_runner.unrepeatable_ids()) {
+        for (const auto& id : m_runner.at_most_once_ids()) {
             const auto found = runs.find(id);
             result += found != runs.end() && found->second > 1 ? 1 : 0;
         }
--- a/src/program/operator_commands.cpp
+++ b/src/program/operator_commands.cpp
@@ -1,4 +1,5 @@
-// The table of the operators' subcommands; each makes one call.
+// The table of the operators' subcommands. Most of them make one call of the administration API; check,
+// emulate, logs and losses need no entry.
 #include "program/operator_commands.hpp"
 
 #include "program/check_command.hpp"
@@ -18,14 +19,16 @@
 namespace borageford::program {
 namespace {
 
-const std::string& only_word(arguments words, std::string_view what) {
+/// The only argument. Throws usage_error unless there is exactly one; `what` describes it in the message.
+const std::string& require_single_argument(arguments words, std::string_view what) {
     if (words.size() != 1) {
         throw usage_error("this command needs " + std::string(what));
     }
     return words.front();
 }
 
-void no_words(arguments words) {
+/// Throws usage_error when there is any argument.
+void require_no_arguments(arguments words) {
     if (!words.empty()) {
         throw usage_error("unexpected \"" + words.front() + "\"");
     }
@@ -37,13 +40,14 @@
     return print_answer(call_entry(flags, method, target, body), flags, print);
 }
 
+/// The query of a call that may wait until a change is in force everywhere; empty without the flag `wait`.
 std::string wait_query() {
     const auto flags = read_command_flags();
     return flags.wait ? "?wait=" + std::to_string(flags.wait->count()) + "ms" : std::string();
 }
 
 exit_code run_plan(arguments words) {
-    const auto& file = only_word(words, "one FILE with the intent");
+    const auto& file = require_single_argument(words, "one FILE with the intent");
     std::vector<settings::problem> problems;
     const auto text = settings::read_file(file, problems);
     if (!problems.empty()) {
@@ -53,71 +57,72 @@
 }
 
 exit_code run_confirm(arguments words) {
-    const auto& plan = only_word(words, "the id of one PLAN");
+    const auto& plan = require_single_argument(words, "the id of one PLAN");
     return call_and_print("POST", "/admin/plans/" + encode_for_target(plan) + "/confirm" + wait_query(),
                           print_commit);
 }
 
 exit_code run_revisions(arguments words) {
-    no_words(words);
+    require_no_arguments(words);
     const auto limit = std::to_string(read_command_flags().limit);
     return call_and_print("GET", "/admin/revisions?limit=" + limit, print_revisions);
 }
 
 exit_code run_show(arguments words) {
-    const auto& revision = only_word(words, "the number of one REVISION");
+    const auto& revision = require_single_argument(words, "the number of one REVISION");
     return call_and_print("GET", "/admin/revisions/" + encode_for_target(revision), print_revision);
 }
 
 exit_code run_revert(arguments words) {
-    const auto& revision = only_word(words, "the number of one REVISION");
+    const auto& revision = require_single_argument(words, "the number of one REVISION");
     return call_and_print("POST", "/admin/revisions/" + encode_for_target(revision) + "/revert", print_plan);
 }
 
 exit_code run_status(arguments words) {
-    no_words(words);
+    require_no_arguments(words);
     return call_and_print("GET", "/admin/status", print_status);
 }
 
 exit_code run_servers(arguments words) {
-    no_words(words);
+    require_no_arguments(words);
     return call_and_print("GET", "/admin/backend_servers", print_servers);
 }
 
 exit_code run_drain(arguments words) {
-    const auto& server = only_word(words, "the name of one BACKEND_SERVER");
+    const auto& server = require_single_argument(words, "the name of one BACKEND_SERVER");
     return call_and_print("POST",
                           "/admin/backend_servers/" + encode_for_target(server) + "/drain" + wait_query(),
                           print_commit);
 }
 
 exit_code run_undrain(arguments words) {
-    const auto& server = only_word(words, "the name of one BACKEND_SERVER");
+    const auto& server = require_single_argument(words, "the name of one BACKEND_SERVER");
     return call_and_print("POST",
                           "/admin/backend_servers/" + encode_for_target(server) + "/undrain" + wait_query(),
                           print_commit);
 }
 
 exit_code run_quarantine(arguments words) {
-    no_words(words);
+    require_no_arguments(words);
     return call_and_print("GET", "/admin/quarantine", print_quarantine);
 }
 
 exit_code run_release(arguments words) {
-    const auto& fingerprint = only_word(words, "one FINGERPRINT");
+    const auto& fingerprint = require_single_argument(words, "one FINGERPRINT");
     return call_and_print("POST", "/admin/quarantine/" + encode_for_target(fingerprint) + "/release",
                           print_release);
 }
 
 exit_code run_limits(arguments words) {
-    no_words(words);
+    require_no_arguments(words);
     return call_and_print("GET", "/admin/limits", print_limits);
 }
 
-/// With a request's id: what happened to it. Without: which requests there were.
+/// With a request's id, prints what happened to the request; without an id, lists the requests of a
+/// workspace.
 exit_code run_explain(arguments words) {
     if (!words.empty()) {
-        const auto& id = only_word(words, "one REQUEST_ID");
+        const auto& id = require_single_argument(words, "one REQUEST_ID");
         return call_and_print("GET", "/admin/requests/" + encode_for_target(id), print_explanation);
     }
     const auto flags = read_command_flags();
--- a/tests/unit/test_diagnosis.cpp
+++ b/tests/unit/test_diagnosis.cpp
@@ -1,4 +1,4 @@
-// Reading a log back and telling one request's story from it.
+// Tests of parsing log lines and of printing the timeline of one request from them.
 #include "diagnosis/log_record.hpp"
 #include "diagnosis/request_story.hpp"
 #include "events/event_log.hpp"
@@ -14,7 +14,7 @@
 
 namespace {
 
-/// A line as a gateway on `vm` writes it, `milliseconds` after a fixed moment.
+/// A log line of a gateway on `vm`, with a time that is `milliseconds` after 2026-03-01T10:00:00Z.
 std::string line_of(const std::string& vm, int milliseconds, const std::string& event,
                     const std::string& fields) {
     auto fraction = std::to_string(milliseconds);
@@ -23,21 +23,21 @@
            R"(000Z","process":"gateway","vm":")" + vm + R"(",)" + fields + "}";
 }
 
-void take(request_story& story, const std::string& line) {
+void add(request_story& timeline, const std::string& line) {
     auto record = read_log_record(line);
     REQUIRE(record);
-    story.take(std::move(*record));
+    timeline.add(std::move(*record));
 }
 
-std::string told(const request_story& story) {
+std::string printed(const request_story& timeline) {
     std::ostringstream out;
-    story.tell(out);
+    timeline.print(out);
     return out.str();
 }
 
 } // namespace
 
-TEST_CASE("a line that was written is read back", "[diagnosis]") {
+TEST_CASE("a log line that was written can be parsed", "[diagnosis]") {
     const auto line = events::render(events::event_kind::request_refused,
                                      {{"request", "a\"b"}, {"status", std::uint64_t(503)}, {"held_ms", 1.5}},
                                      7, "2026-03-01T10:00:00.250000Z");
@@ -51,7 +51,7 @@
     CHECK_FALSE(record->fields.contains("vm"));
 }
 
-TEST_CASE("what is no line of a log is passed over", "[diagnosis]") {
+TEST_CASE("lines that are no log lines are ignored", "[diagnosis]") {
     CHECK_FALSE(read_log_record(""));
     CHECK_FALSE(read_log_record("Mar 01 kernel: out of memory"));
     CHECK_FALSE(read_log_record("{\"event\":\"started\""));
@@ -61,40 +61,44 @@
     CHECK_FALSE(read_log_time("2026-03-01T10:00:00.000Z"));
 }
 
-TEST_CASE("a refused request's story has the coordinator's reason and what was believed", "[diagnosis]") {
-    request_story story("r1");
-    take(story, line_of("edge-1", 300, "request_refused",
-                        R"("request":"r1","ticket":77,"error":"overloaded","status":503,)"
-                        R"("reason":"no slot in time","held_ms":180,"tries":0,"retry_after_ms":900)"));
-    take(story,
-         line_of("edge-2", 299, "slot_refused",
-                 R"("ticket":77,"member":"10.0.0.1","reason":"overloaded","needed":2.1,"available":0.7)"));
-    take(story, line_of("edge-2", 290, "slot_refused", R"("ticket":78,"reason":"over_allowance")"));
-    take(story, line_of("edge-2", 100, "backend_resting", R"("backend":"engine-4","rest_ms":800)"));
-    take(story, line_of("edge-2", 110, "backend_resting", R"("backend":"engine-5","rest_ms":800)"));
-    take(story, line_of("edge-2", 120, "backend_recovered", R"("backend":"engine-5")"));
-    take(story, line_of("edge-3", 100, "backend_resting", R"("backend":"engine-9","rest_ms":800)"));
-    const auto text = told(story);
-    CHECK(story.outcome() ==
+TEST_CASE("the timeline of a refused request has the coordinator's reason and the state that was assumed",
+          "[diagnosis]") {
+    request_story timeline("r1");
+    add(timeline, line_of("edge-1", 300, "request_refused",
+                          R"("request":"r1","ticket":77,"error":"overloaded","status":503,)"
+                          R"("reason":"no slot in time","held_ms":180,"tries":0,"retry_after_ms":900)"));
+    add(timeline,
+        line_of("edge-2", 299, "slot_refused",
+                R"("ticket":77,"member":"10.0.0.1","reason":"overloaded","needed":2.1,"available":0.7)"));
+    add(timeline, line_of("edge-2", 290, "slot_refused", R"("ticket":78,"reason":"over_allowance")"));
+    add(timeline, line_of("edge-2", 100, "backend_resting", R"("backend":"engine-4","rest_ms":800)"));
+    add(timeline, line_of("edge-2", 110, "backend_resting", R"("backend":"engine-5","rest_ms":800)"));
+    add(timeline, line_of("edge-2", 120, "backend_recovered", R"("backend":"engine-5")"));
+    add(timeline, line_of("edge-3", 100, "backend_resting", R"("backend":"engine-9","rest_ms":800)"));
+    const auto text = printed(timeline);
+    CHECK(timeline.outcome() ==
           "refused with 503 overloaded (no slot in time) after 180 ms; it was never sent to "
           "a backend server; told to come back after 900 ms");
     CHECK(text.find("needed=2.1 available=0.7") != std::string::npos);
     CHECK(text.find("edge-2: backend_resting backend=engine-4 rest_ms=800 (since 0.199 s)") !=
           std::string::npos);
-    CHECK(text.find("over_allowance") == std::string::npos); // another request's
-    CHECK(text.find("engine-5") == std::string::npos);       // it had recovered
-    CHECK(text.find("engine-9") == std::string::npos);       // that gateway had no part in it
+    CHECK(text.find("over_allowance") == std::string::npos); // this ticket belongs to another request
+    CHECK(text.find("engine-5") == std::string::npos);       // engine-5 had recovered before
+    CHECK(text.find("engine-9") == std::string::npos);       // edge-3 has no line about the request
     CHECK(text.find("slot_refused") < text.find("request_refused  ticket"));
 }
 
-TEST_CASE("a story has what happened meanwhile, in the order of time", "[diagnosis]") {
-    request_story story("r2");
-    take(story, line_of("edge-1", 400, "request_cut",
-                        R"("request":"r2","reason":"the response ended early","events":12,"total_ms":390)"));
-    take(story, line_of("edge-1", 10, "request_placed", R"("request":"r2","ticket":5,"backend":"engine-1")"));
-    take(story, line_of("edge-1", 600, "backend_gone", R"("backend":"engine-1","reason":"left the store")"));
-    take(story, line_of("edge-1", 200, "configuration_in_force", R"("version":9)"));
-    const auto text = told(story);
+TEST_CASE("a timeline has the state changes around the request, sorted by time", "[diagnosis]") {
+    request_story timeline("r2");
+    add(timeline,
+        line_of("edge-1", 400, "request_cut",
+                R"("request":"r2","reason":"the response ended early","events":12,"total_ms":390)"));
+    add(timeline,
+        line_of("edge-1", 10, "request_placed", R"("request":"r2","ticket":5,"backend":"engine-1")"));
+    add(timeline,
+        line_of("edge-1", 600, "backend_gone", R"("backend":"engine-1","reason":"left the store")"));
+    add(timeline, line_of("edge-1", 200, "configuration_in_force", R"("version":9)"));
+    const auto text = printed(timeline);
     const auto placed = text.find("request_placed");
     const auto changed = text.find("configuration_in_force");
     const auto cut = text.find("request_cut");
@@ -103,17 +107,19 @@
     CHECK(changed < cut);
     CHECK(cut < gone);
     CHECK(gone != std::string::npos);
-    CHECK(story.outcome() ==
+    CHECK(timeline.outcome() ==
           "its stream was ended after 12 events (the response ended early), 390 ms after it "
           "came");
 }
 
-TEST_CASE("a request without lines: the story says what may be missing", "[diagnosis]") {
-    request_story story("r3");
-    take(story, line_of("edge-1", 10, "request_answered", R"("request":"r4","left_out":41,"lost_lines":3)"));
-    take(story, line_of("edge-1", 20, "request_answered", R"("request":"r5","lost_lines":5)"));
-    CHECK_FALSE(story.has_lines());
-    const auto text = told(story);
+TEST_CASE("without any line about the request, the output tells how many lines may be missing",
+          "[diagnosis]") {
+    request_story timeline("r3");
+    add(timeline,
+        line_of("edge-1", 10, "request_answered", R"("request":"r4","left_out":41,"lost_lines":3)"));
+    add(timeline, line_of("edge-1", 20, "request_answered", R"("request":"r5","lost_lines":5)"));
+    CHECK_FALSE(timeline.has_lines());
+    const auto text = printed(timeline);
     CHECK(text.find("No line tells of request r3") != std::string::npos);
     CHECK(text.find("41 more were left out") != std::string::npos);
     CHECK(text.find("5 were lost") != std::string::npos);
