--- a/src/configuration/configuration.cpp
+++ b/src/configuration/configuration.cpp
@@ -1,4 +1,4 @@
-// Look-ups in one revision.
+// Look-ups of objects in one revision of the configuration, by name or by API key.
 #include "configuration/configuration.hpp"
 
 #include <algorithm>
--- a/src/configuration/configuration_follower.cpp
+++ b/src/configuration/configuration_follower.cpp
@@ -1,4 +1,6 @@
-// Polling the head, taking revisions from peers, and noticing that the process was frozen.
+// Implements configuration_follower: polls the head row, accepts revisions from peers, and polls at once
+// after the process was suspended for a while (SIGSTOP, a paused VM), because its configuration may be old by
+// then.
 #include "configuration/configuration_follower.hpp"
 
 #include "base/compression.hpp"
@@ -29,12 +31,13 @@
 
 namespace {
 
-/// How often the process looks whether it was frozen.
+/// Period of the timer that detects whether the process was suspended.
 constexpr std::chrono::milliseconds freeze_check_period{250};
-/// A tick that comes this much late means that the process stood still, not that it was busy.
+/// A tick of that timer that is late by at least this much means that the process was suspended; a process
+/// that is merely busy is late by less.
 constexpr std::chrono::milliseconds freeze_threshold{750};
 
-/// Somebody who waits for a revision. Woken at most once, by the revision or by the wait's limit.
+/// A coroutine in wait_past(). It is resumed once: by a revision higher than `above` or by its time limit.
 struct revision_waiter {
     revision_number above = 0;
     std::shared_ptr<std::atomic<bool>> is_woken;
@@ -43,8 +46,9 @@
 
 } // namespace
 
-/// Invariants: `current` is replaced only under `mutex`, and only by a higher revision; `changed`, `polling`,
-/// `waiters` and `last_tick` are touched only on the strand; one poll runs at a time.
+/// State that running polls and timers share with the follower. Invariants: `current` is replaced only under
+/// `mutex`, and only by a higher revision; `changed`, `polling`, `waiters` and `last_tick` are used only on
+/// the strand; one poll runs at a time.
 struct configuration_follower::state : std::enable_shared_from_this<configuration_follower::state> {
     state(const asio::any_io_executor& executor, timer_service& given_timers, store::table& given_table,
           std::chrono::milliseconds given_period)
@@ -90,16 +94,17 @@
     static asio::awaitable<void> read_newer(state& self) {
         const auto head = co_await self.table.read(head_key);
         if (!head || self.stopped) {
-            co_return; // once stopped, the table may be gone
+            co_return; // the table may have been destroyed after the follower was stopped
         }
         const auto named = decode_head(head->value);
-        // A stale read names an old head; going back to it would undo an accepted configuration.
+        // A stale read returns an old head row. Going back to its revision would undo a configuration that an
+        // operator has put in force.
         if (named.revision <= self.current.load()->revision) {
             co_return;
         }
         const auto row = co_await self.table.read(revision_key(named.revision));
         if (!row) {
-            co_return; // the head was read fresher than the row; the next poll finds it
+            co_return; // this read was staler than that of the head row; the next poll finds the revision
         }
         const auto found = decode_revision(row->value);
         self.take(named.revision, found.text, "table");
@@ -112,9 +117,9 @@
         std::vector<settings::problem> problems;
         auto parsed = parse_intent(text, "revision " + std::to_string(revision), problems);
         if (!problems.empty()) {
-            // The text was checked before it was committed: either a peer damaged it or this process is
-            // older than what was confirmed. Keeping the revision in force is safe; the counterpart is that
-            // `status` shows this node as behind.
+            // The text was checked before it was committed, so either a peer damaged it or this process runs
+            // older software than the entry that confirmed it. Keeping the current revision is safe; the
+            // operators' `status` command then shows this node as behind.
             note_unusable(revision, problems.front().to_string(), source);
             return false;
         }
@@ -137,7 +142,8 @@
         return true;
     }
 
-    /// Posts of two threads may arrive crossed; an older revision isn't announced after a newer one.
+    /// Calls the listener. Two threads may post their announcements in the opposite order of the revisions;
+    /// the older revision is then skipped.
     void announce(const std::shared_ptr<const configuration>& next) {
         wake_waiters();
         if (stopped || !changed || next->revision <= announced) {
@@ -162,8 +168,9 @@
         }
     }
 
-    /// A process that was frozen wakes with what it knew before; the configuration may have moved on.
-    /// Steady time goes on while a process is stopped, so a tick that comes very late shows it.
+    /// Polls at once if the process was suspended: it resumes with the configuration it had before, which may
+    /// have been replaced meanwhile. The steady clock continues while a process is suspended, so the timer's
+    /// next tick is late by the length of the suspension.
     void check_freeze() {
         const auto now = timer_service::clock::now();
         const auto late = now - last_tick - freeze_check_period;
--- a/src/configuration/configuration_follower.hpp
+++ b/src/configuration/configuration_follower.hpp
@@ -1,4 +1,5 @@
-// Keeps a process at the newest configuration it can learn of: by polling the table's head, and from peers.
+// Keeps a process on the newest revision of the configuration: polls the head row in the platform's table,
+// and accepts newer revisions from other processes, so that a revision also spreads while the table is down.
 #pragma once
 
 #include "base/timer_service.hpp"
@@ -17,8 +18,9 @@
 
 namespace borageford::configuration {
 
-/// Invariant: the revision held only grows, whatever a stale read or a peer says.
-/// All calls are safe from any thread.
+/// Holds the configuration in force in this process. Invariant: the revision never decreases, even if a read
+/// of the table returns stale data or a peer sends an older revision. All member functions are safe to call
+/// from any thread.
 class configuration_follower {
 public:
     using change_listener = std::function<void(const std::shared_ptr<const configuration>&)>;
@@ -31,28 +33,34 @@
     configuration_follower(configuration_follower&&) = delete;
     configuration_follower& operator=(configuration_follower&&) = delete;
 
-    /// Starts to poll; `changed` is called on the executor with every newer configuration, in order.
+    /// Starts polling. `changed` is called on the executor with the current configuration and then with each
+    /// newer one, in increasing order of revisions.
     void start(change_listener changed);
 
-    /// The configuration in force here; empty (revision 0) until one is known. Never null.
+    /// The configuration in force in this process; empty (revision 0) until one is known. Never null.
     [[nodiscard]] std::shared_ptr<const configuration> current() const noexcept;
     [[nodiscard]] revision_number revision() const noexcept;
 
-    /// Polls of the head that failed, and freezes of the process that were noticed, since the start.
+    /// Number of polls of the head row that failed since the start of the process.
     [[nodiscard]] std::uint64_t failed_polls() const noexcept;
+    /// Number of times since its start that this process found it had been suspended.
     [[nodiscard]] std::uint64_t freezes() const noexcept;
 
-    /// Takes a revision that this process has committed or read at the table itself.
+    /// Puts a revision in force that this process has committed to the table or read from it. Ignored unless
+    /// it is newer and valid. Returns whether it was put in force.
     bool take_committed(revision_number revision, std::string_view text);
 
-    /// Takes what a peer sent; ignored unless it is newer and valid. Returns whether it was taken.
+    /// Puts a revision in force that a peer sent. Ignored unless it is newer and valid. Returns whether it
+    /// was put in force.
     bool take_from_peer(revision_number revision, std::span<const std::uint8_t> deflated_text);
 
-    /// Waits until a revision above this one is in force here, or the limit has passed; returns whether one
-    /// is. For a decision that was taken under a revision that a peer has left behind.
+    /// Waits until a revision above `revision` is in force in this process, at most for `limit`. Returns
+    /// whether one is. For callers whose request a peer refused because the two processes had different
+    /// revisions.
     boost::asio::awaitable<bool> wait_past(revision_number revision, std::chrono::milliseconds limit);
 
-    /// Polls now: after a freeze, or when a peer is known to be ahead and can't be asked.
+    /// Polls the table now instead of at the next period, for example when a peer is known to have a newer
+    /// revision but can't be asked for it.
     void poll_soon();
 
 private:
--- a/src/configuration/configuration_metrics.cpp
+++ b/src/configuration/configuration_metrics.cpp
@@ -1,4 +1,4 @@
-// Gauges that read the follower when the metrics are shown.
+// Gauges of a configuration_follower. Their values are read each time that the metrics are exported.
 #include "configuration/configuration_metrics.hpp"
 
 #include "configuration/configuration_follower.hpp"
--- a/src/configuration/configuration_metrics.hpp
+++ b/src/configuration/configuration_metrics.hpp
@@ -1,4 +1,4 @@
-// What a process's metrics say of its configuration.
+// Metrics of a process's configuration: the revision in force, failed polls and detected suspensions.
 #pragma once
 
 namespace borageford::metrics {
@@ -9,7 +9,7 @@
 
 class configuration_follower;
 
-/// Adds the gauges; the follower must outlive the registry's last exposition.
+/// Adds the gauges to the registry. The follower must exist as long as the registry exports metrics.
 void add_configuration_metrics(metrics::registry& registry, const configuration_follower& follower);
 
 } // namespace borageford::configuration
--- a/src/configuration/difference.cpp
+++ b/src/configuration/difference.cpp
@@ -1,4 +1,4 @@
-// Each kind of object is turned into labelled fields, and the fields are compared.
+// Compares two configurations: turns each object into a list of labelled text values and compares the lists.
 #include "configuration/difference.hpp"
 
 #include <algorithm>
@@ -90,7 +90,7 @@
             {"idempotent", yes_or_no(item.idempotent)}};
 }
 
-/// What is only worth a word when it is set is left out of "add" lines.
+/// Whether the field is unset. An "add" line names only the fields that are set.
 bool is_plain(const labelled_value& field) {
     return field.value == "none" || field.value == "as it is" || field.value == "no limit";
 }
@@ -113,6 +113,7 @@
     return found == items.end() ? nullptr : &*found;
 }
 
+/// Collects one line for each difference between two configurations.
 class change_writer {
 public:
     template <typename Item>
@@ -141,7 +142,8 @@
         }
     }
 
-    /// The first route that fits a request decides, so their order means something too.
+    /// Adds a line if the routes that both configurations have are in a different order: the first route that
+    /// matches a request applies to it, so a new order changes which requests are allowed.
     void compare_route_order(const configuration& before, const configuration& after) {
         std::vector<std::string> old_order;
         std::vector<std::string> new_order;
@@ -197,7 +199,8 @@
     std::vector<std::string> m_lines;
 };
 
-/// Collects warnings. Each check is a member function that compares the two configurations.
+/// Collects warnings about the effects of a change. Each check is a member function that compares the two
+/// configurations.
 class warning_writer {
 public:
     warning_writer(const configuration& before, const configuration& after,
--- a/src/configuration/difference.hpp
+++ b/src/configuration/difference.hpp
@@ -1,4 +1,5 @@
-// What one configuration changes against another, in operators' words.
+// Describes in plain sentences for operators what a new configuration changes compared to the current one,
+// and warns of changes that restrict callers or remove capacity.
 #pragma once
 
 #include "configuration/configuration.hpp"
@@ -9,7 +10,7 @@
 
 namespace borageford::configuration {
 
-/// What a workspace takes at present, so that a limit below it draws a warning.
+/// What a workspace uses at present. A new limit below the present use causes a warning.
 struct workspace_use {
     std::string workspace;
     double requests_per_second = 0;
@@ -17,11 +18,14 @@
     unsigned concurrent_requests = 0;
 };
 
-/// One line for each thing added, removed or changed. Empty when both mean the same.
+/// One line for each object added or removed, each field changed and a new order of routes. Empty if the two
+/// configurations don't differ.
 [[nodiscard]] std::vector<std::string> describe_changes(const configuration& before,
                                                         const configuration& after);
 
-/// What the change would take away from somebody, one line each.
+/// One line for each warning, for example a lowered limit, a removed object that is in use, or a model that
+/// no backend server serves any more. `use` is the present use of workspaces; a workspace that isn't listed
+/// counts as unused.
 [[nodiscard]] std::vector<std::string> describe_warnings(const configuration& before,
                                                          const configuration& after,
                                                          std::span<const workspace_use> use);
--- a/src/configuration/intent_parser.cpp
+++ b/src/configuration/intent_parser.cpp
@@ -1,4 +1,4 @@
-// From INI sections to typed values, then the checks that need the whole file.
+// Converts the INI sections of an intent file to typed values, then checks what depends on several sections.
 #include "configuration/intent_parser.hpp"
 
 #include "settings/section_reader.hpp"
@@ -39,7 +39,8 @@
            c == '_' || c == '.';
 }
 
-/// Names are parts of paths, of row keys and of metric labels.
+/// Whether the text is a valid name. The set of characters is small because names become parts of URL paths,
+/// of the table's row keys and of metric labels.
 bool is_name(std::string_view text) {
     return !text.empty() && text.size() <= longest_name && std::ranges::all_of(text, is_name_character);
 }
@@ -54,7 +55,7 @@
     return std::ranges::find(items, name, &Item::name) != items.end();
 }
 
-/// Reads one file. Invariant: the sections read first are those that later ones name.
+/// Reads one intent file. Invariant: a kind of section is read after the kinds that it refers to by name.
 class intent_reader {
 public:
     intent_reader(const ini_document& document, configuration& result, std::vector<problem>& problems)
@@ -105,7 +106,7 @@
         return {m_document, &section, section.title(), m_problems};
     }
 
-    /// Complains about each name that isn't among the items.
+    /// Reports an error for each name that none of the items has.
     template <typename Item>
     void check_names(section_reader& reader, std::string_view key, const std::vector<std::string>& names,
                      const std::vector<Item>& items, std::string_view kind) {
@@ -198,7 +199,8 @@
 
     void check_key_hash(section_reader& reader, const ini_section& section, const std::string& hash) {
         if (!is_key_hash(hash)) {
-            // The value may be the key itself, pasted by mistake: it must not reach a terminal or a log.
+            // The value may be the API key itself, pasted by mistake. reader.complain() would quote it, and
+            // the secret would end up in terminals and logs.
             const auto* entry = section.find("key_sha256");
             complain(entry->line, section.title() + ".key_sha256",
                      "64 lower-case hexadecimal digits each (the SHA-256 of a key, never the key)");
@@ -302,7 +304,8 @@
         check_shared_names();
     }
 
-    /// Offers name their target without its kind, so a model and a service may not share one.
+    /// Reports services that have the name of a model. An offer to a backend server contains only its
+    /// target's name, not whether the target is a model or a service, so the two kinds must not share a name.
     void check_shared_names() {
         for (const auto& section : m_document.sections) {
             if (section.kind == "service" && has_item(m_result.models, section.name)) {
--- a/src/configuration/plan.cpp
+++ b/src/configuration/plan.cpp
@@ -1,4 +1,4 @@
-// Plans as JSON objects, and line edits of an intent.
+// Encodes plans as JSON objects and edits single lines of an intent file.
 #include "configuration/plan.hpp"
 
 #include "settings/ini_document.hpp"
--- a/src/configuration/revision_rows.cpp
+++ b/src/configuration/revision_rows.cpp
@@ -1,4 +1,4 @@
-// Revisions as JSON values of the table.
+// Encodes and decodes the head row and revision rows as JSON.
 #include "configuration/revision_rows.hpp"
 
 #include "base/compression.hpp"
@@ -21,7 +21,8 @@
     return json::value_to<std::string>(from.at(key));
 }
 
-/// Rows of earlier versions have the text as it is.
+/// Returns the intent of a revision row. Earlier versions of the software stored the text uncompressed, under
+/// another name.
 std::string intent_of(const json::value& from) {
     if (from.as_object().contains("text")) {
         return text_of(from, "text");
--- a/src/configuration/revision_store.cpp
+++ b/src/configuration/revision_store.cpp
@@ -1,4 +1,4 @@
-// Commits and look-ups of revisions.
+// Implements revision_store: commits that are safe to repeat after a lost answer, and reads of revisions.
 #include "configuration/revision_store.hpp"
 
 #include "base/request_error.hpp"
@@ -21,8 +21,9 @@
 
 store::transaction commit_transaction(const plan& what, const revision_row& row) {
     store::transaction changes;
-    // Revision numbers have no gaps and their rows are never deleted, so "the next one doesn't exist" is the
-    // same as "the base is still the head", and unlike the head's version it needs no read before.
+    // Revision numbers have no gaps and their rows are never deleted, so if row `base + 1` doesn't exist, the
+    // base is still the newest revision. Unlike a condition on the head row's version, this condition needs
+    // no read before the commit. A condition with version 0 requires that the row doesn't exist.
     changes.conditions.push_back({revision_key(row.revision), 0});
     changes.puts.push_back({revision_key(row.revision), encode(row)});
     changes.puts.push_back(
@@ -82,7 +83,7 @@
         try {
             result = co_await m_table.transact(changes);
         } catch (const store::store_error& error) {
-            // A refusal changed nothing; what an earlier attempt did stays open all the same.
+            // A refused attempt changed nothing, but an earlier attempt whose answer was lost may have.
             if (error.possible_effect() == store::effect::none && !may_have_taken_effect) {
                 throw;
             }
@@ -91,8 +92,8 @@
         if (result && result->committed) {
             co_return commit_result{commit_verdict::accepted, row};
         }
-        // Either the answer was lost, or the revision exists already: then it is this plan's own, from an
-        // attempt whose answer was lost, or somebody else's. Its row tells.
+        // Either the answer was lost, or revision `base + 1` exists already. Reading the row shows whether it
+        // is this plan's, from an attempt whose answer was lost, or another plan's.
         auto found = co_await read_back(what, !may_have_taken_effect);
         if (found) {
             co_return std::move(*found);
@@ -110,7 +111,7 @@
     } catch (const store::store_error&) {
         co_return std::nullopt;
     }
-    // A stale read shows no row where there is one; the next attempt to commit then tells.
+    // A stale read may miss a row that exists; the next attempt to commit then finds out.
     if (!row) {
         co_return std::nullopt;
     }
