--- a/src/admin/administration.cpp
+++ b/src/admin/administration.cpp
@@ -1,4 +1,5 @@
-// Finding the call, checking its token and parameters, and answering it.
+// Implements the administration API: checks the operators' token, finds the handler for a call's method and
+// path, parses its parameters and sends the response.
 #include "admin/administration.hpp"
 
 #include "admin/answers.hpp"
@@ -37,7 +38,7 @@
 std::vector<std::string_view> split_path(std::string_view path) {
     std::vector<std::string_view> parts;
     while (!path.empty()) {
-        path.remove_prefix(1); // the slash
+        path.remove_prefix(1); // the leading slash
         const auto end = std::min(path.find('/'), path.size());
         parts.push_back(path.substr(0, end));
         path.remove_prefix(end);
@@ -45,7 +46,7 @@
     return parts;
 }
 
-/// What stands for each "*" of the pattern; nothing when the path doesn't fit.
+/// Returns the part of the path at each "*" of the pattern; nothing if the path doesn't match the pattern.
 std::optional<std::vector<std::string>> match_path(std::string_view pattern, std::string_view path) {
     const auto expected = split_path(pattern);
     const auto parts = split_path(path);
@@ -83,7 +84,8 @@
     return *duration;
 }
 
-/// How long the caller waits until the change is in force everywhere; nothing when it doesn't ask for it.
+/// How long the caller wants to wait for the change to be in force on all nodes, from the query parameter
+/// `wait`; nothing if the caller doesn't want to wait.
 std::optional<milliseconds> wait_of(const http::request& call) {
     const auto text = http::query_value(call.target, "wait");
     if (!text) {
@@ -155,7 +157,8 @@
     } catch (const request_error& error) {
         response = error_answer(error);
     } catch (const store::store_error& error) {
-        // Only a write that was refused or never sent may be called unchanged.
+        // platform_unavailable tells the operator that nothing was changed, so it may only be used if the
+        // write was refused or never sent.
         const auto kind = error.possible_effect() == store::effect::none ? error_kind::platform_unavailable
                                                                          : error_kind::outcome_unknown;
         response = error_answer(request_error(kind, error.what()));
@@ -186,7 +189,8 @@
 
 void administration::check_token(const http::request& call) const {
     const auto value = http::find_header(call.headers, "Authorization").value_or("");
-    // Hashes are compared, so the time that the comparison takes tells nothing about the token.
+    // Compares hashes instead of tokens, so that the duration of the comparison gives an attacker no
+    // information about the token.
     if (!value.starts_with(bearer) || sha256_hex(value.substr(bearer.size())) != m_context.token_hash) {
         throw request_error(error_kind::unauthorized, "the operators' token is missing or wrong");
     }
@@ -327,7 +331,8 @@
     return m_view.limits_in_use ? m_view.limits_in_use() : std::vector<configuration::workspace_use>();
 }
 
-/// Status must be told in an outage of the platform too: what can't be read is left out.
+/// Returns nothing if the table doesn't answer: `status` must still work during an outage of the platform and
+/// leaves out what can't be read.
 asio::awaitable<std::optional<revision_number>> administration::read_head() {
     try {
         co_return co_await m_store.read_head();
--- a/src/admin/administration.hpp
+++ b/src/admin/administration.hpp
@@ -1,5 +1,5 @@
-// The administration API of an entry: operators' calls as JSON over HTTP, each with the operators' token.
-// docs/ADMINISTRATION.md describes every call.
+// The administration API of an entry: JSON over HTTP; every call must contain the operators' token.
+// docs/ADMINISTRATION.md describes the calls.
 #pragma once
 
 #include "admin/node_view.hpp"
@@ -25,7 +25,7 @@
 
 namespace borageford::admin {
 
-/// References to parts of the entry that outlive the administration.
+/// The parts of the entry that the administration API uses. They must outlive the `administration` object.
 struct administration_context {
     boost::asio::any_io_executor executor;
     timer_service& timers;
@@ -37,28 +37,29 @@
     std::string token_hash; ///< SHA-256 of the operators' token, lower-case hexadecimal
 };
 
-/// Safe from any thread.
+/// The request handler of the administration API. Safe to use from any thread.
 class administration {
 public:
     administration(administration_context context, node_view view);
 
-    /// Every call's path starts with this.
+    /// The path of every call starts with this prefix.
     static constexpr std::string_view path_prefix = "/admin/";
 
-    /// Answers one call. For an http::server's handler.
+    /// Handles one call and writes its response. Meant to be called by the handler of an http::server.
     boost::asio::awaitable<void> handle(const http::request& call, http::response_writer& writer);
 
 private:
-    /// One call, taken apart.
+    /// One call with the arguments from its path.
     struct admin_call {
         const http::request& request;
-        std::vector<std::string> arguments; ///< what stands for each "*" of its pattern
+        std::vector<std::string> arguments; ///< the part of the path at each "*" of the api_call's pattern
         std::string operator_name;
     };
     using call_handler = boost::asio::awaitable<http::response> (administration::*)(const admin_call&);
+    /// A call that the API offers.
     struct api_call {
         std::string_view method;
-        std::string_view pattern;
+        std::string_view pattern; ///< path; a part "*" matches any single part of a path
         call_handler handle;
     };
 
@@ -82,6 +83,7 @@
     boost::asio::awaitable<http::response> explain_request(const admin_call& call);
     boost::asio::awaitable<http::response> find_requests(const admin_call& call);
 
+    /// What each workspace uses at this entry; empty if the entry doesn't measure it.
     [[nodiscard]] std::vector<configuration::workspace_use> limits_in_use() const;
     boost::asio::awaitable<std::optional<configuration::revision_number>> read_head();
     boost::asio::awaitable<std::optional<configuration::spread_row>>
--- a/src/admin/answers.cpp
+++ b/src/admin/answers.cpp
@@ -1,4 +1,4 @@
-// Typed answers as JSON.
+// Builds the JSON bodies of the administration API's responses.
 #include "admin/answers.hpp"
 
 #include <boost/json.hpp>
@@ -14,7 +14,7 @@
 namespace {
 
 constexpr unsigned status_ok = 200;
-/// Marks of this many backend servers refuse a request.
+/// A request is refused (quarantined) once crash marks from this many backend servers exist for it.
 constexpr std::size_t quarantine_marks = 2;
 
 http::response json_answer(unsigned status, const json::value& body) {
--- a/src/admin/answers.hpp
+++ b/src/admin/answers.hpp
@@ -1,4 +1,4 @@
-// The bodies of the administration API's answers.
+// Functions that build the HTTP responses of the administration API.
 #pragma once
 
 #include "admin/node_view.hpp"
@@ -17,34 +17,39 @@
 
 namespace borageford::admin {
 
-/// What an operator can do about an error of this kind.
+/// A sentence that tells the operator what to do about an error of this kind.
 [[nodiscard]] std::string_view remedy_for(error_kind kind) noexcept;
 
 [[nodiscard]] http::response error_answer(const request_error& error);
 [[nodiscard]] http::response problems_answer(const std::vector<settings::problem>& problems);
 [[nodiscard]] http::response plan_answer(const configuration::plan& what);
-/// A conflict is an error that names what came between.
+/// The response to a confirmation or a drain. A conflict is an error response that names the revision that
+/// was committed instead of the plan.
 [[nodiscard]] http::response commit_answer(const confirm_result& result);
-/// Without texts.
+/// A list of revisions without the text of their intent files.
 [[nodiscard]] http::response revisions_answer(const std::vector<configuration::revision_row>& revisions);
+/// One revision including the text of its intent file.
 [[nodiscard]] http::response revision_answer(const configuration::revision_row& revision);
 
-/// What an entry knows of the whole system's configuration.
+/// The state of the configuration in the whole system, as seen by one entry.
 struct system_status {
-    std::string entry;
-    configuration::revision_number held = 0;
-    std::optional<configuration::revision_number> head; ///< nothing: the platform doesn't answer
+    std::string entry;                                  ///< the VM of the entry that answers the call
+    configuration::revision_number held = 0;            ///< revision in force at that entry
+    std::optional<configuration::revision_number> head; ///< newest in the table; nothing: no answer
     std::vector<node_revision> nodes;
-    std::optional<configuration::spread_row> spread; ///< of the newest revision, when known
+    std::optional<configuration::spread_row> spread; ///< measurement for revision `held`, if there is one
 };
 [[nodiscard]] http::response status_answer(const system_status& status);
 
+/// The configured backend servers, each with its state if `states` contains it.
 [[nodiscard]] http::response servers_answer(const configuration::configuration& current,
                                             const std::vector<backend_server_state>& states);
+/// The limits of all workspaces, with the present use of each.
 [[nodiscard]] http::response limits_answer(const configuration::configuration& current,
                                            const std::vector<configuration::workspace_use>& use);
 [[nodiscard]] http::response quarantine_answer(const std::vector<marked_request>& requests);
 [[nodiscard]] http::response released_answer(std::string_view fingerprint);
+/// What an auditor asked for about requests.
 [[nodiscard]] http::response explanation_answer(const explanation& what);
 
 } // namespace borageford::admin
--- a/src/admin/configuration_exchange.cpp
+++ b/src/admin/configuration_exchange.cpp
@@ -1,4 +1,4 @@
-// The three messages of the exchange.
+// Sends and handles the messages by which a process gets a newer configuration from a peer.
 #include "admin/configuration_exchange.hpp"
 
 #include <memory>
@@ -29,7 +29,8 @@
         reply.revision = current->revision;
         reply.deflated_text = current->deflated_text;
         connection.send(std::move(reply));
-        // Its answer shows at once whether the peer took the revision.
+        // Every frame contains its sender's revision, so the peer's answer to this heartbeat shows without
+        // delay whether the revision is now in force there.
         connection.send(wire::heartbeat_message());
         return;
     }
--- a/src/admin/configuration_exchange.hpp
+++ b/src/admin/configuration_exchange.hpp
@@ -1,4 +1,5 @@
-// How a revision passes between two of our processes: whoever is behind asks, the other answers.
+// Exchange of the configuration between two borageford processes: every frame contains the revision of its
+// sender, and a process that sees a newer one than its own requests that configuration.
 #pragma once
 
 #include "configuration/configuration_follower.hpp"
@@ -6,11 +7,12 @@
 
 namespace borageford::admin {
 
-/// Answers a request for the configuration, takes a reply, and asks when the frame's sender is ahead.
+/// Handles a frame from a peer: answers a configuration request, puts the revision of a configuration reply
+/// in force, and on any other frame calls ask_when_behind() with the revision of the frame's sender.
 void exchange_configuration(configuration::configuration_follower& follower, const wire::envelope& received,
                             wire::peer_connection& connection);
 
-/// Asks for the configuration when the peer's revision is above the one held here.
+/// Requests the configuration from the peer if its revision is higher than that of this process.
 void ask_when_behind(const configuration::configuration_follower& follower, std::uint64_t peer_revision,
                      wire::peer_connection& connection);
 
--- a/src/admin/planner.cpp
+++ b/src/admin/planner.cpp
@@ -1,4 +1,4 @@
-// Plans and commits.
+// Implements planner: makes plans, commits them, and measures how long they take to be in force on all nodes.
 #include "admin/planner.hpp"
 
 #include "base/identifier.hpp"
@@ -22,11 +22,14 @@
 
 namespace {
 
-/// How long a revision that nobody waits for is followed, to know how long it took.
+/// How long the spread of a revision is watched if the operator's call doesn't wait for it. The measurement
+/// is stored and shown by `status`.
 constexpr milliseconds unattended_watch{30'000};
-/// Each attempt starts from a newer revision; operators don't confirm more than a few at the same moment.
+/// How often a drain is committed again after a conflict. Each attempt starts from a newer revision, and
+/// operators don't confirm more than a few revisions at the same moment.
 constexpr unsigned drain_attempts = 5;
 
+/// Makes a plan with a new id from the difference between the base and the intent.
 configuration::plan compare(const configuration::configuration& base,
                             const configuration::configuration& intent, std::string operator_name,
                             std::span<const configuration::workspace_use> use) {
@@ -47,7 +50,8 @@
                  spread_watch& spread)
     : m_follower(follower), m_store(store), m_spread(spread) {}
 
-/// The head as far as a read or a peer has shown it. A plan made on a stale one is refused at its commit.
+/// Returns the newest configuration that this process knows after a read of the head row. If the read was
+/// stale, the plan made on top of this configuration is refused when it is committed.
 asio::awaitable<std::shared_ptr<const configuration::configuration>> planner::read_newest() {
     const auto head = co_await m_store.read_head();
     if (head > m_follower.revision()) {
@@ -107,7 +111,8 @@
         if (result.commit.verdict != commit_verdict::conflict) {
             break;
         }
-        // What came between may say something else about this server; the order applies on top of it.
+        // The revision that was committed in between may also change this server. The operator's order is
+        // applied on top of that revision.
         m_follower.take_committed(result.commit.revision.revision, result.commit.revision.text);
     }
     co_return result;
@@ -120,7 +125,7 @@
     result.commit = co_await m_store.commit(what, std::move(operator_name));
     const auto accepted = steady_clock::now();
     const auto& revision = result.commit.revision;
-    // From here on peers learn of it even if the platform goes out at this moment.
+    // From here on peers get the revision from this process, even if the platform fails now.
     m_follower.take_committed(revision.revision, revision.text);
     if (result.commit.verdict == commit_verdict::conflict) {
         co_return result;
@@ -147,7 +152,7 @@
     try {
         co_await m_store.keep_spread(spread);
     } catch (const store::store_error&) {
-        // Only `status` at other entries misses the figure.
+        // The only consequence is that `status` doesn't show the measurement.
         log::warning("configuration_spread_not_kept", {{"revision", std::to_string(revision)}});
     }
     co_return spread;
--- a/src/admin/quarantine.cpp
+++ b/src/admin/quarantine.cpp
@@ -1,4 +1,4 @@
-// Rows of marks, read and removed.
+// Reads and deletes the rows of crash marks in the table.
 #include "admin/quarantine.hpp"
 
 #include "marks/crash_mark.hpp"
@@ -25,7 +25,8 @@
             request.last_time = std::max(request.last_time, mark.time);
         }
     } catch (const std::invalid_argument&) {
-        // A row that can't be read is shown without its servers, so that an operator can still release it.
+        // A row that can't be decoded is listed without its servers, so that an operator can still release
+        // the request.
         request.backend_servers.clear();
     }
     return request;
@@ -55,7 +56,8 @@
         if (!row) {
             co_return false;
         }
-        // A mark that comes between the read and the release isn't one that the operator has seen.
+        // The condition makes the deletion fail if a mark was added after the read, because the operator
+        // hasn't seen that mark.
         store::transaction changes;
         changes.conditions.push_back({key, row->version});
         changes.deletes.push_back(key);
--- a/src/admin/revision_listener.cpp
+++ b/src/admin/revision_listener.cpp
@@ -1,4 +1,4 @@
-// Accepting other entries' connections.
+// Accepts connections from other entries and exchanges the configuration over them.
 #include "admin/revision_listener.hpp"
 
 #include "admin/configuration_exchange.hpp"
@@ -25,8 +25,9 @@
 
 } // namespace
 
-/// Invariant: everything but `acceptor`'s construction happens on the strand, which all connections share;
-/// `connections` holds exactly those that haven't called `closed`.
+/// State that open connections share with the listener. Invariants: after construction, everything is used
+/// only on the strand, which all connections share; a connection is in `connections` until it calls its
+/// `closed` callback.
 struct revision_listener::state : std::enable_shared_from_this<revision_listener::state> {
     state(const asio::any_io_executor& executor, timer_service& given_timers,
           configuration::configuration_follower& given_follower, peer_identity given_identity)
@@ -45,8 +46,8 @@
                 co_return;
             }
             if (error) {
-                // Out of file descriptors, most likely: asked again at once, it would fail again and keep a
-                // thread busy that the open connections need to finish.
+                // The process is probably out of file descriptors. Without the pause the loop would fail
+                // again at once and keep a thread busy that the open connections need to finish.
                 co_await pause(self->timers, accept_pause);
             } else if (self->connections.size() < connection_limit) {
                 self->adopt(std::move(socket));
--- a/src/admin/revision_listener.hpp
+++ b/src/admin/revision_listener.hpp
@@ -1,4 +1,5 @@
-// An entry's listener for other entries: they ask which revision it holds, and pass revisions on.
+// Listens for connections from other entries, which ask for this entry's revision of the configuration and
+// exchange newer revisions with it.
 #pragma once
 
 #include "base/timer_service.hpp"
@@ -12,13 +13,14 @@
 
 namespace borageford::admin {
 
-/// What every connection between processes needs to say who is at this end.
+/// What a process sends about itself on each connection to a peer.
 struct peer_identity {
-    wire::hello_message hello; ///< its revision is filled in for each connection
+    wire::hello_message hello; ///< its field `revision` is set when a connection is opened
     wire::heartbeat_settings heartbeat;
 };
 
-/// Invariant: at most `connection_limit` connections are open; one more is closed at once.
+/// Accepts connections from entries until it is destroyed. Invariant: at most `connection_limit` connections
+/// are open; a connection above the limit is closed at once.
 class revision_listener {
 public:
     static constexpr std::size_t connection_limit = 1024;
@@ -31,7 +33,8 @@
     revision_listener(revision_listener&&) = delete;
     revision_listener& operator=(revision_listener&&) = delete;
 
-    /// Starts to accept; port 0 lets the kernel choose. Returns the address in use.
+    /// Starts accepting connections and returns the address in use; with port 0 the kernel chooses the port.
+    /// Throws boost::system::system_error if the address can't be used.
     boost::asio::ip::tcp::endpoint listen(const boost::asio::ip::tcp::endpoint& address);
 
 private:
--- a/src/admin/revision_survey.cpp
+++ b/src/admin/revision_survey.cpp
@@ -1,4 +1,5 @@
-// One short connection to each node.
+// Implements revision_survey: opens a short-lived connection to each node and reads the revision that the
+// node reports.
 #include "admin/revision_survey.hpp"
 
 #include "admin/configuration_exchange.hpp"
@@ -27,13 +28,14 @@
 
 namespace {
 
-/// What is known of one node while it is being asked. Used on the strand of its connection alone.
-/// Invariant: `finished` is called at most once.
+/// Asks one node for its revision. Used only on the strand of its connection. Invariant: the callback set by
+/// set_finished() is called at most once.
 class node_inquiry : public std::enable_shared_from_this<node_inquiry> {
 public:
     node_inquiry(configuration_follower& follower, revision_number wanted)
         : m_follower(follower), m_wanted(wanted) {}
 
+    /// The highest revision that the node has reported; nothing if it has reported none.
     [[nodiscard]] std::optional<revision_number> seen() const { return m_seen; }
 
     void begin(std::shared_ptr<wire::peer_connection> connection) {
@@ -47,7 +49,8 @@
             self->note(hello.revision);
             if (self->m_connection != nullptr) {
                 ask_when_behind(self->m_follower, hello.revision, *self->m_connection);
-                // A frame that shows our revision makes a node that is behind ask for it.
+                // Every frame contains the revision of this process. A node with a lower revision requests
+                // the newer configuration when it receives this frame.
                 self->m_connection->send(wire::heartbeat_message());
             }
         };
@@ -71,7 +74,8 @@
         m_finished = std::move(finished);
     }
 
-    /// Ends the inquiry; the connection and the inquiry let go of each other.
+    /// Ends the inquiry and closes its connection. The inquiry releases the connection, whose callbacks keep
+    /// the inquiry alive.
     void finish() {
         m_is_finished = true;
         if (const auto connection = std::exchange(m_connection, nullptr)) {
@@ -98,10 +102,10 @@
     bool m_is_finished = false;
 };
 
-/// Returns once the inquiry has finished.
+/// Completes when the inquiry has finished.
 asio::awaitable<void> wait_for(std::shared_ptr<node_inquiry> inquiry) {
     auto initiate = [inquiry](auto handler) {
-        // Posting keeps the coroutine from being resumed inside a callback of the connection.
+        // Posts, so that the coroutine isn't resumed inside a callback of the connection.
         auto executor = asio::get_associated_executor(handler);
         auto shared = std::make_shared<decltype(handler)>(std::move(handler));
         inquiry->set_finished([executor, shared] { asio::post(executor, std::move(*shared)); });
@@ -120,7 +124,8 @@
     std::chrono::milliseconds limit;
 };
 
-/// Runs on the context's strand.
+/// Asks the node at the context's address. Returns the revision that it reported, nothing if the node wasn't
+/// reached. Must run on the context's strand.
 asio::awaitable<std::optional<revision_number>> inquire(inquiry_context context) {
     tcp::socket socket(context.strand);
     auto give_up = context.timers.after(context.strand, context.limit, [&socket] {
@@ -169,7 +174,8 @@
         nodes.push_back({name, to_text(vm.role), vm.failure_domain, vm.backend_server,
                          vm.state == store::vm_state::leaving, std::nullopt});
     }
-    // All askers share one strand, which guards `next`; each connection has a strand of its own.
+    // All coroutines that run ask_some() share one strand, which protects `next`; each connection has its own
+    // strand.
     const asio::any_io_executor strand = asio::make_strand(m_executor);
     std::size_t next = 0;
     const auto make_asker = [&] {
--- a/src/admin/revision_survey.hpp
+++ b/src/admin/revision_survey.hpp
@@ -1,4 +1,5 @@
-// Asks live nodes which revision they hold, and passes the newest on to those that are behind.
+// Asks all live nodes for their revision of the configuration, and sends the newer configuration to nodes
+// that have an older one.
 #pragma once
 
 #include "admin/revision_listener.hpp"
@@ -17,17 +18,17 @@
 
 namespace borageford::admin {
 
-/// What one node answered.
+/// One node (a VM with an entry or a sidecar) and the revision that it reported.
 struct node_revision {
     std::string vm;
-    std::string role;
+    std::string role; ///< "entry" or "sidecar"
     std::string failure_domain;
-    std::string backend_server; ///< for sidecars
-    bool is_leaving = false;
-    std::optional<configuration::revision_number> revision; ///< nothing: not reached
+    std::string backend_server; ///< backend server of a sidecar; empty for entries
+    bool is_leaving = false;    ///< the node is shutting down
+    std::optional<configuration::revision_number> revision; ///< nothing: the node wasn't reached
 };
 
-/// Invariant: at most `concurrency` nodes are asked at once by one survey.
+/// Asks nodes for their revision. Invariant: one survey asks at most `concurrency` nodes at the same time.
 class revision_survey {
 public:
     static constexpr std::size_t concurrency = 64;
@@ -36,12 +37,15 @@
                     configuration::configuration_follower& follower, store::vm_directory& vms,
                     peer_identity identity);
 
-    /// Asks every VM of the platform's list at once. A node below `wanted` is given what this process holds
-    /// and waited for, each until `limit` after it was called.
+    /// Asks every VM of the platform's list. A node with a lower revision than `wanted` is offered the
+    /// configuration of this process, and the survey waits for that node to reach `wanted`. `limit` applies
+    /// to each node: once to connecting and once more to its answers.
     boost::asio::awaitable<std::vector<node_revision>> ask_all(configuration::revision_number wanted,
                                                                std::chrono::milliseconds limit);
 
 private:
+    /// Asks one VM after the other, each time the one at index `next`, until none is left. ask_all() runs
+    /// this several times concurrently with the same `next`.
     boost::asio::awaitable<void> ask_some(std::vector<node_revision>& nodes,
                                           const std::vector<store::vm>& vms, std::size_t& next,
                                           configuration::revision_number wanted,
--- a/src/admin/spread_watch.cpp
+++ b/src/admin/spread_watch.cpp
@@ -1,4 +1,4 @@
-// Surveys, repeated while a node is behind.
+// Implements spread_watch: repeats surveys of the nodes until no node is behind.
 #include "admin/spread_watch.hpp"
 
 #include "base/pause.hpp"
@@ -13,7 +13,8 @@
 
 namespace {
 
-/// A node that can't be reached is tried again after this; one that is reached is waited for meanwhile.
+/// Time limit of one survey for each node. A node that wasn't reached is asked again in the next survey; for
+/// a node that was reached but is behind, the survey waits up to this limit.
 constexpr milliseconds survey_limit{2000};
 constexpr milliseconds pause_between_surveys{250};
 
--- a/src/admin/spread_watch.hpp
+++ b/src/admin/spread_watch.hpp
@@ -1,4 +1,4 @@
-// Follows an accepted revision until every live node holds it.
+// Watches an accepted revision of the configuration until it is in force on every live node.
 #pragma once
 
 #include "admin/revision_survey.hpp"
@@ -11,12 +11,13 @@
 
 namespace borageford::admin {
 
+/// Measures how long a revision takes to be in force on all live nodes.
 class spread_watch {
 public:
     spread_watch(revision_survey& survey, timer_service& timers) : m_survey(survey), m_timers(timers) {}
 
-    /// Returns once every live node was seen to hold the revision, or names those that weren't when `limit`
-    /// has passed. Time counts from `accepted`.
+    /// Completes when every live node has reported the revision or a newer one, or when `limit` has passed
+    /// since `accepted`; the result then names the nodes that are behind.
     boost::asio::awaitable<configuration::spread_row> watch(configuration::revision_number revision,
                                                             std::chrono::steady_clock::time_point accepted,
                                                             std::chrono::milliseconds limit);
@@ -26,8 +27,8 @@
     timer_service& m_timers;
 };
 
-/// The live nodes that don't hold the revision or weren't reached. Leaving nodes take no new work, so they
-/// don't count.
+/// The VMs of the live nodes that have a lower revision or weren't reached. Nodes that are shutting down get
+/// no new requests, so they are left out.
 [[nodiscard]] std::vector<std::string> nodes_behind(const std::vector<node_revision>& nodes,
                                                     configuration::revision_number revision);
 
--- a/src/settings/ini_document.cpp
+++ b/src/settings/ini_document.cpp
@@ -1,5 +1,5 @@
-// The INI reader. Boost.PropertyTree's own forgets line numbers, which every complaint here must name, so
-// the few rules of the format are read directly.
+// A parser for INI files. Boost.PropertyTree's INI parser doesn't keep line numbers, which every reported
+// problem must contain; the format is simple enough to be parsed here.
 #include "settings/ini_document.hpp"
 
 #include <algorithm>
@@ -29,6 +29,7 @@
     return std::ranges::any_of(text, [](unsigned char c) { return c < ' ' && c != '\t'; });
 }
 
+/// Parses a document line by line and collects the problems found.
 class ini_reader {
 public:
     ini_reader(ini_document& document, std::vector<problem>& problems)
@@ -91,7 +92,7 @@
             return;
         }
         if (!m_section_is_usable) {
-            return; // its header has been complained about
+            return; // a problem with the section's header has been reported already
         }
         auto& section = m_document.sections.back();
         if (!m_keys.emplace(key).second) {
@@ -104,9 +105,9 @@
     ini_document& m_document;
     std::vector<problem>& m_problems;
     unsigned m_line = 0;
-    // Looked up in these: comparing each title and key with all before it takes minutes for a large file.
-    std::set<std::string> m_titles;
-    std::set<std::string> m_keys; ///< of the last section
+    // Sets, because comparing each title and key with all earlier ones took minutes for a large file.
+    std::set<std::string> m_titles; ///< titles of all sections read so far
+    std::set<std::string> m_keys;   ///< keys read so far in the current section
     bool m_section_is_usable = false;
 };
 
--- a/src/settings/section_reader.cpp
+++ b/src/settings/section_reader.cpp
@@ -1,4 +1,4 @@
-// Typed reading of settings.
+// Converts the text values of an INI section to numbers, durations, sizes and addresses, with range checks.
 #include "settings/section_reader.hpp"
 
 #include <algorithm>
