--- a/src/admin/answers.hpp
+++ b/src/admin/answers.hpp
@@ -49,7 +49,7 @@
                                            const std::vector<configuration::workspace_use>& use);
 [[nodiscard]] http::response quarantine_answer(const std::vector<marked_request>& requests);
 [[nodiscard]] http::response released_answer(std::string_view fingerprint);
-/// What an auditor asked for about requests.
+/// The explanation of one request, or a list of requests.
 [[nodiscard]] http::response explanation_answer(const explanation& what);
 
 } // namespace borageford::admin
--- a/src/admin/node_view.hpp
+++ b/src/admin/node_view.hpp
@@ -22,7 +22,7 @@
     bool is_connected = false;
     bool is_leaving = false;                             ///< the sidecar is shutting down
     std::optional<std::chrono::milliseconds> report_age; ///< nothing: no load report received yet
-    // From the last load report:
+    // The following members are taken from the last load report.
     std::uint32_t queued_requests = 0;
     std::uint32_t running_sequences = 0;
     std::uint32_t sequence_limit = 0;
--- a/src/audit/backlog.cpp
+++ b/src/audit/backlog.cpp
@@ -1,4 +1,5 @@
-// Closing batches, giving way when memory is full, and handing batches to the writer.
+// Implements backlog: closes batches, replaces the oldest ones by gaps when memory is full, and hands batches
+// out for writing.
 #include "audit/backlog.hpp"
 
 #include <algorithm>
@@ -68,7 +69,7 @@
 }
 
 void backlog::join_gaps() {
-    // Gaps are made from the front on, so they stand together there.
+    // The oldest batches are replaced first, so the gaps are next to each other at the front.
     while (m_closed.size() > gap_limit && m_closed[0].lost > 0 && m_closed[1].lost > 0 &&
            !is_being_written(m_closed[0]) && !is_being_written(m_closed[1])) {
         auto& joined = m_closed[1];
--- a/src/audit/batch.cpp
+++ b/src/audit/batch.cpp
@@ -1,5 +1,5 @@
-// The batch format. Times are whole microseconds: those of the batch since 1970, those of events since the
-// batch's first record.
+// Encodes and decodes batches. All times are whole microseconds: a batch's time ("from") counts from 1970,
+// the times of its events ("at") count from the time of the batch.
 #include "audit/batch.hpp"
 
 #include <boost/json.hpp>
@@ -22,9 +22,9 @@
     return std::chrono::duration_cast<microseconds>(time.time_since_epoch());
 }
 
-/// What all events of one attempt share.
+/// The fields that all events of one attempt have in common.
 using attempt_key = std::tuple<dispatch_id, std::string_view, std::uint64_t>;
-/// What all attempts of one line share.
+/// The fields that all attempts in one line have in common.
 using line_key = std::tuple<request_id, std::string_view, unsigned, std::string_view>;
 
 /// Groups the records of a batch into lines and attempts, both in the order of their first record.
@@ -142,7 +142,7 @@
     }
 }
 
-/// The next line of the text, which is shortened by it.
+/// Removes the first line from the text and returns it without its line break.
 std::string_view take_line(std::string_view& text) {
     const auto end = text.find('\n');
     if (end == std::string_view::npos) {
--- a/src/audit/batch.hpp
+++ b/src/audit/batch.hpp
@@ -1,5 +1,6 @@
-// A batch of audit records as it lies in the object store: JSON lines, one for the batch and one for each
-// request in it, so that what the records of one request share is written once.
+// A batch of audit records, the unit in which records are written to the object store. The format is JSON
+// lines: a head line for the batch, then one line for each request, so that fields that all records of a
+// request have in common are written only once.
 #pragma once
 
 #include "audit/record.hpp"
@@ -13,29 +14,31 @@
 
 namespace borageford::audit {
 
-/// Who wrote a batch.
+/// The process that wrote a batch.
 struct batch_origin {
     std::string role; ///< "entry" or "sidecar"
     std::string vm;
-    std::string backend_server; ///< for sidecars
+    std::string backend_server; ///< backend server of a sidecar; empty for an entry
 };
 
 struct batch {
     batch_origin origin;
-    /// The writer's last one before its graceful end; a writer without one was killed or cut off.
+    /// Set in the last batch that a process writes during a graceful shutdown. A process that left no such
+    /// batch was killed or lost its connection to the store.
     bool is_last = false;
-    std::vector<record> records; ///< by time
+    std::vector<record> records; ///< sorted by time after decoding
 };
 
-/// An object that isn't a batch, or is one of an unknown format.
+/// Thrown for an object that isn't a batch or has an unknown format version.
 class batch_error : public std::runtime_error {
 public:
     using std::runtime_error::runtime_error;
 };
 
+/// Returns the batch in the format of the object store.
 [[nodiscard]] std::string encode_batch(const batch& content);
 
-/// Throws batch_error.
+/// Decodes the result of encode_batch(). Throws batch_error if the text is truncated or isn't a batch.
 [[nodiscard]] batch decode_batch(std::string_view text);
 
 } // namespace borageford::audit
--- a/src/audit/batch_key.cpp
+++ b/src/audit/batch_key.cpp
@@ -1,4 +1,4 @@
-// Writing and reading the keys of batches.
+// Composes and parses the object store keys of batches.
 #include "audit/batch_key.hpp"
 
 #include <algorithm>
--- a/src/audit/batch_key.hpp
+++ b/src/audit/batch_key.hpp
@@ -1,5 +1,6 @@
-// Where a batch lies in the object store. Keys lead from a moment and a writer to few objects, so that one
-// request is found among thousands of writers (docs/design/audit.md has the arithmetic).
+// The keys of batches in the object store. A key starts with the time and the writer of its batch, so that
+// the records of one request can be found by listing a few prefixes instead of the batches of thousands of
+// writers. docs/design/audit.md has the calculation.
 #pragma once
 
 #include "base/identifier.hpp"
@@ -12,29 +13,31 @@
 
 namespace borageford::audit {
 
+/// A point in time with the resolution of one minute, UTC.
 using minute_point = std::chrono::time_point<std::chrono::system_clock, std::chrono::minutes>;
 
-/// `audit/YYYY-MM-DD/HH/MM/ROLE/WRITER/SEQUENCE-INCARNATION`, by the minute (UTC) in which the batch was
-/// closed; its records are of that moment or before. The writer is the entry's VM or the sidecar's backend
-/// server.
+/// The parts of a key `audit/YYYY-MM-DD/HH/MM/ROLE/WRITER/SEQUENCE-INCARNATION`. The time is the minute (UTC)
+/// in which the batch was closed; its records were made in that minute or before.
 struct batch_key {
     minute_point minute;
-    std::string role;
-    std::string writer;
-    std::uint64_t sequence = 0; ///< counts the writer's batches from 1, without holes
-    identifier incarnation;
+    std::string role;           ///< "entry" or "sidecar"
+    std::string writer;         ///< the entry's VM or the sidecar's backend server
+    std::uint64_t sequence = 0; ///< number of the batch within its incarnation, from 1 without gaps
+    identifier incarnation;     ///< identifies one run of the writer's process
 
     [[nodiscard]] std::string to_string() const;
+    /// Parses a key; returns nothing if the text isn't the key of a batch.
     [[nodiscard]] static std::optional<batch_key> parse(std::string_view text);
 };
 
-/// The prefix of all batches that writers of this role closed in that minute.
+/// The key prefix of all batches that writers of this role closed in this minute.
 [[nodiscard]] std::string key_prefix(minute_point minute, std::string_view role);
-/// The same of one writer.
+/// The key prefix of all batches that one writer closed in this minute.
 [[nodiscard]] std::string key_prefix(minute_point minute, std::string_view role, std::string_view writer);
 
-/// A writer's name as it stands in keys: anything but letters, digits, "." , "_" and "-" becomes ~XX, so that
-/// a name with a slash can't pose as another writer's and no key needs to be encoded in a URL.
+/// Escapes a writer's name for use in a key: each byte other than letters, digits, ".", "_" and "-" becomes
+/// ~XX (hexadecimal). Without this, a name with a slash could produce the key of another writer, and keys
+/// would have to be encoded in URLs.
 [[nodiscard]] std::string escape_writer(std::string_view writer);
 
 } // namespace borageford::audit
--- a/src/audit/explainer.cpp
+++ b/src/audit/explainer.cpp
@@ -1,4 +1,5 @@
-// Walking the keys minute by minute: first the entry that made the request id, then the sidecars it names.
+// Implements explainer: reads batches minute by minute, first those of the entry that made the request id,
+// then those of the sidecars that the entry's records name.
 #include "audit/explainer.hpp"
 
 #include "audit/batch.hpp"
@@ -34,7 +35,8 @@
 
 } // namespace
 
-/// One question. Invariant: every object is read at most once.
+/// One search: reads batches and collects the records that match a filter. Invariant: each object is read at
+/// most once.
 class explainer::search {
 public:
     using key_filter = std::function<bool(const batch_key&)>;
@@ -121,7 +123,9 @@
         }
     }
 
-    /// Sequences have no holes, so one in the middle is a batch that somebody removed or the store lost.
+    /// Adds a remark for each writer with missing batches. Sequence numbers have no gaps, so a missing number
+    /// between two batches that were read belongs to a batch that was deleted, that the store lost or that
+    /// backlog joined with a later gap.
     void note_missing_batches() {
         for (const auto& [writer, sequences] : m_sequences) {
             const auto expected = *sequences.rbegin() - *sequences.begin() + 1;
@@ -149,7 +153,7 @@
     return true;
 };
 
-/// The backend servers that any record names.
+/// The backend servers named in the records found so far.
 std::set<std::string> named_servers(const findings& found) {
     std::set<std::string> out;
     for (const auto& witnessed : found.records) {
@@ -160,7 +164,8 @@
     return out;
 }
 
-/// Whether the records tell the end of every attempt at this backend server.
+/// Whether the records show how every attempt at this backend server ended, so that no later batches of its
+/// sidecar have to be read.
 bool is_settled(const request_history& history, const std::string& server) {
     return std::ranges::all_of(history.attempts, [&server](const attempt& place) {
         return place.backend_server != server || place.ended || place.has_been_withdrawn ||
@@ -170,7 +175,9 @@
 
 } // namespace
 
-/// The entry's side: its clock made the id, its records and its keys, so the walk starts at that minute.
+/// Reads the batches of the entry that made the request id, until one shows the request's outcome. The id,
+/// the records and the keys of the batches all contain times of this entry's clock, so the search starts at
+/// the minute in the id, without allowing for clock differences.
 asio::awaitable<void> explainer::read_entry(search& looked, request_id request, minute_point last) {
     const search::key_filter from_its_entry = [request](const batch_key& key) {
         return may_come_from(request, key.writer);
@@ -183,7 +190,8 @@
     }
 }
 
-/// The side of the sidecars that the records name, each until the end of its part.
+/// Reads the batches of each sidecar whose backend server the records name, until they show how all attempts
+/// at that server ended.
 asio::awaitable<void> explainer::read_named_sidecars(search& looked, request_id request, minute_point last) {
     for (const auto& server : named_servers(looked.found())) {
         for (auto minute = minute_of(start_time(request) - m_limits.clock_difference); minute <= last;
@@ -196,7 +204,8 @@
     }
 }
 
-/// The entry died with its records: no name leads to the sidecars, so all of that time are read.
+/// Reads the batches of all sidecars around the start of the request. Needed if the entry crashed before it
+/// wrote its records: nothing then shows which sidecars received the request.
 asio::awaitable<void> explainer::read_all_sidecars(search& looked, request_id request, minute_point last) {
     const auto start = start_time(request);
     const auto end = std::min(last, minute_of(start + m_limits.batch_delay + m_limits.clock_difference));
--- a/src/audit/explainer.hpp
+++ b/src/audit/explainer.hpp
@@ -1,4 +1,5 @@
-// Finds the records of a request among the batches of thousands of writers.
+// Finds the audit records of a request among the batches that thousands of processes wrote to the object
+// store.
 #pragma once
 
 #include "audit/batch_key.hpp"
@@ -16,17 +17,19 @@
 namespace borageford::audit {
 
 struct explainer_limits {
-    /// A record is in a batch that was closed at most this much later; the recorders' flush period with room.
+    /// Maximum time between a record and the closing of its batch: recorder_settings::flush_period with a
+    /// margin.
     std::chrono::seconds batch_delay{60};
-    /// Clocks of VMs differ by no more.
+    /// Maximum difference between the clocks of two VMs.
     std::chrono::seconds clock_difference{10};
-    /// A request is followed for no longer.
+    /// Maximum time after the start of a request for which its records are searched.
     std::chrono::minutes request_time{30};
-    /// Objects read for one question. Past it the answer says what wasn't read.
+    /// Maximum number of batches read by one search. Above it, a remark says that batches weren't read.
     std::size_t object_limit = 8000;
 };
 
-/// Reads only. Each question's cost is worked out in docs/design/audit.md.
+/// Searches the audit records. It only reads from the store. docs/design/audit.md has the cost of each
+/// search.
 class explainer {
 public:
     using clock_reader = std::function<std::chrono::system_clock::time_point()>;
@@ -35,10 +38,12 @@
         store::object_store& store, explainer_limits limits,
         clock_reader now = [] { return std::chrono::system_clock::now(); });
 
-    /// What entry and sidecars recorded of the request. Throws store_error while the store is out.
+    /// Finds what entries and sidecars recorded about the request. Throws store::store_error if the object
+    /// store doesn't answer.
     [[nodiscard]] boost::asio::awaitable<findings> find_request(request_id request);
 
-    /// What entries recorded between two moments about the workspace's requests (empty: all).
+    /// Finds what entries recorded from `from` to `to` about the requests of the workspace; an empty name
+    /// means all workspaces. Throws store::store_error if the object store doesn't answer.
     [[nodiscard]] boost::asio::awaitable<findings> find_workspace(std::string workspace,
                                                                   std::chrono::system_clock::time_point from,
                                                                   std::chrono::system_clock::time_point to);
@@ -49,6 +54,7 @@
     boost::asio::awaitable<void> read_entry(search& looked, request_id request, minute_point last);
     boost::asio::awaitable<void> read_named_sidecars(search& looked, request_id request, minute_point last);
     boost::asio::awaitable<void> read_all_sidecars(search& looked, request_id request, minute_point last);
+    /// Adds a remark if records up to the time `last` may not have been written yet at the time `now`.
     void remark_if_recent(search& looked, std::chrono::system_clock::time_point last,
                           std::chrono::system_clock::time_point now) const;
 
--- a/src/audit/findings.hpp
+++ b/src/audit/findings.hpp
@@ -1,4 +1,4 @@
-// What a search through the audit batches brought to light.
+// The result of a search for audit records.
 #pragma once
 
 #include "audit/record.hpp"
@@ -9,18 +9,20 @@
 
 namespace borageford::audit {
 
-/// A record and who wrote it.
+/// A record and the process that wrote it.
 struct witnessed_record {
     record entry;
     std::string role;   ///< "entry" or "sidecar"
     std::string writer; ///< the entry's VM or the sidecar's backend server
 };
 
+/// The records found by a search, and what it couldn't find.
 struct findings {
-    std::vector<witnessed_record> records; ///< by time
-    /// What is missing or couldn't be read, in sentences: silence must not pass for "nothing happened".
+    std::vector<witnessed_record> records; ///< sorted by time
+    /// Sentences about records that are missing or couldn't be read. Without them, an auditor could take
+    /// missing records as proof that nothing happened.
     std::vector<std::string> remarks;
-    std::size_t objects_read = 0;
+    std::size_t objects_read = 0; ///< number of batches read
 };
 
 } // namespace borageford::audit
--- a/src/audit/narrative.cpp
+++ b/src/audit/narrative.cpp
@@ -1,4 +1,4 @@
-// The sentences of an explanation.
+// Implements the explanation of a request: a verdict, sentences about why it ran where it did, and its steps.
 #include "audit/narrative.hpp"
 
 #include "audit/request_history.hpp"
@@ -14,7 +14,7 @@
 
 namespace json = boost::json;
 
-/// What an auditor asks first.
+/// Whether the request ran, and with what result: the first thing that an auditor needs to know.
 enum class verdict : std::uint8_t { served, ran_and_failed, interrupted, not_run, may_have_run, unknown };
 
 std::string_view to_string(verdict value) {
@@ -64,7 +64,7 @@
     return history.outcome ? verdict::not_run : verdict::unknown;
 }
 
-/// "pluma-2 had refused it (overloaded)" and the like, for a place that didn't run the request.
+/// Describes why a backend server didn't run the request, for example "pluma-2 refused it as overloaded".
 std::string why_not(const attempt& place) {
     std::string out = place.backend_server;
     if (place.refusal) {
--- a/src/audit/narrative.hpp
+++ b/src/audit/narrative.hpp
@@ -1,4 +1,4 @@
-// Tells what happened to a request, for an auditor in plain words and for programs as JSON.
+// Explains what happened to a request, as English sentences for an auditor and as JSON for programs.
 #pragma once
 
 #include "audit/findings.hpp"
@@ -10,18 +10,19 @@
 
 namespace borageford::audit {
 
-/// First whether, where and why it ran; then every step with its time (UTC), who says so and the revision;
-/// last what is missing.
+/// Returns the lines of an explanation: first whether, where and why the request ran; then each record with
+/// its time (UTC), its writer and the revision in force; last the remarks about missing records.
 [[nodiscard]] std::vector<std::string> describe_request(const request_id& request, const findings& found);
 
-/// The same for programs: one object with "verdict", "summary", "steps", "remarks".
+/// Returns the explanation as a JSON object for programs, with "verdict", "summary", "steps" and "remarks".
 [[nodiscard]] std::string describe_request_as_json(const request_id& request, const findings& found);
 
-/// One line for each of the first `limit` requests of the workspace (empty: of all), then the remarks.
+/// Returns one line for each of the first `limit` requests of the workspace, then the remarks. An empty name
+/// means all workspaces.
 [[nodiscard]] std::vector<std::string> list_requests(std::string_view workspace, const findings& found,
                                                      std::size_t limit);
 
-/// "2026-12-02T20:45:01.123456Z".
+/// Formats a time with microseconds in UTC, for example "2026-12-02T20:45:01.123456Z".
 [[nodiscard]] std::string format_time(std::chrono::system_clock::time_point time);
 
 } // namespace borageford::audit
--- a/src/audit/record.cpp
+++ b/src/audit/record.cpp
@@ -1,4 +1,4 @@
-// The names of the events, as they stand in the batches.
+// Names of audit events, as they are written in batches, and sorting of records.
 #include "audit/record.hpp"
 
 #include <algorithm>
--- a/src/audit/record.hpp
+++ b/src/audit/record.hpp
@@ -1,4 +1,5 @@
-// One decision about one request, as an auditor will read it. Prompts and answers are never part of it.
+// An audit record: one decision about one request, kept for auditors. Records never contain prompts or
+// answers.
 #pragma once
 
 #include "base/error_kind.hpp"
@@ -13,44 +14,48 @@
 
 namespace borageford::audit {
 
-/// What was decided.
+/// What was decided or happened. The comments name the process that records the event. An entry offers a
+/// request to the sidecars of several backend servers and starts it at one that grants the offer.
 enum class event : std::uint8_t {
-    received,   ///< entry: a caller's request came in
-    offered,    ///< entry: offered to a backend server
-    queued,     ///< sidecar: took the offer into its queue
+    received,   ///< entry: received a request from a caller
+    offered,    ///< entry: offered the request to a backend server
+    queued,     ///< sidecar: put the offer into its queue
     refused,    ///< sidecar: refused the offer; entry: refused the request
-    pushed_out, ///< sidecar: dropped for a higher tier
-    granted,    ///< sidecar: has room now
-    withdrawn,  ///< sidecar: the entry went elsewhere
-    lapsed,     ///< sidecar: no start came for a grant
-    started,    ///< entry: sent the start; sidecar: gave it to its backend server
-    attached,   ///< the answer of a running or finished dispatch was joined
-    ended,      ///< the dispatch ended at the sidecar
-    answered,   ///< entry: the caller has its whole answer
-    failed,     ///< entry: the caller was told a failure after the start
-    cancelled,  ///< the stream was cancelled, nobody waited for it
-    claimed,    ///< entry: the idempotency key was claimed at the table
-    gap,        ///< records were lost here; `detail` says how many
+    pushed_out, ///< sidecar: dropped the offer from its queue for a request of a higher tier
+    granted,    ///< sidecar: has capacity now and granted the offer
+    withdrawn,  ///< sidecar: the entry withdrew the offer because it started the request elsewhere
+    lapsed,     ///< sidecar: the grant expired because the entry didn't start the request in time
+    started,    ///< entry: sent the start message; sidecar: sent the request to its backend server
+    attached,   ///< a caller was attached to the answer of a dispatch that was running or had finished
+    ended,      ///< sidecar: the dispatch ended
+    answered,   ///< entry: sent the complete answer to the caller
+    failed,     ///< entry: sent an error to the caller; the request ran or may have run
+    cancelled,  ///< entry: the caller disconnected; sidecar: cancelled a dispatch that nobody waited for
+    claimed,    ///< entry: claimed the idempotency key in the table
+    gap,        ///< records were lost; `detail` says how many
 };
 
+/// The event's name in batches.
 [[nodiscard]] std::string_view to_string(event what) noexcept;
+/// The event with this name; nothing if there is none.
 [[nodiscard]] std::optional<event> find_event(std::string_view name) noexcept;
 
+/// One decision, made by an entry or a sidecar.
 struct record {
     std::chrono::system_clock::time_point time = std::chrono::system_clock::now();
     event what = event::received;
     request_id request;
-    dispatch_id dispatch; ///< none where no dispatch is meant
+    dispatch_id dispatch; ///< the attempt at one backend server; none if the event concerns no single attempt
     std::string workspace;
-    unsigned tier = 0;          ///< rank
-    std::string target;         ///< model or service
-    std::string backend_server; ///< where it concerns one
-    std::uint64_t revision = 0; ///< in force for this decision
-    std::optional<error_kind> reason;
-    std::string detail; ///< what bound the decision, in a few words
+    unsigned tier = 0;                ///< rank of the tier; 0 is the highest
+    std::string target;               ///< model or service
+    std::string backend_server;       ///< empty if the event concerns no single backend server
+    std::uint64_t revision = 0;       ///< revision of the configuration by which the decision was made
+    std::optional<error_kind> reason; ///< for refusals and failures
+    std::string detail;               ///< a few words on what caused the decision
 };
 
-/// Records of the same microsecond keep their order.
+/// Sorts by time; records with the same time keep their order.
 void sort_by_time(std::vector<record>& records);
 
 } // namespace borageford::audit
--- a/src/audit/recorder.cpp
+++ b/src/audit/recorder.cpp
@@ -1,4 +1,4 @@
-// Closes a batch at each period and writes the backlog, a few batches at a time.
+// Implements recorder: closes a batch in each flush period and writes a few of the closed batches.
 #include "audit/recorder.hpp"
 
 #include "audit/backlog.hpp"
@@ -20,9 +20,10 @@
 using std::chrono::milliseconds;
 using std::chrono::system_clock;
 
-/// After an outage every process has a backlog. Written all at once, 1,650 of them would bring the store down
-/// again; four batches a period each are 220 writes a second at most, and clear an hour's backlog of 120
-/// batches in 20 minutes.
+/// Limits the writes of one process per flush period. After an outage of the store every process has a
+/// backlog; if 1,650 processes wrote theirs at once, they would overload the store again. Four batches per
+/// process in each period of 30 s are at most 220 writes per second, and clear the 120 batches of an hour's
+/// outage in 20 minutes.
 constexpr unsigned writes_per_period = 4;
 constexpr milliseconds flush_retry_delay{200};
 
@@ -30,7 +31,8 @@
     return {std::max<std::size_t>(settings.batch_limit, 1), settings.memory_limit};
 }
 
-/// A share of the period, so that processes started together don't write together.
+/// A random duration below the period. The first period is delayed by it, so that processes that were started
+/// together don't write at the same time.
 milliseconds random_phase(milliseconds period) {
     const auto whole = static_cast<std::uint64_t>(std::max<milliseconds::rep>(period.count(), 1));
     return milliseconds(identifier::random().low % whole);
@@ -38,7 +40,8 @@
 
 } // namespace
 
-/// Invariants: all but `records` is touched on the strand only; one write is under way at most.
+/// State that timers and writes share with the recorder. Invariants: all members except `records` are used
+/// only on the strand; at most one write is in progress.
 struct recorder::state : std::enable_shared_from_this<recorder::state> {
     state(const asio::any_io_executor& executor, timer_service& timer_source, store::object_store& target,
           recorder_settings chosen)
@@ -54,7 +57,7 @@
             timers.after(strand, random_phase(settings.flush_period), on_self(&state::begin_period));
     }
 
-    /// A callback that doesn't keep the state alive.
+    /// Returns a callback that calls the member function if the state still exists, without keeping it alive.
     std::function<void()> on_self(void (state::*call)()) {
         return [weak = weak_from_this(), call] {
             if (const auto self = weak.lock()) {
@@ -117,7 +120,8 @@
         }
     }
 
-    /// Between periods only a flush tries again; else the next period does.
+    /// Called after a failed write. During a flush the write is repeated after a short delay; otherwise it is
+    /// repeated in the next flush period.
     void retry_flush() {
         if (flushed) {
             retry_timer = timers.after(strand, flush_retry_delay, on_self(&state::write_soon));
@@ -141,8 +145,8 @@
             co_await store.put(object.key, std::move(object.text));
             is_written = true;
         } catch (const store::store_error& error) {
-            // The batch stays and is written again under its key, also when the answer was lost after the
-            // write took effect: the same bytes under the same key are no second batch.
+            // The batch stays in the backlog and is written again. This is safe even if the write took effect
+            // and only the answer was lost: the same bytes under the same key don't make a second batch.
             note_outage(error.what());
         }
         records.end_write(object.sequence, is_written);
@@ -173,7 +177,7 @@
     timer_subscription period_timer;
     timer_subscription flush_timer;
     timer_subscription retry_timer;
-    std::function<void()> flushed; ///< set while flush() waits
+    std::function<void()> flushed; ///< callback of flush(); empty if no flush is in progress
     unsigned allowed_writes = 0;
     bool is_writing = false;
     bool is_store_out = false;
--- a/src/audit/request_history.cpp
+++ b/src/audit/request_history.cpp
@@ -1,4 +1,5 @@
-// Reading records in the order of their time and noting on the attempt what each says.
+// Builds the history of a request: goes through its records in order of time and enters each into the
+// request's attempts and outcome.
 #include "audit/request_history.hpp"
 
 #include <algorithm>
@@ -20,7 +21,7 @@
     return history.attempts.back();
 }
 
-/// What the entry says of an attempt.
+/// Enters an entry's record into the attempt.
 void note_entry_record(attempt& place, const record& entry) {
     switch (entry.what) {
     case event::offered:
@@ -30,7 +31,8 @@
         place.start_sent = entry.time;
         break;
     case event::refused:
-        // What the sidecar told the entry; its own record says the same and may be lost.
+        // The entry records the refusal that it received from the sidecar. The sidecar's own record is
+        // preferred but may be lost.
         if (!place.refusal) {
             place.refusal = entry.reason;
             place.detail = entry.detail;
@@ -41,7 +43,7 @@
     }
 }
 
-/// What the sidecar says of it.
+/// Enters a sidecar's record into the attempt.
 void note_sidecar_record(attempt& place, const record& entry) {
     switch (entry.what) {
     case event::queued:
@@ -116,7 +118,7 @@
         history.received = entry.time;
         history.revision = entry.revision;
     }
-    // A refusal that names a dispatch is one sidecar's; the entry may still find another place.
+    // A refusal with a dispatch concerns only one sidecar; the entry may still run the request elsewhere.
     if (is_outcome(entry.what) && (entry.dispatch.is_none() || entry.what == event::answered)) {
         history.outcome = entry;
     }
--- a/src/audit/request_history.hpp
+++ b/src/audit/request_history.hpp
@@ -1,4 +1,5 @@
-// Joins the records that entries and sidecars left about one request into what happened to it.
+// Combines the audit records that an entry and several sidecars wrote about one request into the history of
+// that request.
 #pragma once
 
 #include "audit/findings.hpp"
@@ -12,54 +13,59 @@
 
 using time_point = std::chrono::system_clock::time_point;
 
-/// One offer to one backend server and what became of it.
+/// One offer of the request to one backend server and its result.
 struct attempt {
     dispatch_id dispatch;
     std::string backend_server;
-    std::uint64_t revision = 0; ///< in force for the latest decision on it
+    std::uint64_t revision = 0; ///< revision of the configuration in the latest record of this attempt
     std::optional<time_point> offered;
     std::optional<time_point> queued;
     std::optional<time_point> granted;
-    std::optional<time_point> start_sent; ///< by the entry
-    std::optional<time_point> started;    ///< by the sidecar, at its backend server
+    std::optional<time_point> start_sent; ///< when the entry sent the start message
+    std::optional<time_point> started;    ///< when the sidecar sent the request to its backend server
     std::optional<time_point> ended;
-    std::optional<error_kind> failure; ///< why it ended, if not well
-    std::optional<error_kind> refusal; ///< by the sidecar
-    std::string detail;                ///< of the refusal
+    std::optional<error_kind> failure; ///< why the attempt failed; nothing if it succeeded
+    std::optional<error_kind> refusal; ///< why the sidecar refused the offer
+    std::string detail;                ///< details of the refusal
     bool has_been_withdrawn = false;
     bool was_pushed_out = false;
     bool has_lapsed = false;
     bool was_cancelled = false;
 
-    /// The sidecar gave it to its backend server and didn't take that back.
+    /// Whether the sidecar sent the request to its backend server. A refusal recorded for a started attempt
+    /// means that the start was revoked.
     [[nodiscard]] bool has_run() const { return started && !refusal; }
-    /// The entry sent the start and nothing tells whether the sidecar began.
+    /// Whether the entry sent the start message and no record shows if the sidecar started the request.
     [[nodiscard]] bool may_have_run() const {
         return start_sent && !started && !refusal && !has_lapsed && !has_been_withdrawn;
     }
 };
 
+/// What the audit records show about one request.
 struct request_history {
     request_id request;
     std::string workspace;
     unsigned tier = 0;
     std::string target;
-    std::string entry; ///< VM; empty when the entry left no record
+    std::string
+        entry; ///< VM of the entry that received the request; empty if no record of the entry was found
     std::optional<time_point> received;
-    std::uint64_t revision = 0; ///< in force when it came in
-    /// What the entry did last: answered, refused, failed or cancelled.
+    std::uint64_t revision = 0; ///< revision of the configuration when the entry received the request
+    /// The entry's last record about the whole request: answered, refused, failed or cancelled.
     std::optional<record> outcome;
-    std::vector<attempt> attempts; ///< by the time of their first record
+    std::vector<attempt> attempts; ///< in the order of their first record
     std::vector<witnessed_record> records;
 
+    /// The attempts that ran.
     [[nodiscard]] std::vector<const attempt*> runs() const;
+    /// Whether any attempt may have run, see attempt::may_have_run().
     [[nodiscard]] bool may_have_run() const;
 };
 
-/// Of one request. Records of others are left out.
+/// Builds the history of one request. Records of other requests are ignored.
 [[nodiscard]] request_history make_history(const request_id& request, const findings& found);
 
-/// Of every request in the findings, by their first record.
+/// Builds the history of each request in the findings, in the order of their first records.
 [[nodiscard]] std::vector<request_history> make_histories(const findings& found);
 
 } // namespace borageford::audit
--- a/src/audit/request_identifier.cpp
+++ b/src/audit/request_identifier.cpp
@@ -1,4 +1,4 @@
-// Packing time and entry into a request id.
+// Encodes the time and the entry's name in a request id, and reads them from it.
 #include "audit/request_identifier.hpp"
 
 #include "base/hash.hpp"
--- a/src/audit/request_identifier.hpp
+++ b/src/audit/request_identifier.hpp
@@ -1,5 +1,5 @@
-// Request ids that say when and at which entry a request came in. Without that, an auditor with nothing but
-// the id would have to read every batch of every entry since the beginning.
+// Request ids that contain the time at which the request was received and a hash of the entry's name. Without
+// them, finding a request by its id would require reading every batch that any entry has ever written.
 #pragma once
 
 #include "base/identifier.hpp"
@@ -11,15 +11,17 @@
 
 namespace borageford::audit {
 
-/// 48 bits of time in milliseconds since 1970, 16 bits that name the entry, 64 random bits.
+/// Makes an id of 128 bits: 48 bits of time in milliseconds since 1970, 16 bits of a hash of the entry's VM
+/// name, 64 random bits.
 [[nodiscard]] request_id
 make_request_identifier(std::string_view entry_vm,
                         std::chrono::system_clock::time_point now = std::chrono::system_clock::now());
 
+/// The time at which the request was received, according to the entry's clock.
 [[nodiscard]] std::chrono::system_clock::time_point start_time(const request_id& request) noexcept;
 
-/// Whether the entry of this name can have made the id: certainly not when false; one entry in 65,536 others
-/// gives true as well.
+/// Whether the entry on this VM may have made the id. If false, it certainly didn't; if true, there is a
+/// chance of 1 in 65,536 that another entry did.
 [[nodiscard]] bool may_come_from(const request_id& request, std::string_view entry_vm) noexcept;
 
 } // namespace borageford::audit
