--- a/tests/failure/test_audit_trail.cpp
+++ b/tests/failure/test_audit_trail.cpp
@@ -1,4 +1,4 @@
-// What an auditor can still read after processes died.
+// Tests that the audit trail stays complete when an entry is killed or the object store is down.
 #include "support/cluster.hpp"
 #include "support/completion.hpp"
 #include "support/wait_until.hpp"
@@ -22,8 +22,8 @@
 } // namespace
 
 // An entry is killed right after it started a request, before it wrote its audit records. The auditor has the
-// request id from the caller's log and must read from the sidecar's side that it ran, and where.
-TEST_CASE("audit: an entry killed after a start doesn't hide where the request ran") {
+// request id from the caller's log. The sidecar's records must show that the request ran, and where.
+TEST_CASE("audit: if an entry is killed after a start the audit trail still shows where the request ran") {
     cluster system(
         {.entries = 2, .backend_servers = {{.name = "pluma-1"}}, .process_settings = "audit_period = 60s\n"});
     pending_call pending(system.entry(0).callers, make_completion("auditoria", {.tokens = 40}));
@@ -34,7 +34,7 @@
     REQUIRE(request.size() == 32);
     CHECK_FALSE(cut.is_whole);
 
-    // A graceful stop writes the sidecar's records and marks them as its last.
+    // On a graceful shutdown the sidecar writes its records; they would otherwise stay in memory for 60 s.
     system.backend(0).sidecar->terminate();
     wait_until("the sidecar's end", [&] { return !system.backend(0).sidecar->is_running(); });
     const auto text = explain(system.entry(1).admin, request);
@@ -44,9 +44,9 @@
     CHECK(text.find("auditoria") == std::string::npos); // prompts are never recorded
 }
 
-// A platform outage hits while requests run, and an entry is asked about one afterwards. Nothing may be
-// missing: the records waited in memory.
-TEST_CASE("audit: records outlive an outage of the object store") {
+// A request is served during an outage of the platform, and its records are read afterwards. None may be
+// missing: the processes keep records in memory until the object store accepts them.
+TEST_CASE("audit: records made during an outage of the object store are written after it") {
     cluster system({.entries = 1,
                     .backend_servers = {{.name = "pluma-1"}},
                     .process_settings = "audit_period = 100ms\n"});
--- a/tests/failure/test_configuration_changes.cpp
+++ b/tests/failure/test_configuration_changes.cpp
@@ -1,4 +1,5 @@
-// An accepted configuration is in force everywhere within seconds and never reverts.
+// Tests that an accepted configuration is in force on all nodes within seconds and that no node goes back to
+// an older one, whatever fails in the meantime.
 #include "support/cluster.hpp"
 #include "support/completion.hpp"
 #include "support/operator_client.hpp"
@@ -22,7 +23,7 @@
 
 constexpr std::uint32_t answer_tokens = 10;
 
-/// The intent in force with one more section that changes nothing for callers.
+/// Returns the intent in force with one more [service] section, which changes nothing for callers.
 std::string with_service(const operator_client& by, const std::string& name) {
     return by.text_of(by.held_revision()) + "[service " + name + "]\n";
 }
@@ -38,7 +39,7 @@
            text_of_stream(answer.body) == expected_text(call, answer_tokens);
 }
 
-/// Callers that keep both entries at work until stop().
+/// Sends requests to both entries, one after the other each, until stop() is called.
 class load {
 public:
     explicit load(cluster& system) {
@@ -92,7 +93,8 @@
               << times.at(times.size() / 2) << " ms, worst " << times.back() << " ms\n";
 }
 
-/// Puts this many changes in force one after the other and returns how long each took.
+/// Confirms `count` changes one after the other, each when the one before is in force on all nodes. Returns
+/// how long each took to be in force on all nodes, in milliseconds.
 std::vector<std::uint64_t> change_often(const operator_client& by, std::size_t count) {
     std::vector<std::uint64_t> times;
     for (std::size_t number = 0; number < count; ++number) {
@@ -107,9 +109,11 @@
 
 } // namespace
 
-// Two operators confirm conflicting plans at the same moment at different entries. Were both accepted, one
-// would find the other's change silently undone; were they mixed, something nobody planned would be in force.
-TEST_CASE("configuration: of two operators who confirm at once one wins and the other learns it") {
+// Two operators confirm conflicting plans at the same moment at different entries. If both plans were
+// accepted, one would silently undo the other; if they were mixed, a configuration that nobody planned would
+// be in force.
+TEST_CASE(
+    "configuration: of two plans confirmed at once one is accepted and the other is refused as a conflict") {
     cluster system;
     const operator_client ana(system.entry(0).admin, "ana");
     const operator_client bruno(system.entry(1).admin, "bruno");
@@ -137,9 +141,10 @@
     }
 }
 
-// The table takes the commit, and the connection breaks before its answer. An operator who is told that it
-// failed confirms again or plans anew, while the change is in force; it must be reported as accepted, once.
-TEST_CASE("configuration: a commit whose answer is lost is reported as accepted, once") {
+// The table commits a revision, and the connection breaks before the answer. If the commit were reported as
+// failed, the operator would confirm again or make a new plan although the change is in force. It must be
+// reported as accepted, and must make only one revision.
+TEST_CASE("configuration: a commit whose answer is lost is reported as accepted and makes one revision") {
     cluster system;
     const operator_client ana(system.entry(0).admin, "ana");
     const operator_client bruno(system.entry(1).admin, "bruno");
@@ -155,14 +160,14 @@
     CHECK(ana.count_revisions() == before + 1);
 }
 
-// The platform goes out right after the commit, before any node but the one that confirmed could read it.
-// Operators were told that it is in force; nodes that only read the table would keep the former one all
-// night.
-TEST_CASE("configuration: a commit followed by an outage reaches every node by its peers") {
+// The platform fails right after a commit, before any node except the entry that confirmed it could read the
+// revision. The operator was told that the change is accepted, but nodes that only read the table would keep
+// the previous configuration until the end of the outage.
+TEST_CASE("configuration: a revision committed just before an outage reaches every node through peers") {
     cluster system;
     const operator_client ana(system.entry(0).admin, "ana");
     const auto plan = ana.plan(with_service(ana, "uno"));
-    // From here on every read of the table shows the time before, so no node can learn of the commit there.
+    // From here on every read of the table returns the state at this moment, so no node can read the commit.
     system.control_platform(R"({"stale_reads": true})");
     const auto confirm = ana.begin_confirm(plan);
     const auto answer = operator_client::read_confirm(confirm->wait());
@@ -173,9 +178,9 @@
     CHECK(is_served(system.send(1, call), call));
 }
 
-// A replica of the table lags for long and shows an old head at every poll. A node that believed it would go
-// back to a configuration that an operator has replaced.
-TEST_CASE("configuration: stale reads of the head take no node back") {
+// A replica of the table lags behind for a long time and returns an old head row in every poll. A node that
+// used the old head row would go back to a configuration that an operator has replaced.
+TEST_CASE("configuration: stale reads of the head row make no node go back to an older revision") {
     cluster system;
     const operator_client ana(system.entry(0).admin, "ana");
     auto intent = ana.text_of(ana.held_revision());
@@ -188,17 +193,17 @@
         REQUIRE(answer.is_everywhere);
         revision = answer.revision;
     }
-    // Every node polls several times meanwhile.
+    // Waits until the nodes have made 40 more reads of the table, several for each node.
     const auto reads = system.platform_count("reads");
     wait_until("further stale polls", [&] { return system.platform_count("reads") >= reads + 40; });
     CHECK(all_hold(ana, revision));
 }
 
-// An entry stands still while an operator drains a backend server, with callers already waiting at its
-// socket. Thawed, it still believes the former configuration. What it places by that, the operator finds
-// running on a server that was declared empty.
+// An entry is suspended while an operator drains a backend server, and callers have already connected to it.
+// When it is resumed, it still has the previous configuration. If it placed requests by that, they would run
+// on the drained server, which the operator takes for empty.
 TEST_CASE(
-    "configuration: an entry frozen over a revision and thawed under load places nothing by the old one") {
+    "configuration: an entry suspended during a change and resumed under load doesn't use the old revision") {
     cluster system;
     const operator_client bruno(system.entry(1).admin, "bruno");
     system.entry(0).process->freeze();
@@ -228,10 +233,10 @@
     CHECK(metrics.find("borageford_configuration_revision 2\n") != std::string::npos);
 }
 
-// A sidecar stands still while its backend server is drained, with offers in its socket. Thawed, it must not
-// grant them by the configuration it knew.
-TEST_CASE(
-    "configuration: a sidecar frozen over a revision and thawed under load runs nothing by the old one") {
+// A sidecar is suspended while its backend server is drained, and offers have already arrived at its socket.
+// When it is resumed, it must not grant these offers by the previous configuration.
+TEST_CASE("configuration: a sidecar suspended during a change and resumed under load doesn't use the old "
+          "revision") {
     cluster system;
     const operator_client bruno(system.entry(1).admin, "bruno");
     system.backend(0).sidecar->freeze();
@@ -254,9 +259,10 @@
     wait_until("the revision at every node", [&] { return all_hold(bruno, drained.revision); });
 }
 
-// A sidecar's VM is replaced while the platform is out. It can't read the table, but the entries that know it
-// connect and are ahead of it; without that its backend server stays idle until the platform is back.
-TEST_CASE("configuration: a sidecar started in an outage takes the configuration from its peers") {
+// A sidecar's VM is replaced during an outage of the platform. The new sidecar can't read the table, but the
+// entries that know its address connect to it and have a newer revision. If it didn't get the configuration
+// from them, its backend server would be idle until the end of the outage.
+TEST_CASE("configuration: a sidecar started during an outage gets the configuration from its peers") {
     cluster system({.backend_servers = {{.name = "pluma-1"}}});
     const operator_client ana(system.entry(0).admin, "ana");
     system.control_platform(R"({"outage": true})");
@@ -266,9 +272,10 @@
     wait_until("an answer by the new sidecar", [&] { return is_served(system.send(0, call), call); });
 }
 
-// An entry's VM is replaced while the platform is out. It knows neither a configuration nor its peers.
-// Callers whom the balancer sends there must be told that nothing ran, and when to come back.
-TEST_CASE("configuration: an entry started in an outage refuses work as not run, then serves") {
+// An entry's VM is replaced during an outage of the platform. The new entry has no configuration and knows no
+// peers. Its answers to callers must state that the request didn't run and when to retry.
+TEST_CASE(
+    "configuration: an entry started during an outage refuses requests as not run and serves them later") {
     cluster system;
     system.control_platform(R"({"outage": true})");
     system.entry(1).process->kill();
@@ -284,9 +291,9 @@
     wait_until("an answer after the outage", [&] { return is_served(system.send(1, call), call); });
 }
 
-// An operator's script confirms fifty changes one after the other while callers are served. Each must be in
-// force everywhere before the next, and no caller may notice any of it.
-TEST_CASE("configuration: fifty quick revisions under load are in force everywhere and disturb no caller") {
+// An operator's script confirms fifty changes one after the other while callers are served. Each change must
+// be in force on all nodes before the next one, and every caller must get a correct answer.
+TEST_CASE("configuration: fifty quick revisions under load are in force on all nodes and disturb no caller") {
     cluster system;
     const operator_client ana(system.entry(0).admin, "ana");
     load callers(system);
@@ -299,9 +306,10 @@
     CHECK(all_hold(ana, 51));
 }
 
-// Revisions come between the claim of a kudos' key and its start. Decided again, the call must neither run
-// twice nor be told that its own claim is somebody else's: the author would see a doubled kudos, or none.
-TEST_CASE("configuration: quick revisions neither double nor lose a non-idempotent call") {
+// Revisions are accepted between the claim of a non-idempotent call's key and its start, so that the entry
+// decides about the call again. The call must neither run twice nor be refused because of its own claim: an
+// author would see a "kudos" call counted twice or not at all.
+TEST_CASE("configuration: quick revisions make no non-idempotent call run twice or get lost") {
     cluster system({.backend_servers = {{.name = "estante-1", .is_service = true},
                                         {.name = "estante-2", .is_service = true}}});
     const operator_client ana(system.entry(0).admin, "ana");
@@ -325,9 +333,9 @@
     }
 }
 
-// The same with the poll period that processes have by default, so that polling alone can't hide that peers
-// pass nothing on.
-TEST_CASE("configuration: changes don't wait for a poll to be in force everywhere") {
+// Fifty changes with a poll period of 2 s. With the short period of the other tests, polling would hide a
+// failure of peers to send new revisions to each other.
+TEST_CASE("configuration: changes are in force on all nodes without waiting for a poll") {
     cluster system({.poll_period = "2s"});
     const operator_client ana(system.entry(0).admin, "ana");
     const auto times = change_often(ana, 50);
--- a/tests/unit/test_administration.cpp
+++ b/tests/unit/test_administration.cpp
@@ -1,4 +1,5 @@
-// The administration API as operators call it, over HTTP, against a platform in this process.
+// Tests of the administration API: calls over HTTP to entries that use a platform running in the test
+// process.
 #include "admin/administration.hpp"
 #include "base/sha256.hpp"
 #include "http/client.hpp"
@@ -29,7 +30,7 @@
     return hello;
 }
 
-/// One entry's parts, as far as the administration needs them.
+/// The parts of an entry that the administration API needs, with an HTTP server for the API.
 class admin_entry {
 public:
     admin_entry(test::test_runtime& runtime, const boost::asio::ip::tcp::endpoint& platform,
@@ -77,7 +78,7 @@
         return json::parse(call(method, target, body).body);
     }
 
-    /// Plans and confirms; the confirm's answer.
+    /// Makes a plan from the intent and confirms it. Returns the response to the confirmation.
     json::value put_in_force(const std::string& intent) {
         const auto planned = call_json("POST", "/admin/plans", intent);
         return call_json("POST", "/admin/plans/" + json::value_to<std::string>(planned.at("plan")) +
@@ -150,7 +151,7 @@
 
 } // namespace
 
-TEST_CASE("a plan shows what changes and puts nothing in force", "[admin]") {
+TEST_CASE("a plan lists its changes and doesn't put them in force", "[admin]") {
     fixture system;
     const auto planned = system.first.call_json("POST", "/admin/plans", intent("1"));
     CHECK(planned.at("base") == 0);
@@ -160,7 +161,7 @@
     CHECK(system.second.call_json("GET", "/admin/plans/" + id).at("plan") == planned.at("plan"));
 }
 
-TEST_CASE("a plan made at one entry is confirmed at another and is in force at both", "[admin]") {
+TEST_CASE("a plan made at one entry can be confirmed at another and is then in force at both", "[admin]") {
     fixture system;
     system.list_both();
     const auto planned = system.first.call_json("POST", "/admin/plans", intent("1"));
@@ -168,16 +169,16 @@
     const auto confirmed = system.second.call_json("POST", "/admin/plans/" + id + "/confirm?wait=30s");
     CHECK(confirmed.at("state") == "accepted");
     CHECK(confirmed.at("in_force").at("everywhere") == true);
-    // The first entry doesn't poll in this test: the other passed the revision on.
+    // The first entry's poll period is an hour in this test, so it got the revision from the second entry.
     CHECK(system.first.follower().revision() == 1);
     const auto again = system.first.call_json("POST", "/admin/plans/" + id + "/confirm");
     CHECK(again.at("state") == "already_accepted");
     CHECK(again.at("revision") == 1);
 }
 
-TEST_CASE("status and a waiting confirm name the nodes that are behind", "[admin]") {
-    // A VM on the platform's list doesn't answer. The operator must learn that it may still work by the
-    // former configuration, and which one it is.
+TEST_CASE("status and the response to a confirmation name the nodes that are behind", "[admin]") {
+    // A VM on the platform's list doesn't answer. The operator must be told which VM it is, because it may
+    // still use the previous configuration.
     fixture system;
     system.service.replace_vms(
         {json::object{{"name", "lost"}, {"address", "127.0.0.1:1"}, {"role", "sidecar"}, {"state", "live"}}});
@@ -193,7 +194,7 @@
     CHECK(status.at("in_force").at("behind") == json::array{"lost"});
 }
 
-TEST_CASE("a conflict names the revision that came between", "[admin]") {
+TEST_CASE("the response to a conflict names the revision that was committed instead of the plan", "[admin]") {
     fixture system;
     const auto late = system.first.call_json("POST", "/admin/plans", intent("2"));
     CHECK(system.second.put_in_force(intent("1")).at("revision") == 1);
@@ -206,7 +207,7 @@
     CHECK(error.at("came_between").at("revision") == 1);
 }
 
-TEST_CASE("old content comes back as a new revision", "[admin]") {
+TEST_CASE("reverting to an earlier revision makes a new revision", "[admin]") {
     fixture system;
     system.first.put_in_force(intent("1"));
     system.first.put_in_force(intent("2"));
@@ -219,7 +220,7 @@
     CHECK(system.first.call_json("GET", "/admin/revisions?limit=2").at("revisions").as_array().size() == 2);
 }
 
-TEST_CASE("a drain is recorded as a revision and shown", "[admin]") {
+TEST_CASE("a drain is committed as a revision and shown in the list of backend servers", "[admin]") {
     fixture system;
     system.first.put_in_force(intent("1"));
     const auto drained = system.first.call_json("POST", "/admin/backend_servers/b/drain");
@@ -231,7 +232,7 @@
     CHECK(kind_of(system.first.call("POST", "/admin/backend_servers/none/drain")) == "not_found");
 }
 
-TEST_CASE("a quarantined request is listed and released", "[admin]") {
+TEST_CASE("a quarantined request is listed and can be released", "[admin]") {
     fixture system;
     const std::string marks = marks::encode_row({{identifier{1, 1}, "a", 5}, {identifier{1, 2}, "b", 9}});
     system.runtime.wait_for(system.first.table().transact({{}, {{"mark/00000000000000ff", marks}}, {}}));
@@ -243,9 +244,9 @@
     CHECK(system.first.call("POST", "/admin/quarantine/00000000000000ff/release").head.status == 404);
 }
 
-TEST_CASE("a release whose answer is lost is not called unchanged", "[admin]") {
-    // The table takes the release and the connection breaks. Told that nothing was changed, the operator
-    // would believe the request still quarantined while it runs again.
+TEST_CASE("a release from quarantine whose answer is lost has an unknown outcome", "[admin]") {
+    // The table commits the release and the connection breaks before the answer. If the response said that
+    // nothing was changed, the operator would take the request for quarantined while it can run again.
     fixture system;
     const auto marks = marks::encode_row({{identifier{1, 1}, "a", 5}});
     system.runtime.wait_for(system.first.table().transact({{}, {{"mark/00000000000000ff", marks}}, {}}));
@@ -255,7 +256,7 @@
     CHECK(system.first.call("POST", "/admin/quarantine/00000000000000ff/release").head.status == 404);
 }
 
-TEST_CASE("wrong calls are refused with a kind and a remedy", "[admin]") {
+TEST_CASE("invalid calls are refused with an error kind and a remedy", "[admin]") {
     fixture system;
     CHECK(kind_of(system.first.call("GET", "/admin/status", "", "guess")) == "unauthorized");
     CHECK(kind_of(system.first.call("GET", "/admin/nothing")) == "not_found");
@@ -272,8 +273,9 @@
     CHECK(error.at("problems").at(0).at("line") == 2);
 }
 
-TEST_CASE("in an outage a change is refused and status still answers", "[admin]") {
-    // The platform's table is down. The operator must see that nothing was changed, and what is in force.
+TEST_CASE("during an outage of the platform a change is refused and status still answers", "[admin]") {
+    // The platform's table is down. The operator must be told that nothing was changed, and which revision is
+    // in force.
     fixture system;
     system.first.put_in_force(intent("1"));
     const auto planned = system.first.call_json("POST", "/admin/plans", intent("2"));
--- a/tests/unit/test_audit_batch.cpp
+++ b/tests/unit/test_audit_batch.cpp
@@ -1,4 +1,5 @@
-// What is written of a decision is what an auditor reads, and what had to give way is said.
+// Tests of audit batches: encoding and decoding of batches, their keys and request ids, and the backlog,
+// which replaces batches by gap records when memory is full.
 #include "audit/backlog.hpp"
 #include "audit/batch.hpp"
 #include "audit/batch_key.hpp"
@@ -43,7 +44,7 @@
 
 } // namespace
 
-TEST_CASE("every event has a name that leads back to it", "[audit]") {
+TEST_CASE("every event can be found by its name", "[audit]") {
     for (int value = 0; value <= static_cast<int>(audit::event::gap); ++value) {
         const auto what = static_cast<audit::event>(value);
         CHECK(audit::find_event(audit::to_string(what)) == what);
@@ -51,7 +52,7 @@
     CHECK_FALSE(audit::find_event("nothing"));
 }
 
-TEST_CASE("a batch survives its coding", "[audit]") {
+TEST_CASE("decoding an encoded batch restores its records", "[audit]") {
     const auto written = make_batch();
     const auto read = audit::decode_batch(audit::encode_batch(written));
     CHECK(read.origin.role == "entry");
@@ -74,9 +75,9 @@
     CHECK(refused.detail == "queue full");
 }
 
-TEST_CASE("a cut batch is refused, not read as a shorter one", "[audit]") {
-    // The connection to the object store breaks in the middle of a read. An auditor would see a request that
-    // was received and never refused.
+TEST_CASE("a truncated batch is an error and isn't read as a shorter batch", "[audit]") {
+    // The connection to the object store breaks in the middle of a read. If the received part were accepted,
+    // an auditor could see a request that was received but not its refusal.
     const auto text = audit::encode_batch(make_batch());
     for (std::size_t length = 0; length < text.size(); ++length) {
         CHECK_THROWS_AS(audit::decode_batch(std::string_view(text).substr(0, length)), audit::batch_error);
@@ -86,7 +87,7 @@
                     audit::batch_error);
 }
 
-TEST_CASE("a key leads back to its batch", "[audit]") {
+TEST_CASE("parsing the key of a batch restores its parts", "[audit]") {
     const audit::batch_key key{
         std::chrono::floor<std::chrono::minutes>(noon + 7min), "sidecar", "a/b 1", 12, {1, 2}};
     const auto text = key.to_string();
@@ -104,7 +105,7 @@
     CHECK_FALSE(audit::batch_key::parse("elsewhere/2026-12-02/12/07/sidecar/x/1-" + std::string(32, '0')));
 }
 
-TEST_CASE("a request id says when and where the request came in", "[audit]") {
+TEST_CASE("a request id contains the time and the entry at which the request was received", "[audit]") {
     const auto request = audit::make_request_identifier("entry-1", noon + 12ms);
     CHECK(audit::start_time(request) == noon + 12ms);
     CHECK(audit::may_come_from(request, "entry-1"));
@@ -112,7 +113,7 @@
     CHECK(audit::make_request_identifier("entry-1", noon) != audit::make_request_identifier("entry-1", noon));
 }
 
-TEST_CASE("batches are closed by time and by size", "[audit]") {
+TEST_CASE("a batch is closed when it is full or at the end of a period", "[audit]") {
     auto backlog = make_backlog(2, 100);
     backlog.close(noon, false);
     CHECK(backlog.closed_batches() == 0);
@@ -138,9 +139,9 @@
     CHECK_FALSE(backlog.begin_write());
 }
 
-TEST_CASE("in an outage the oldest batch gives way and says so under its own key", "[audit]") {
-    // The object store is out for hours and a busy process runs out of room for records. Memory must stay
-    // bounded, and an auditor who later looks for that time must read that records were lost, and how many.
+TEST_CASE("when memory is full the oldest batch is replaced by a gap under the same key", "[audit]") {
+    // The object store is down for hours and a busy process reaches its memory limit for records. Memory must
+    // stay bounded, and an auditor who later searches that time must find out how many records were lost.
     auto backlog = make_backlog(2, 4);
     for (int index = 0; index < 7; ++index) {
         backlog.add(make_record(std::chrono::seconds(index), audit::event::queued));
@@ -157,9 +158,9 @@
     CHECK(read.records[0].detail.starts_with("2 records of 1 s"));
 }
 
-TEST_CASE("a batch whose write is under way doesn't give way", "[audit]") {
-    // The store is slow, not out: the write of a batch takes effect after memory ran full. Had the batch been
-    // turned into a gap meanwhile, the gap would later overwrite good records.
+TEST_CASE("a batch that is being written isn't replaced by a gap", "[audit]") {
+    // The store is slow but not down: the write of a batch takes effect after memory has become full. If the
+    // batch were replaced by a gap in the meantime, the gap would later overwrite the written records.
     auto backlog = make_backlog(2, 2);
     backlog.add(make_record(0us, audit::event::queued));
     backlog.add(make_record(1us, audit::event::granted));
@@ -175,8 +176,9 @@
     CHECK(next->sequence == 2);
 }
 
-TEST_CASE("gaps don't fill memory either", "[audit]") {
-    // An outage goes on for days: the gaps themselves are joined, and none of the loss is forgotten.
+TEST_CASE("gaps are joined so that they don't fill the memory", "[audit]") {
+    // During an outage of several days the gaps themselves must be joined. The joined gap must contain the
+    // number of all records that were lost.
     auto backlog = make_backlog(1, 0);
     const std::size_t records = audit::backlog::gap_limit + 50;
     for (std::size_t index = 0; index < records; ++index) {
--- a/tests/unit/test_audit_explainer.cpp
+++ b/tests/unit/test_audit_explainer.cpp
@@ -1,4 +1,5 @@
-// An auditor's questions: found among many writers' batches, joined from both sides, and told in words.
+// Tests of the search for audit records (explainer) and of the explanations made from them (narrative):
+// records of entries and sidecars are found among the batches of many writers and combined into one text.
 #include "audit/backlog.hpp"
 #include "audit/explainer.hpp"
 #include "audit/narrative.hpp"
@@ -26,7 +27,7 @@
 const dispatch_id first_dispatch{3, 1};
 const dispatch_id second_dispatch{3, 2};
 
-/// Writers whose batches are closed by hand, and an explainer that reads them.
+/// Backlogs of entries and sidecars whose batches the test closes, and an explainer that reads those batches.
 struct fixture {
     boost::asio::io_context context;
     test::object_store_stub stub{context.get_executor()};
@@ -64,7 +65,7 @@
         return entry;
     }
 
-    /// Writes what a writer holds as a batch closed at this time.
+    /// Closes the backlog's open batch at this time and writes all its batches to the store.
     void close(audit::backlog& from, std::chrono::milliseconds after_noon) {
         from.close(noon + after_noon, false);
         while (const auto object = from.begin_write()) {
@@ -101,7 +102,8 @@
         return text;
     }
 
-    /// Offered to two, granted by the second, answered.
+    /// Adds the records of a request that was offered to two backend servers and ran on the second, up to the
+    /// end of its dispatch. The entry's record of the outcome is left to the test.
     void serve() {
         auto& entry_side = entry();
         entry_side.add(make(0ms, event::received));
@@ -123,7 +125,7 @@
 
 } // namespace
 
-TEST_CASE("a served request is told from both sides", "[audit]") {
+TEST_CASE("the explanation of a served request combines records of the entry and the sidecars", "[audit]") {
     fixture parts;
     parts.serve();
     parts.entry().add(parts.make(901ms, event::answered, second_dispatch, "pluma-2"));
@@ -141,9 +143,9 @@
     CHECK(contains(json, "\"verdict\":\"served\""));
 }
 
-TEST_CASE("a search reads few objects, however many writers there are", "[audit]") {
-    // The letter's size has 350 entries and 1,300 sidecars. A search that read all their batches would take
-    // the platform's whole read rate for seconds.
+TEST_CASE("the number of batches that a search reads doesn't depend on the number of writers", "[audit]") {
+    // A full-size system has 350 entries and 1,300 sidecars. A search that read all their batches would use
+    // up the platform's read rate for seconds.
     fixture parts;
     parts.serve();
     parts.entry().add(parts.make(901ms, event::answered, second_dispatch, "pluma-2"));
@@ -160,7 +162,7 @@
     CHECK(parts.stub.lists <= 6);
 }
 
-TEST_CASE("a refused request is told with the reason of each backend server", "[audit]") {
+TEST_CASE("the explanation of a refused request contains the reason of each backend server", "[audit]") {
     fixture parts;
     parts.entry().add(parts.make(0ms, event::received));
     parts.entry().add(parts.make(1ms, event::offered, first_dispatch, "pluma-1"));
@@ -176,7 +178,7 @@
     CHECK(contains(text, "Entry entry-1 refused it as overloaded at 2026-12-02T12:00:00.003000Z."));
 }
 
-TEST_CASE("a quarantined request is told without any backend server", "[audit]") {
+TEST_CASE("a quarantined request is explained although no backend server received it", "[audit]") {
     fixture parts;
     parts.entry().add(parts.make(0ms, event::received));
     parts.entry().add(parts.make_refusal(1ms, error_kind::quarantined));
@@ -188,9 +190,11 @@
     CHECK(contains(audit::describe_request_as_json(parts.request, parts.find()), "\"verdict\":\"not_run\""));
 }
 
-TEST_CASE("an entry that died with its records doesn't hide where a request ran", "[audit]") {
-    // An entry is killed right after a start, before it wrote its batch. The auditor has the request id from
-    // the caller's log and must still read that it ran, where, and that the entry's side is missing.
+TEST_CASE("a request is explained from sidecars' records if its entry crashed without writing any",
+          "[audit]") {
+    // An entry is killed right after it started a request, before it wrote its batch. The auditor has the
+    // request id from the caller's log and must find out that and where it ran, and that the entry's records
+    // are missing.
     fixture parts;
     parts.serve();
     parts.close(parts.sidecar("pluma-1"), 30s);
@@ -203,7 +207,7 @@
                    "\"verdict\":\"interrupted\""));
 }
 
-TEST_CASE("a long answer is followed to its end", "[audit]") {
+TEST_CASE("a search continues until the end of a request that ran for minutes", "[audit]") {
     fixture parts;
     parts.entry().add(parts.make(0ms, event::received));
     parts.entry().add(parts.make(1ms, event::offered, first_dispatch, "pluma-1"));
@@ -219,9 +223,9 @@
     CHECK(contains(text, "The caller had its whole answer"));
 }
 
-TEST_CASE("what is missing is said", "[audit]") {
-    // Batches were lost in an outage, removed from the store, cut, or aren't written yet. An auditor must not
-    // take the silence for proof that nothing happened.
+TEST_CASE("an explanation lists missing and unreadable records", "[audit]") {
+    // Batches were lost in an outage, deleted from the store, truncated, or aren't written yet. Without a
+    // remark, an auditor could take the missing records as proof that nothing happened.
     fixture parts;
     auto& entry = parts.entry();
     entry.add(parts.make(0ms, event::received));
@@ -241,13 +245,13 @@
                        "Missing: entry entry-1 lost records: from "
                        "2026-12-02T12:00:02.000000Z, 12 records of 3 s from here on were lost."));
     }
-    SECTION("a batch removed") {
+    SECTION("a deleted batch") {
         auto object = parts.stub.objects.begin();
         std::advance(object, 2);
         parts.stub.objects.erase(object);
         CHECK(contains(parts.explain(), "Missing: 1 batches of entry entry-1 between those read"));
     }
-    SECTION("a batch cut") {
+    SECTION("a truncated batch") {
         parts.stub.objects.begin()->second.resize(20);
         CHECK(contains(parts.explain(), "can't be read"));
     }
@@ -260,7 +264,7 @@
     }
 }
 
-TEST_CASE("a request started twice is pointed out", "[audit]") {
+TEST_CASE("an explanation points out that a request ran twice", "[audit]") {
     fixture parts;
     parts.serve();
     parts.sidecar("pluma-1").add(parts.make(17ms, event::started, first_dispatch, "pluma-1"));
@@ -268,7 +272,7 @@
     CHECK(contains(parts.explain(), "It ran 2 times, which must not happen"));
 }
 
-TEST_CASE("a start that the sidecar took back is no run", "[audit]") {
+TEST_CASE("a start that the sidecar revoked doesn't count as a run", "[audit]") {
     fixture parts;
     parts.serve();
     auto taken_back = parts.make(17ms, event::refused, second_dispatch, "pluma-2");
@@ -280,7 +284,7 @@
     CHECK(contains(parts.explain(), "It did not run."));
 }
 
-TEST_CASE("a workspace's requests of a time are listed", "[audit]") {
+TEST_CASE("the requests of a workspace in a period of time are listed", "[audit]") {
     fixture parts;
     parts.serve();
     parts.entry().add(parts.make(901ms, event::answered, second_dispatch, "pluma-2"));
@@ -299,7 +303,7 @@
     CHECK(contains(audit::list_requests("", all, 1).back(), "1 more requests were left out"));
 }
 
-TEST_CASE("a search stops at its limit and says so", "[audit]") {
+TEST_CASE("a search stops at its limit of batches and adds a remark", "[audit]") {
     fixture parts;
     for (int index = 0; index < 5; ++index) {
         parts.writer("entry-" + std::to_string(index), "entry").add(parts.make(1ms, event::received));
--- a/tests/unit/test_audit_recorder.cpp
+++ b/tests/unit/test_audit_recorder.cpp
@@ -1,4 +1,5 @@
-// Records reach the object store, once, whatever the store does meanwhile.
+// Tests of recorder: each audit record is written to the object store exactly once, also if the store is down
+// for a while or its answers are lost.
 #include "audit/batch.hpp"
 #include "audit/recorder.hpp"
 #include "store/object_store.hpp"
@@ -15,7 +16,7 @@
 
 namespace {
 
-constexpr auto guard = 20s; ///< only against a test that hangs
+constexpr auto guard = 20s; ///< time limit of a test, so that it can't hang
 
 struct fixture {
     boost::asio::io_context context;
@@ -31,7 +32,7 @@
         return chosen;
     }
 
-    /// Runs until something calls context.stop().
+    /// Runs the event loop until a callback of the test calls context.stop().
     void run() {
         context.restart();
         context.run_for(guard);
@@ -57,7 +58,7 @@
 
 } // namespace
 
-TEST_CASE("a graceful end writes all records and says that they are the last", "[audit]") {
+TEST_CASE("a graceful shutdown writes all records and marks the last batch", "[audit]") {
     fixture parts;
     audit::recorder recorder(parts.context.get_executor(), parts.timers, parts.store, parts.settings(1h));
     recorder.start();
@@ -72,9 +73,9 @@
     CHECK(recorder.lost_records() == 0);
 }
 
-TEST_CASE("records wait out an outage of the store", "[audit]") {
-    // The object store refuses writes for a while. Requests go on, and an auditor later finds the records of
-    // that time as if nothing had been.
+TEST_CASE("records made during an outage of the store are written after it", "[audit]") {
+    // The object store refuses writes for a while. Requests continue, and an auditor must later find their
+    // records as if there had been no outage.
     fixture parts;
     parts.stub.is_out = true;
     audit::recorder recorder(parts.context.get_executor(), parts.timers, parts.store, parts.settings(5ms));
@@ -91,9 +92,9 @@
     CHECK(parts.written().size() == 1);
 }
 
-TEST_CASE("a write whose answer was lost leaves one batch", "[audit]") {
-    // The store took the batch and the connection broke before its answer came. The batch is written again;
-    // counted twice, it would show an auditor two dispatches where there was one.
+TEST_CASE("a batch that is written again after a lost answer is stored once", "[audit]") {
+    // The store accepted the batch and the connection broke before the answer, so the batch is written again.
+    // If it were stored twice, an auditor would see two dispatches instead of one.
     fixture parts;
     parts.stub.lost_answers = 2;
     audit::recorder recorder(parts.context.get_executor(), parts.timers, parts.store, parts.settings(5ms));
@@ -109,8 +110,9 @@
     CHECK(parts.written().size() == 1);
 }
 
-TEST_CASE("a graceful end doesn't wait for a store that is out", "[audit]") {
-    // The platform is down while an operator restarts the process. The restart must go through.
+TEST_CASE("a graceful shutdown doesn't wait for a store that is down", "[audit]") {
+    // The platform is down while an operator restarts the process. Records that can't be written must not
+    // prevent the restart.
     fixture parts;
     parts.stub.is_out = true;
     audit::recorder recorder(parts.context.get_executor(), parts.timers, parts.store, parts.settings(1h));
--- a/tests/unit/test_configuration_difference.cpp
+++ b/tests/unit/test_configuration_difference.cpp
@@ -1,4 +1,5 @@
-// What plans say in operators' words, and the warnings.
+// Tests of the lines and warnings that describe a plan to operators, and of the edit that drains a backend
+// server.
 #include "configuration/difference.hpp"
 #include "configuration/intent_parser.hpp"
 #include "configuration/plan.hpp"
@@ -50,12 +51,12 @@
 
 } // namespace
 
-TEST_CASE("the same intent changes nothing", "[configuration]") {
+TEST_CASE("two intents that differ only in a comment have no differences", "[configuration]") {
     CHECK(describe_changes(parse(base), parse("; a comment\n" + base)).empty());
     CHECK(describe_warnings(parse(base), parse(base), {}).empty());
 }
 
-TEST_CASE("each change is one line in operators' words", "[configuration]") {
+TEST_CASE("each change is described by one line", "[configuration]") {
     auto after = replace(base, "requests_per_second = 10", "requests_per_second = 25.5");
     after = replace(after, "[model m]\nversion = 1", "[model m]\nversion = 2");
     after = replace(after, "[backend_server b]\nfailure_domain = d2\nmodels = m\n", "");
@@ -68,7 +69,7 @@
     CHECK(lines.size() == 4);
 }
 
-TEST_CASE("the order of routes and a workspace's keys are shown when they change", "[configuration]") {
+TEST_CASE("a new order of routes and changed API keys are described", "[configuration]") {
     const std::string other = "[route q]\nworkspace = *\nmodel = m\nidempotent = no\n";
     const auto order = describe_changes(parse(base + other), parse(replace(base, route, other + route)));
     CHECK(has_line(order, "change the order of routes to q, r"));
@@ -76,9 +77,9 @@
     CHECK(has_line(keys, "change workspace w: 1 API keys added, 1 removed"));
 }
 
-TEST_CASE("a plan warns of what it takes away", "[configuration]") {
-    // An operator changes one thing and doesn't see what hangs on it; callers are refused overnight. The
-    // plan must say so before it is confirmed.
+TEST_CASE("a plan warns of removed capacity, lowered limits and lost access", "[configuration]") {
+    // An operator makes a change and overlooks what depends on it; callers are then refused without anybody
+    // noticing overnight. The plan must warn of this before it is confirmed.
     const auto drained = replace(base, "[backend_server b]\n", "[backend_server b]\ndrained = yes\n");
     CHECK(has_line(warnings_for(drained), "model m is left in a single failure domain, d1"));
     const auto no_server = warnings_for(replace(base, servers, ""));
@@ -97,7 +98,7 @@
     CHECK(has_line(warnings_for(no_tier), "tier high is removed while in use by w"));
 }
 
-TEST_CASE("a drain changes one line and keeps the rest as it was written", "[configuration]") {
+TEST_CASE("a drain changes one line of the intent and keeps all other lines", "[configuration]") {
     const std::string text = "; first\n[backend_server a]\n# note\nkind = engine\n[backend_server b]\n";
     CHECK(*configuration::set_drained(text, "a", true) ==
           "; first\n[backend_server a]\ndrained = yes\n# note\nkind = engine\n[backend_server b]\n");
--- a/tests/unit/test_configuration_follower.cpp
+++ b/tests/unit/test_configuration_follower.cpp
@@ -1,4 +1,5 @@
-// A process's configuration only goes forward, whatever the table and its peers say.
+// Tests of configuration_follower: the revision in force in a process increases as revisions are committed,
+// and never decreases, even with stale reads of the table and outdated messages from peers.
 #include "base/compression.hpp"
 #include "configuration/configuration_follower.hpp"
 #include "configuration/revision_store.hpp"
@@ -22,7 +23,7 @@
     return "[tier high]\nrank = 0\n[model m]\nversion = " + std::to_string(version) + "\n";
 }
 
-/// Remembers what the follower announced, and waits for a revision.
+/// Records the revisions that the follower reported to its listener, and waits for a revision.
 class change_log {
 public:
     void add(revision_number revision) {
@@ -79,7 +80,7 @@
 
 } // namespace
 
-TEST_CASE("a follower finds each new head", "[configuration]") {
+TEST_CASE("a follower finds each new revision by polling", "[configuration]") {
     fixture system;
     CHECK(system.follower.current()->is_empty());
     system.start();
@@ -91,9 +92,9 @@
     CHECK(system.changes.seen() == std::vector<revision_number>{1, 2, 3});
 }
 
-TEST_CASE("a stale head never takes a follower back", "[configuration]") {
-    // A replica of the table lags and shows an old head. Going back would undo what an operator was told is
-    // in force.
+TEST_CASE("a stale head row never makes a follower go back to an older revision", "[configuration]") {
+    // A replica of the table lags behind and returns an old head row. Going back to its revision would undo a
+    // change that was reported to an operator as in force.
     fixture system;
     system.commit(0);
     system.service.set_stale_reads(true);
@@ -108,8 +109,9 @@
     CHECK(system.changes.seen() == std::vector<revision_number>{2, 3});
 }
 
-TEST_CASE("a peer's text is taken only when it is newer and valid", "[configuration]") {
-    // A peer is behind, or a frame's text was damaged. Neither may replace what is in force.
+TEST_CASE("a configuration from a peer is accepted only if it is newer and valid", "[configuration]") {
+    // The peer has an older revision, or the text in its message was damaged. In neither case may it replace
+    // the configuration in force.
     fixture system;
     CHECK(system.follower.take_from_peer(5, deflate_text(intent(5))));
     CHECK_FALSE(system.follower.take_from_peer(5, deflate_text(intent(6))));
@@ -119,7 +121,7 @@
     CHECK(system.follower.current()->find_model("m")->version == "5");
 }
 
-TEST_CASE("in an outage a follower learns from peers", "[configuration]") {
+TEST_CASE("during an outage of the table a follower gets new revisions from peers", "[configuration]") {
     fixture system;
     system.service.answer_with(503);
     system.start();
@@ -128,7 +130,8 @@
     CHECK(system.follower.revision() == 7);
 }
 
-TEST_CASE("a wait for a newer revision ends with it, or with its limit", "[configuration]") {
+TEST_CASE("a wait for a newer revision ends when the revision is in force or at its time limit",
+          "[configuration]") {
     fixture system;
     system.start();
     REQUIRE(system.follower.take_from_peer(1, deflate_text(intent(1))));
@@ -141,7 +144,7 @@
     CHECK(waiting.get());
 }
 
-TEST_CASE("threads that race leave the highest revision in force", "[configuration]") {
+TEST_CASE("if several threads set revisions concurrently the highest stays in force", "[configuration]") {
     fixture system;
     system.start();
     {
--- a/tests/unit/test_intent_parser.cpp
+++ b/tests/unit/test_intent_parser.cpp
@@ -1,4 +1,5 @@
-// The intent file: what the examples say is read, and everything wrong with a file is said at once.
+// Tests of the intent parser: valid intents and the example files are read without problems, and all errors
+// in a file are reported at once.
 #include "configuration/intent_parser.hpp"
 #include "entry/entry_settings.hpp"
 #include "settings/ini_document.hpp"
@@ -40,16 +41,16 @@
     });
 }
 
-/// One fault in an otherwise sound file.
+/// A section with one error and the problem that must be reported for it.
 struct fault {
-    std::string text;
+    std::string text; ///< appended to a valid intent
     std::string key;
     std::string expected;
 };
 
 } // namespace
 
-TEST_CASE("a sound intent is read whole", "[configuration]") {
+TEST_CASE("a valid intent is read completely", "[configuration]") {
     std::vector<problem> problems;
     const auto read = parse_intent(sound, "intent.ini", problems);
     REQUIRE(problems.empty());
@@ -62,7 +63,7 @@
     CHECK(read.text == sound);
 }
 
-TEST_CASE("the example intent has no faults", "[configuration][examples]") {
+TEST_CASE("the example intent file has no errors", "[configuration][examples]") {
     std::vector<problem> problems;
     const std::string path = EXAMPLES_FOLDER "/intent.ini";
     const auto read = parse_intent(settings::read_file(path, problems), path, problems);
@@ -75,7 +76,7 @@
     CHECK_FALSE(read.find_route("lectores", "interactive", "marcadores", true)->idempotent);
 }
 
-TEST_CASE("the example settings have no faults", "[settings][examples]") {
+TEST_CASE("the example settings files have no errors", "[settings][examples]") {
     std::vector<problem> problems;
     const std::string path = EXAMPLES_FOLDER "/entry.ini";
     const auto text = settings::read_file(path, problems);
@@ -89,9 +90,9 @@
     CHECK(sidecar.backend_server == "pluma-1");
 }
 
-TEST_CASE("each kind of fault names its key and what was expected", "[configuration]") {
-    // An operator mistypes one thing in a long file. Taken silently, it would route or limit callers wrongly
-    // until someone complains; so each fault must be named where it stands.
+TEST_CASE("each kind of error is reported with its key and what was expected", "[configuration]") {
+    // An operator makes a typing error in a long file. If it were accepted, callers would be routed or
+    // limited wrongly until somebody notices, so each error must be reported with its line and key.
     const std::string hash_b(64, 'b');
     const std::vector<fault> faults{
         {"[tire low]\n", "tire low", "one of the sections"},
@@ -152,7 +153,7 @@
     }
 }
 
-TEST_CASE("all faults of a file are reported at once, in the order of lines", "[configuration]") {
+TEST_CASE("all errors in a file are reported at once in the order of lines", "[configuration]") {
     const auto problems = problems_of("[tier high]\nrank = x\n[workspace w]\ntier = top\n[nonsense]\n");
     REQUIRE(problems.size() == 4);
     CHECK(complains(problems, 2, "tier high.rank", "whole number"));
@@ -161,15 +162,15 @@
     CHECK(complains(problems, 5, "nonsense", "one of the sections"));
 }
 
-TEST_CASE("an empty intent is refused", "[configuration]") {
+TEST_CASE("an empty intent is an error", "[configuration]") {
     const auto problems = problems_of("");
     REQUIRE(problems.size() == 1);
     CHECK(problems.front().expected == "at least one [tier NAME] section");
 }
 
-TEST_CASE("a key pasted in place of its hash is not repeated in the complaint", "[configuration]") {
-    // An operator pastes the API key itself. A complaint that quotes it would carry the secret into terminals
-    // and logs, where others read it.
+TEST_CASE("an API key pasted in place of its hash is not quoted in the reported problem", "[configuration]") {
+    // An operator pastes the API key itself by mistake. If the problem quoted it, the secret would appear in
+    // terminals and logs that other people read.
     const auto problems =
         problems_of("[tier high]\nrank = 0\n[workspace w]\nkey_sha256 = hunter2\ntier = high\n");
     REQUIRE(problems.size() == 1);
--- a/tests/unit/test_revision_store.cpp
+++ b/tests/unit/test_revision_store.cpp
@@ -1,4 +1,4 @@
-// Commits that race, whose answers are lost, and that meet stale reads.
+// Tests of revision_store: concurrent commits, commits whose answers are lost, and commits after stale reads.
 #include "base/request_error.hpp"
 #include "configuration/revision_store.hpp"
 #include "in_process_platform.hpp"
@@ -34,8 +34,10 @@
 
 } // namespace
 
-TEST_CASE("of two plans on one base the first wins, and the second names it", "[configuration]") {
-    // Two operators confirm at the same moment. Were both taken, the later would silently undo the earlier.
+TEST_CASE("of two plans on the same base the first is committed and the second is a conflict",
+          "[configuration]") {
+    // Two operators confirm plans at the same moment. If both were accepted, the later one would silently
+    // undo the change of the earlier one.
     fixture system;
     CHECK(system.commit(make_plan("a", 0), "ana").verdict == commit_verdict::accepted);
     const auto second = system.commit(make_plan("b", 0), "bruno");
@@ -47,9 +49,9 @@
     CHECK(system.runtime.wait_for(system.store.read_revision(1))->text == "text of a");
 }
 
-TEST_CASE("a commit whose answer is lost is reported as accepted, once", "[configuration]") {
-    // The table takes the commit and the connection breaks. Told that it failed, the operator would confirm
-    // again; the change must not become a second revision.
+TEST_CASE("a commit whose answer is lost is reported as accepted and makes one revision", "[configuration]") {
+    // The table commits the revision and the connection breaks before the answer. If the commit were reported
+    // as failed, the operator would confirm again; the plan must not become a second revision.
     fixture system;
     system.service.lose_answers(1);
     CHECK(system.commit(make_plan("a", 0), "ana").verdict == commit_verdict::accepted);
@@ -57,9 +59,9 @@
     CHECK(system.runtime.wait_for(system.store.list_revisions(1, 10)).size() == 1);
 }
 
-TEST_CASE("a lost answer and a stale read leave the outcome open until it can be read", "[configuration]") {
-    // The answer is lost and reads still show the time before. The operator is told that it isn't known;
-    // confirming again later finds the plan accepted.
+TEST_CASE("after a lost answer and a stale read the outcome of a commit is unknown", "[configuration]") {
+    // The answer to the commit is lost, and reads still return the state before it. The operator must be told
+    // that the outcome is unknown; a second confirmation after the reads are current finds the plan accepted.
     fixture system;
     system.service.set_stale_reads(true);
     system.service.lose_answers(1);
@@ -73,8 +75,9 @@
     CHECK(system.commit(make_plan("a", 0), "ana").verdict == commit_verdict::already_accepted);
 }
 
-TEST_CASE("a stale head can't make a commit overwrite a revision", "[configuration]") {
-    // An entry plans on an old head that a stale read showed. Its commit must be refused, not put on top.
+TEST_CASE("a commit based on a stale head row can't overwrite a revision", "[configuration]") {
+    // An entry makes a plan on top of an old revision because its read of the head row was stale. The commit
+    // of this plan must be a conflict.
     fixture system;
     REQUIRE(system.commit(make_plan("a", 0), "ana").verdict == commit_verdict::accepted);
     system.service.set_stale_reads(true);
@@ -86,7 +89,7 @@
     CHECK(late.revision.operator_name == "bruno");
 }
 
-TEST_CASE("a commit in an outage changes nothing and says so", "[configuration]") {
+TEST_CASE("a commit during an outage of the platform fails and changes nothing", "[configuration]") {
     fixture system;
     system.service.answer_with(503);
     CHECK_THROWS_AS(system.commit(make_plan("a", 0), "ana"), store::store_error);
@@ -94,7 +97,7 @@
     CHECK(system.runtime.wait_for(system.store.read_head()) == 0);
 }
 
-TEST_CASE("plans survive their coding", "[configuration]") {
+TEST_CASE("a stored plan is read back unchanged", "[configuration]") {
     fixture system;
     auto what = make_plan("a", 3);
     what.changes = {"add tier x"};
--- a/tests/unit/test_settings_page.cpp
+++ b/tests/unit/test_settings_page.cpp
@@ -1,4 +1,5 @@
-// docs/SETTINGS.md and the code that reads settings and intent know the same keys, with the same bounds.
+// Checks docs/SETTINGS.md against the code that reads settings files and intent files: both must have the
+// same keys, the same required keys and the same accepted values.
 #include "base/identifier.hpp"
 #include "configuration/intent_parser.hpp"
 #include "entry/entry_settings.hpp"
@@ -21,7 +22,7 @@
 
 namespace {
 
-/// Reads one file of its kind and returns the complaints.
+/// Parses the text of a settings or intent file and returns the problems found.
 using file_reader = std::function<problems(const std::string& text)>;
 
 problems read_entry(const std::string& text) {
@@ -53,8 +54,8 @@
 
 struct documented_section {
     std::string page_title;
-    std::string title; ///< as it stands in a file
-    file_reader read;
+    std::string title; ///< section title as it is written in a file
+    file_reader read;  ///< reads the kind of file that contains the section
 };
 
 const std::vector<documented_section>& documented_sections() {
@@ -73,7 +74,8 @@
     return sections;
 }
 
-/// What the reader says about one key of a file; empty when it has no complaint.
+/// Reads a file that consists of this section with the given body. Returns the text of the problem reported
+/// for the key; empty if there is none.
 std::string complaint(const documented_section& section, const std::string& key, const std::string& body) {
     for (const auto& problem : section.read("[" + section.title + "]\n" + body)) {
         if (problem.key == section.title + "." + key) {
@@ -83,7 +85,8 @@
     return {};
 }
 
-/// The keys that the code reads, from its own complaint about an unknown one.
+/// Returns the keys that the code reads in this section, taken from the problem that it reports for an
+/// unknown key.
 std::set<std::string> keys_of_code(const documented_section& section) {
     constexpr std::string_view lead = "this section has";
     const std::string text = complaint(section, "no_such_key", "no_such_key = 1\n");
@@ -98,7 +101,7 @@
             keys.insert(std::exchange(word, {}));
         }
         if (letter == ',') {
-            break; // what was found follows
+            break; // the list of keys ends here; after the comma comes the value found
         }
     }
     return keys;
@@ -121,7 +124,7 @@
     return cells;
 }
 
-/// `text` without its code marks.
+/// Removes the backticks of Markdown code spans.
 std::string plain(std::string text) {
     std::erase(text, '`');
     return text;
@@ -146,7 +149,7 @@
 
 } // namespace
 
-TEST_CASE("the page of settings knows the keys that the code reads", "[settings]") {
+TEST_CASE("docs/SETTINGS.md lists the keys that the code reads", "[settings]") {
     const auto page = read_page();
     for (const auto& section : documented_sections()) {
         INFO(section.page_title);
@@ -159,23 +162,24 @@
         }
         CHECK(documented == keys_of_code(section));
     }
-    CHECK(page.size() < documented_sections().size()); // [service NAME] has no keys
+    CHECK(page.size() < documented_sections().size()); // [service NAME] has no keys and no table on the page
 }
 
-TEST_CASE("the page of settings says which keys are required", "[settings]") {
+TEST_CASE("docs/SETTINGS.md states which keys are required", "[settings]") {
     for (const auto& section : documented_sections()) {
         const auto page = read_page()[section.page_title];
         for (const auto& [key, row] : page) {
             INFO(section.page_title << " " << key);
             const auto without = complaint(section, key, "");
-            // Whether a server needs models or services, and a route which of the two, depends on other keys.
+            // These keys are required or not depending on other keys: `models` on a backend server's kind,
+            // and `model` on whether the route has a service.
             const bool depends = key == "models" || key == "model";
             CHECK((depends || without.empty() == (row.initial != "required")));
         }
     }
 }
 
-TEST_CASE("the page of settings says what is accepted", "[settings]") {
+TEST_CASE("docs/SETTINGS.md states the accepted values of each key", "[settings]") {
     for (const auto& section : documented_sections()) {
         const auto page = read_page()[section.page_title];
         for (const auto& [key, row] : page) {
