--- a/tests/failure/test_configuration_changes.cpp
+++ b/tests/failure/test_configuration_changes.cpp
@@ -202,8 +202,7 @@
 // An entry is suspended while an operator drains a backend server, and callers have already connected to it.
 // When it is resumed, it still has the previous configuration. If it placed requests by that, they would run
 // on the drained server, which the operator takes for empty.
-TEST_CASE(
-    "configuration: an entry suspended during a change and resumed under load doesn't use the old revision") {
+TEST_CASE("configuration: an entry suspended during a change and resumed under load uses no old revision") {
     cluster system;
     const operator_client bruno(system.entry(1).admin, "bruno");
     system.entry(0).process->freeze();
@@ -235,8 +234,7 @@
 
 // A sidecar is suspended while its backend server is drained, and offers have already arrived at its socket.
 // When it is resumed, it must not grant these offers by the previous configuration.
-TEST_CASE("configuration: a sidecar suspended during a change and resumed under load doesn't use the old "
-          "revision") {
+TEST_CASE("configuration: a sidecar suspended during a change and resumed under load uses no old revision") {
     cluster system;
     const operator_client bruno(system.entry(1).admin, "bruno");
     system.backend(0).sidecar->freeze();
