--- a/src/admin/planner.cpp
+++ b/src/admin/planner.cpp
@@ -72,7 +72,7 @@
     }
     const auto base = co_await read_newest();
     result.plan = compare(*base, intent, std::move(operator_name), use);
-    co_await m_store.keep_plan(result.plan);
+    co_await m_store.store_plan(result.plan);
     co_return result;
 }
 
@@ -150,7 +150,7 @@
                                        {"behind", std::to_string(spread.behind.size())},
                                        {"milliseconds", std::to_string(spread.milliseconds)}});
     try {
-        co_await m_store.keep_spread(spread);
+        co_await m_store.store_spread(spread);
     } catch (const store::store_error&) {
         // The only consequence is that `status` doesn't show the measurement.
         log::warning("configuration_spread_not_kept", {{"revision", std::to_string(revision)}});
--- a/src/configuration/configuration_follower.cpp
+++ b/src/configuration/configuration_follower.cpp
@@ -80,10 +80,10 @@
     static asio::awaitable<void> poll(std::shared_ptr<state> self) {
         try {
             co_await read_newer(*self);
-            self->note_poll(true, "");
+            self->log_poll_state(true, "");
         } catch (const std::exception& error) {
             ++self->failed_polls;
-            self->note_poll(false, error.what());
+            self->log_poll_state(false, error.what());
         }
         self->polling = false;
         if (std::exchange(self->poll_again, false)) {
@@ -96,21 +96,21 @@
         if (!head || self.stopped) {
             co_return; // the table may have been destroyed after the follower was stopped
         }
-        const auto named = decode_head(head->value);
+        const auto head_content = decode_head(head->value);
         // A stale read returns an old head row. Going back to its revision would undo a configuration that an
         // operator has put in force.
-        if (named.revision <= self.current.load()->revision) {
+        if (head_content.revision <= self.current.load()->revision) {
             co_return;
         }
-        const auto row = co_await self.table.read(revision_key(named.revision));
+        const auto row = co_await self.table.read(revision_key(head_content.revision));
         if (!row) {
             co_return; // this read was staler than that of the head row; the next poll finds the revision
         }
         const auto found = decode_revision(row->value);
-        self.take(named.revision, found.text, "table");
+        self.apply(head_content.revision, found.text, "table");
     }
 
-    bool take(revision_number revision, std::string_view text, std::string_view source) {
+    bool apply(revision_number revision, std::string_view text, std::string_view source) {
         if (revision <= current.load()->revision) {
             return false;
         }
@@ -120,7 +120,7 @@
             // The text was checked before it was committed, so either a peer damaged it or this process runs
             // older software than the entry that confirmed it. Keeping the current revision is safe; the
             // operators' `status` command then shows this node as behind.
-            note_unusable(revision, problems.front().to_string(), source);
+            log_unusable(revision, problems.front().to_string(), source);
             return false;
         }
         parsed.revision = revision;
@@ -184,8 +184,8 @@
         begin_poll();
     }
 
-    void note_unusable(revision_number revision, const std::string& error, std::string_view source) {
-        if (unusable.exchange(revision) == revision) {
+    void log_unusable(revision_number revision, const std::string& error, std::string_view source) {
+        if (last_unusable.exchange(revision) == revision) {
             return;
         }
         log::error(
@@ -193,12 +193,12 @@
             {{"revision", std::to_string(revision)}, {"source", std::string(source)}, {"error", error}});
     }
 
-    void note_poll(bool works, const std::string& error) {
-        if (works == polls_work) {
+    void log_poll_state(bool succeeded, const std::string& error) {
+        if (succeeded == last_poll_succeeded) {
             return;
         }
-        polls_work = works;
-        if (works) {
+        last_poll_succeeded = succeeded;
+        if (succeeded) {
             log::info("configuration_polls_work");
         } else {
             log::warning("configuration_polls_fail", {{"error", error}});
@@ -212,12 +212,12 @@
     change_listener changed;
     std::mutex mutex;
     std::atomic<std::shared_ptr<const configuration>> current;
-    std::atomic<revision_number> unusable = 0;
+    std::atomic<revision_number> last_unusable = 0;
     std::vector<revision_waiter> waiters;
     revision_number announced = 0;
     bool polling = false;
     bool poll_again = false;
-    bool polls_work = true;
+    bool last_poll_succeeded = true;
     std::atomic<std::uint64_t> failed_polls = 0;
     std::atomic<std::uint64_t> freezes = 0;
     std::atomic<bool> stopped = false;
@@ -270,7 +270,7 @@
 }
 
 bool configuration_follower::take_committed(revision_number revision, std::string_view text) {
-    return m_state->take(revision, text, "operator");
+    return m_state->apply(revision, text, "operator");
 }
 
 bool configuration_follower::take_from_peer(revision_number revision,
@@ -279,9 +279,9 @@
         return false;
     }
     try {
-        return m_state->take(revision, inflate_text(deflated_text, settings::text_limit), "peer");
+        return m_state->apply(revision, inflate_text(deflated_text, settings::text_limit), "peer");
     } catch (const compression_error& error) {
-        m_state->note_unusable(revision, error.what(), "peer");
+        m_state->log_unusable(revision, error.what(), "peer");
         return false;
     }
 }
--- a/src/configuration/difference.cpp
+++ b/src/configuration/difference.cpp
@@ -91,14 +91,14 @@
 }
 
 /// Whether the field is unset. An "add" line names only the fields that are set.
-bool is_plain(const labelled_value& field) {
+bool is_unset(const labelled_value& field) {
     return field.value == "none" || field.value == "as it is" || field.value == "no limit";
 }
 
 std::string describe_values(const labelled_values& fields) {
     std::string text;
     for (const auto& field : fields) {
-        if (is_plain(field)) {
+        if (is_unset(field)) {
             continue;
         }
         text += text.empty() ? ": " : "; ";
@@ -165,9 +165,10 @@
     [[nodiscard]] std::vector<std::string> take() { return std::move(m_lines); }
 
 private:
-    void write(std::string_view verb, std::string_view kind, std::string_view name, const std::string& rest) {
+    void write(std::string_view verb, std::string_view kind, std::string_view name,
+               const std::string& details) {
         std::string line(verb);
-        line.append(" ").append(kind).append(" ").append(name).append(rest);
+        line.append(" ").append(kind).append(" ").append(name).append(details);
         m_lines.push_back(std::move(line));
     }
 
--- a/src/configuration/intent_parser.cpp
+++ b/src/configuration/intent_parser.cpp
@@ -21,15 +21,15 @@
 using settings::section_reader;
 using std::chrono::milliseconds;
 
-constexpr std::size_t longest_name = 64;
+constexpr std::size_t max_name_length = 64;
 constexpr std::size_t key_hash_digits = 64;
-constexpr std::int64_t highest_rank = 15;
-constexpr std::int64_t most_slots = 4096;
-constexpr std::int64_t most_concurrent_requests = 1'000'000;
-constexpr std::int64_t most_tokens = 16'000'000;
-constexpr double highest_rate = 1e9;
-constexpr milliseconds shortest_target{1};
-constexpr milliseconds longest_target{600'000};
+constexpr std::int64_t max_rank = 15;
+constexpr std::int64_t max_slots = 4096;
+constexpr std::int64_t max_concurrent_requests = 1'000'000;
+constexpr std::int64_t max_tokens = 16'000'000;
+constexpr double max_rate = 1e9;
+constexpr milliseconds min_target{1};
+constexpr milliseconds max_target{600'000};
 constexpr std::array<std::string_view, 2> backend_kinds{"engine", "service"};
 constexpr std::array<std::string_view, 6> section_kinds{"tier",    "workspace",      "model",
                                                         "service", "backend_server", "route"};
@@ -42,7 +42,7 @@
 /// Whether the text is a valid name. The set of characters is small because names become parts of URL paths,
 /// of the table's row keys and of metric labels.
 bool is_name(std::string_view text) {
-    return !text.empty() && text.size() <= longest_name && std::ranges::all_of(text, is_name_character);
+    return !text.empty() && text.size() <= max_name_length && std::ranges::all_of(text, is_name_character);
 }
 
 bool is_key_hash(std::string_view text) {
@@ -71,7 +71,7 @@
         read_kind("workspace", [this](const ini_section& section) { read_workspace(section); });
         read_kind("backend_server", [this](const ini_section& section) { read_backend_server(section); });
         read_kind("route", [this](const ini_section& section) { read_route(section); });
-        check_whole();
+        check_document();
     }
 
 private:
@@ -134,12 +134,12 @@
         if (section.find("rank") == nullptr) {
             reader.complain("rank", "a whole number from 0 (the highest tier) on (the key is required)");
         }
-        item.rank = static_cast<unsigned>(reader.number("rank", 0, 0, highest_rank));
+        item.rank = static_cast<unsigned>(reader.number("rank", 0, 0, max_rank));
         const bool has_rank = m_problems.size() == problems_before;
         item.first_token_target =
-            reader.duration("first_token", item.first_token_target, shortest_target, longest_target);
+            reader.duration("first_token", item.first_token_target, min_target, max_target);
         item.between_tokens_target =
-            reader.duration("between_tokens", item.between_tokens_target, shortest_target, longest_target);
+            reader.duration("between_tokens", item.between_tokens_target, min_target, max_target);
         reader.finish();
         const auto same_rank = std::ranges::find(m_result.tiers, item.rank, &tier::rank);
         if (has_rank && same_rank != m_result.tiers.end()) {
@@ -156,9 +156,9 @@
         item.adapters = reader.list("adapters");
         check_distinct(reader, "adapters", item.adapters);
         item.context_tokens =
-            static_cast<unsigned>(reader.number("context_tokens", item.context_tokens, 1, most_tokens));
+            static_cast<unsigned>(reader.number("context_tokens", item.context_tokens, 1, max_tokens));
         item.expected_output_tokens = static_cast<unsigned>(
-            reader.number("expected_output_tokens", item.expected_output_tokens, 1, most_tokens));
+            reader.number("expected_output_tokens", item.expected_output_tokens, 1, max_tokens));
         if (item.expected_output_tokens > item.context_tokens) {
             reader.complain("expected_output_tokens", "no more than context_tokens");
         }
@@ -188,11 +188,11 @@
         if (!item.tier.empty()) {
             check_names(reader, "tier", {item.tier}, m_result.tiers, "tier");
         }
-        item.requests_per_second = reader.real("requests_per_second", 0, 0, highest_rate);
-        item.request_burst = reader.real("request_burst", 0, 0, highest_rate);
-        item.tokens_per_second = reader.real("tokens_per_second", 0, 0, highest_rate);
+        item.requests_per_second = reader.real("requests_per_second", 0, 0, max_rate);
+        item.request_burst = reader.real("request_burst", 0, 0, max_rate);
+        item.tokens_per_second = reader.real("tokens_per_second", 0, 0, max_rate);
         item.concurrent_requests =
-            static_cast<unsigned>(reader.number("concurrent_requests", 0, 0, most_concurrent_requests));
+            static_cast<unsigned>(reader.number("concurrent_requests", 0, 0, max_concurrent_requests));
         reader.finish();
         m_result.workspaces.push_back(std::move(item));
     }
@@ -222,7 +222,7 @@
         item.services = reader.list("services");
         item.adapters = reader.list("adapters");
         item.role = reader.text("role", "");
-        item.slots = static_cast<unsigned>(reader.number("slots", item.slots, 1, most_slots));
+        item.slots = static_cast<unsigned>(reader.number("slots", item.slots, 1, max_slots));
         item.checks_fencing = reader.flag("checks_fencing", item.checks_fencing);
         item.drained = reader.flag("drained", item.drained);
         reader.finish();
@@ -230,12 +230,12 @@
         check_names(reader, "services", item.services, m_result.services, "service");
         check_distinct(reader, "models", item.models);
         check_distinct(reader, "services", item.services);
-        check_kind_fits(reader, item);
+        check_targets_match_kind(reader, item);
         check_adapters(reader, item);
         m_result.backend_servers.push_back(std::move(item));
     }
 
-    static void check_kind_fits(section_reader& reader, const backend_server& item) {
+    static void check_targets_match_kind(section_reader& reader, const backend_server& item) {
         const bool is_engine = item.kind == backend_kind::engine;
         if (is_engine && !item.services.empty()) {
             reader.complain("services", "no services where kind = engine");
@@ -297,7 +297,7 @@
         }
     }
 
-    void check_whole() {
+    void check_document() {
         if (m_result.tiers.empty()) {
             complain(0, "tier", "at least one [tier NAME] section");
         }
@@ -327,8 +327,8 @@
     const auto first = problems.size();
     const auto document = settings::parse_ini(text, file, problems);
     intent_reader(document, result, problems).read();
-    const auto own = std::span(problems).subspan(first);
-    std::ranges::sort(own, [](const problem& left, const problem& right) {
+    const auto new_problems = std::span(problems).subspan(first);
+    std::ranges::sort(new_problems, [](const problem& left, const problem& right) {
         return std::tie(left.line, left.key) < std::tie(right.line, right.key);
     });
     return result;
--- a/src/configuration/revision_store.cpp
+++ b/src/configuration/revision_store.cpp
@@ -62,7 +62,7 @@
     co_return revisions;
 }
 
-asio::awaitable<void> revision_store::keep_plan(const plan& what) {
+asio::awaitable<void> revision_store::store_plan(const plan& what) {
     co_await m_objects.put(std::string(plan_prefix) + what.id, encode(what));
 }
 
@@ -124,7 +124,7 @@
     co_return result;
 }
 
-asio::awaitable<void> revision_store::keep_spread(const spread_row& spread) {
+asio::awaitable<void> revision_store::store_spread(const spread_row& spread) {
     json::object value{
         {"revision", spread.revision}, {"nodes", spread.nodes}, {"milliseconds", spread.milliseconds}};
     value["behind"] = json::value_from(spread.behind);
--- a/src/configuration/revision_store.hpp
+++ b/src/configuration/revision_store.hpp
@@ -53,7 +53,7 @@
                                                                      std::size_t limit);
 
     /// Stores a plan in the object store, so that every entry can confirm it.
-    boost::asio::awaitable<void> keep_plan(const plan& what);
+    boost::asio::awaitable<void> store_plan(const plan& what);
     boost::asio::awaitable<std::optional<plan>> find_plan(std::string id);
 
     /// Commits the plan as revision `base + 1`, unless that revision exists. May be called again for the same
@@ -62,7 +62,7 @@
     boost::asio::awaitable<commit_result> commit(const plan& what, std::string operator_name);
 
     /// Stores the measurement, so that the status shown by other entries includes it.
-    boost::asio::awaitable<void> keep_spread(const spread_row& spread);
+    boost::asio::awaitable<void> store_spread(const spread_row& spread);
     boost::asio::awaitable<std::optional<spread_row>> read_spread(revision_number revision);
 
 private:
--- a/src/settings/ini_document.cpp
+++ b/src/settings/ini_document.cpp
@@ -14,14 +14,14 @@
 namespace borageford::settings {
 namespace {
 
-constexpr std::string_view blanks = " \t\r";
+constexpr std::string_view whitespace = " \t\r";
 
 std::string_view trim(std::string_view text) {
-    const auto first = text.find_first_not_of(blanks);
+    const auto first = text.find_first_not_of(whitespace);
     if (first == std::string_view::npos) {
         return {};
     }
-    const auto last = text.find_last_not_of(blanks);
+    const auto last = text.find_last_not_of(whitespace);
     return text.substr(first, last - first + 1);
 }
 
@@ -66,7 +66,7 @@
             complain("[]", "a section kind between [ and ]");
             return;
         }
-        const auto space = title.find_first_of(blanks);
+        const auto space = title.find_first_of(whitespace);
         ini_section section{std::string(title.substr(0, space)), "", m_line, {}};
         if (space != std::string_view::npos) {
             section.name = trim(title.substr(space));
--- a/src/settings/section_reader.cpp
+++ b/src/settings/section_reader.cpp
@@ -116,13 +116,13 @@
                                std::string_view title, std::vector<problem>& problems)
     : m_document(document), m_section(section), m_title(title), m_problems(problems) {}
 
-const ini_entry* section_reader::take(std::string_view key) {
-    m_known.emplace_back(key);
+const ini_entry* section_reader::find_and_mark_known(std::string_view key) {
+    m_known_keys.emplace_back(key);
     return m_section == nullptr ? nullptr : m_section->find(key);
 }
 
 const ini_entry* section_reader::require(std::string_view key, std::string_view expected) {
-    const auto* entry = take(key);
+    const auto* entry = find_and_mark_known(key);
     if (entry == nullptr) {
         complain(key, std::string(expected) + " (the key is required)");
     }
@@ -148,12 +148,12 @@
 }
 
 std::string section_reader::text(std::string_view key, std::string_view fallback) {
-    const auto* entry = take(key);
+    const auto* entry = find_and_mark_known(key);
     return entry == nullptr ? std::string(fallback) : entry->value;
 }
 
 std::vector<std::string> section_reader::list(std::string_view key) {
-    const auto* entry = take(key);
+    const auto* entry = find_and_mark_known(key);
     return entry == nullptr ? std::vector<std::string>() : split_list(entry->value);
 }
 
@@ -164,7 +164,7 @@
 
 std::int64_t section_reader::number(std::string_view key, std::int64_t fallback, std::int64_t lowest,
                                     std::int64_t highest) {
-    const auto* entry = take(key);
+    const auto* entry = find_and_mark_known(key);
     if (entry == nullptr) {
         return fallback;
     }
@@ -177,7 +177,7 @@
 }
 
 double section_reader::real(std::string_view key, double fallback, double lowest, double highest) {
-    const auto* entry = take(key);
+    const auto* entry = find_and_mark_known(key);
     if (entry == nullptr) {
         return fallback;
     }
@@ -192,7 +192,7 @@
 std::chrono::milliseconds section_reader::duration(std::string_view key, std::chrono::milliseconds fallback,
                                                    std::chrono::milliseconds lowest,
                                                    std::chrono::milliseconds highest) {
-    const auto* entry = take(key);
+    const auto* entry = find_and_mark_known(key);
     if (entry == nullptr) {
         return fallback;
     }
@@ -208,7 +208,7 @@
 
 std::uint64_t section_reader::size(std::string_view key, std::uint64_t fallback, std::uint64_t lowest,
                                    std::uint64_t highest) {
-    const auto* entry = take(key);
+    const auto* entry = find_and_mark_known(key);
     if (entry == nullptr) {
         return fallback;
     }
@@ -235,7 +235,7 @@
 
 std::optional<boost::asio::ip::tcp::endpoint> section_reader::optional_address(std::string_view key) {
     if (m_section == nullptr || m_section->find(key) == nullptr) {
-        m_known.emplace_back(key);
+        m_known_keys.emplace_back(key);
         return std::nullopt;
     }
     return address(key);
@@ -243,7 +243,7 @@
 
 std::size_t section_reader::choice(std::string_view key, std::span<const std::string_view> choices,
                                    std::size_t fallback) {
-    const auto* entry = take(key);
+    const auto* entry = find_and_mark_known(key);
     if (entry == nullptr) {
         return fallback;
     }
@@ -264,11 +264,11 @@
         return;
     }
     for (const auto& entry : m_section->entries) {
-        if (std::ranges::find(m_known, entry.key) != m_known.end()) {
+        if (std::ranges::find(m_known_keys, entry.key) != m_known_keys.end()) {
             continue;
         }
         std::string expected = "a known key; this section has";
-        for (const auto& key : m_known) {
+        for (const auto& key : m_known_keys) {
             expected.append(" ").append(key);
         }
         m_problems.push_back({m_document.file, entry.line, m_title + "." + entry.key, std::move(expected)});
--- a/src/settings/section_reader.hpp
+++ b/src/settings/section_reader.hpp
@@ -67,15 +67,15 @@
 
 private:
     /// Marks the key as known and returns its entry; null if the section doesn't have it.
-    [[nodiscard]] const ini_entry* take(std::string_view key);
-    /// The same as take(), but reports a missing key as a problem.
+    [[nodiscard]] const ini_entry* find_and_mark_known(std::string_view key);
+    /// The same as find_and_mark_known(), but reports a missing key as a problem.
     [[nodiscard]] const ini_entry* require(std::string_view key, std::string_view expected);
 
     const ini_document& m_document;
     const ini_section* m_section;
     std::string m_title;
     std::vector<problem>& m_problems;
-    std::vector<std::string> m_known;
+    std::vector<std::string> m_known_keys;
 };
 
 } // namespace borageford::settings
--- a/tests/unit/test_revision_store.cpp
+++ b/tests/unit/test_revision_store.cpp
@@ -102,7 +102,7 @@
     auto what = make_plan("a", 3);
     what.changes = {"add tier x"};
     what.warnings = {"beware"};
-    system.runtime.wait_for(system.store.keep_plan(what));
+    system.runtime.wait_for(system.store.store_plan(what));
     const auto found = system.runtime.wait_for(system.store.find_plan("a"));
     REQUIRE(found);
     CHECK(found->base == 3);
