--- a/src/admin/administration.cpp
+++ b/src/admin/administration.cpp
@@ -27,12 +27,12 @@
 constexpr std::string_view bearer = "Bearer ";
 constexpr std::string_view operator_header = "X-Operator";
 constexpr std::string_view unnamed_operator = "operator";
-constexpr std::size_t longest_operator_name = 64;
-constexpr std::size_t default_revisions = 20;
-constexpr std::size_t most_revisions = 200;
+constexpr std::size_t max_operator_name_length = 64;
+constexpr std::size_t default_list_length = 20;
+constexpr std::size_t max_list_length = 200;
 constexpr milliseconds default_wait{30'000};
-constexpr milliseconds longest_wait{600'000};
-constexpr milliseconds status_limit{1'000};
+constexpr milliseconds max_wait{600'000};
+constexpr milliseconds status_timeout{1'000};
 constexpr std::size_t fingerprint_digits = 16;
 
 std::vector<std::string_view> split_path(std::string_view path) {
@@ -76,7 +76,7 @@
 
 milliseconds parse_wait(const std::string& text) {
     const auto duration = settings::parse_duration(text);
-    if (!duration || *duration > longest_wait) {
+    if (!duration || *duration > max_wait) {
         throw request_error(error_kind::bad_request,
                             "wait must be a duration of at most 10m, for example 30s, found \"" + text +
                                 "\"");
@@ -86,7 +86,7 @@
 
 /// How long the caller wants to wait for the change to be in force on all nodes, from the query parameter
 /// `wait`; nothing if the caller doesn't want to wait.
-std::optional<milliseconds> wait_of(const http::request& call) {
+std::optional<milliseconds> parse_wait_parameter(const http::request& call) {
     const auto text = http::query_value(call.target, "wait");
     if (!text) {
         return std::nullopt;
@@ -94,9 +94,9 @@
     return text->empty() ? default_wait : parse_wait(*text);
 }
 
-std::string operator_of(const http::request& call) {
+std::string parse_operator_name(const http::request& call) {
     const auto name = http::find_header(call.headers, operator_header).value_or(unnamed_operator);
-    const bool is_usable = !name.empty() && name.size() <= longest_operator_name &&
+    const bool is_usable = !name.empty() && name.size() <= max_operator_name_length &&
                            std::ranges::all_of(name, [](char c) { return c > ' ' && c <= '~'; });
     if (!is_usable) {
         throw request_error(error_kind::bad_request,
@@ -115,7 +115,7 @@
         milliseconds(static_cast<std::int64_t>(parse_count(*text, name))));
 }
 
-[[noreturn]] void refuse_unsupported(std::string_view what) {
+[[noreturn]] void throw_unsupported(std::string_view what) {
     throw request_error(error_kind::not_found, "this entry can't tell " + std::string(what));
 }
 
@@ -180,8 +180,8 @@
         }
         is_known_path = true;
         if (candidate.method == call.method) {
-            const admin_call taken{call, std::move(*arguments), operator_of(call)};
-            co_return co_await (this->*candidate.handle)(taken);
+            const admin_call parsed_call{call, std::move(*arguments), parse_operator_name(call)};
+            co_return co_await (this->*candidate.handle)(parsed_call);
         }
     }
     throw request_error(is_known_path ? error_kind::method_not_allowed : error_kind::not_found);
@@ -216,15 +216,15 @@
 }
 
 asio::awaitable<http::response> administration::confirm_plan(const admin_call& call) {
-    const auto result =
-        co_await m_planner.confirm(call.arguments.front(), call.operator_name, wait_of(call.request));
+    const auto result = co_await m_planner.confirm(call.arguments.front(), call.operator_name,
+                                                   parse_wait_parameter(call.request));
     co_return commit_answer(result);
 }
 
 asio::awaitable<http::response> administration::list_revisions(const admin_call& call) {
-    std::size_t limit = default_revisions;
+    std::size_t limit = default_list_length;
     if (const auto text = http::query_value(call.request.target, "limit")) {
-        limit = std::clamp<std::size_t>(parse_count(*text, "limit"), 1, most_revisions);
+        limit = std::clamp<std::size_t>(parse_count(*text, "limit"), 1, max_list_length);
     }
     const auto head = std::max(co_await m_store.read_head(), m_context.follower.revision());
     const auto first = head < limit ? 1 : head - limit + 1;
@@ -253,7 +253,7 @@
     system_status status;
     status.entry = m_context.identity.hello.vm;
     status.head = co_await read_head();
-    status.nodes = co_await m_survey.ask_all(0, status_limit);
+    status.nodes = co_await m_survey.query_all(0, status_timeout);
     status.held = m_context.follower.revision();
     status.spread = co_await read_spread(status.held);
     co_return status_answer(status);
@@ -267,13 +267,13 @@
 
 asio::awaitable<http::response> administration::drain_server(const admin_call& call) {
     const auto result = co_await m_planner.set_drained(call.arguments.front(), true, call.operator_name,
-                                                       wait_of(call.request));
+                                                       parse_wait_parameter(call.request));
     co_return commit_answer(result);
 }
 
 asio::awaitable<http::response> administration::undrain_server(const admin_call& call) {
     const auto result = co_await m_planner.set_drained(call.arguments.front(), false, call.operator_name,
-                                                       wait_of(call.request));
+                                                       parse_wait_parameter(call.request));
     co_return commit_answer(result);
 }
 
@@ -304,7 +304,7 @@
         throw request_error(error_kind::bad_request, "a request id has 32 hexadecimal digits");
     }
     if (!m_view.explain) {
-        refuse_unsupported("what happened to requests");
+        throw_unsupported("what happened to requests");
     }
     const auto found = co_await m_view.explain(*id);
     if (!found) {
@@ -315,14 +315,14 @@
 
 asio::awaitable<http::response> administration::find_requests(const admin_call& call) {
     if (!m_view.find_requests) {
-        refuse_unsupported("which requests there were");
+        throw_unsupported("which requests there were");
     }
     request_query query;
     query.workspace = http::query_value(call.request.target, "workspace").value_or("");
     query.to = parse_time(call.request, "to", std::chrono::system_clock::now());
     query.from = parse_time(call.request, "from", query.to - std::chrono::hours(1));
     if (const auto text = http::query_value(call.request.target, "limit")) {
-        query.limit = std::clamp<std::size_t>(parse_count(*text, "limit"), 1, most_revisions);
+        query.limit = std::clamp<std::size_t>(parse_count(*text, "limit"), 1, max_list_length);
     }
     co_return explanation_answer(co_await m_view.find_requests(query));
 }
--- a/src/admin/configuration_exchange.cpp
+++ b/src/admin/configuration_exchange.cpp
@@ -6,8 +6,8 @@
 
 namespace borageford::admin {
 
-void ask_when_behind(const configuration::configuration_follower& follower, std::uint64_t peer_revision,
-                     wire::peer_connection& connection) {
+void request_if_newer(const configuration::configuration_follower& follower, std::uint64_t peer_revision,
+                      wire::peer_connection& connection) {
     const auto held = follower.revision();
     if (peer_revision <= held) {
         return;
@@ -34,7 +34,7 @@
         connection.send(wire::heartbeat_message());
         return;
     }
-    ask_when_behind(follower, received.revision, connection);
+    request_if_newer(follower, received.revision, connection);
 }
 
 } // namespace borageford::admin
--- a/src/admin/planner.cpp
+++ b/src/admin/planner.cpp
@@ -24,7 +24,7 @@
 
 /// How long the spread of a revision is watched if the operator's call doesn't wait for it. The measurement
 /// is stored and shown by `status`.
-constexpr milliseconds unattended_watch{30'000};
+constexpr milliseconds background_watch_limit{30'000};
 /// How often a drain is committed again after a conflict. Each attempt starts from a newer revision, and
 /// operators don't confirm more than a few revisions at the same moment.
 constexpr unsigned drain_attempts = 5;
@@ -134,16 +134,16 @@
                                          {"operator", revision.operator_name},
                                          {"plan", revision.plan}});
     if (wait) {
-        result.spread = co_await follow(revision.revision, accepted, *wait);
+        result.spread = co_await watch_spread(revision.revision, accepted, *wait);
     } else {
         asio::co_spawn(co_await asio::this_coro::executor,
-                       follow(revision.revision, accepted, unattended_watch), asio::detached);
+                       watch_spread(revision.revision, accepted, background_watch_limit), asio::detached);
     }
     co_return result;
 }
 
 asio::awaitable<configuration::spread_row>
-planner::follow(revision_number revision, steady_clock::time_point accepted, milliseconds limit) {
+planner::watch_spread(revision_number revision, steady_clock::time_point accepted, milliseconds limit) {
     auto spread = co_await m_spread.watch(revision, accepted, limit);
     log::info("configuration_spread", {{"revision", std::to_string(revision)},
                                        {"nodes", std::to_string(spread.nodes)},
--- a/src/admin/planner.hpp
+++ b/src/admin/planner.hpp
@@ -66,9 +66,9 @@
                                                   std::optional<std::chrono::milliseconds> wait);
     /// Watches the revision until it is in force on all live nodes or `limit` after `accepted` has passed,
     /// and stores the measurement.
-    boost::asio::awaitable<configuration::spread_row> follow(configuration::revision_number revision,
-                                                             std::chrono::steady_clock::time_point accepted,
-                                                             std::chrono::milliseconds limit);
+    boost::asio::awaitable<configuration::spread_row>
+    watch_spread(configuration::revision_number revision, std::chrono::steady_clock::time_point accepted,
+                 std::chrono::milliseconds limit);
 
     configuration::configuration_follower& m_follower;
     configuration::revision_store& m_store;
--- a/src/admin/quarantine.cpp
+++ b/src/admin/quarantine.cpp
@@ -13,7 +13,7 @@
 namespace asio = boost::asio;
 namespace {
 
-constexpr std::size_t page = 500;
+constexpr std::size_t page_size = 500;
 constexpr unsigned release_attempts = 5;
 
 marked_request decode(const store::row& row) {
@@ -38,11 +38,11 @@
     std::vector<marked_request> requests;
     std::string after;
     while (true) {
-        const auto rows = co_await table.scan(marks::key_prefix, after, page);
+        const auto rows = co_await table.scan(marks::key_prefix, after, page_size);
         for (const auto& row : rows) {
             requests.push_back(decode(row));
         }
-        if (rows.size() < page) {
+        if (rows.size() < page_size) {
             co_return requests;
         }
         after = rows.back().key;
--- a/src/admin/revision_listener.cpp
+++ b/src/admin/revision_listener.cpp
@@ -50,26 +50,26 @@
                 // again at once and keep a thread busy that the open connections need to finish.
                 co_await pause(self->timers, accept_pause);
             } else if (self->connections.size() < connection_limit) {
-                self->adopt(std::move(socket));
+                self->start_connection(std::move(socket));
             }
         }
     }
 
-    void adopt(tcp::socket socket) {
-        const auto number = ++last_number;
+    void start_connection(tcp::socket socket) {
+        const auto number = ++last_connection_number;
         auto hello = identity.hello;
         hello.revision = follower.revision();
         auto connection = std::make_shared<wire::peer_connection>(
             std::move(socket), strand, timers, identity.heartbeat, std::move(hello),
-            [self = shared_from_this()] { return self->follower.revision(); }, make_calls(number));
+            [self = shared_from_this()] { return self->follower.revision(); }, make_callbacks(number));
         connections.emplace(number, connection);
         connection->start();
     }
 
-    wire::peer_connection::callbacks make_calls(std::uint64_t number) {
+    wire::peer_connection::callbacks make_callbacks(std::uint64_t number) {
         wire::peer_connection::callbacks calls;
         calls.opened = [self = shared_from_this(), number](const wire::hello_message& hello) {
-            ask_when_behind(self->follower, hello.revision, *self->connections.at(number));
+            request_if_newer(self->follower, hello.revision, *self->connections.at(number));
         };
         calls.received = [self = shared_from_this(), number](const wire::envelope& received) {
             exchange_configuration(self->follower, received, *self->connections.at(number));
@@ -95,7 +95,7 @@
     configuration::configuration_follower& follower;
     peer_identity identity;
     std::map<std::uint64_t, std::shared_ptr<wire::peer_connection>> connections;
-    std::uint64_t last_number = 0;
+    std::uint64_t last_connection_number = 0;
 };
 
 revision_listener::revision_listener(asio::any_io_executor executor, timer_service& timers,
--- a/src/admin/revision_survey.hpp
+++ b/src/admin/revision_survey.hpp
@@ -40,18 +40,18 @@
     /// Asks every VM of the platform's list. A node with a lower revision than `wanted` is offered the
     /// configuration of this process, and the survey waits for that node to reach `wanted`. `limit` applies
     /// to each node: once to connecting and once more to its answers.
-    boost::asio::awaitable<std::vector<node_revision>> ask_all(configuration::revision_number wanted,
-                                                               std::chrono::milliseconds limit);
+    boost::asio::awaitable<std::vector<node_revision>> query_all(configuration::revision_number wanted,
+                                                                 std::chrono::milliseconds limit);
 
 private:
-    /// Asks one VM after the other, each time the one at index `next`, until none is left. ask_all() runs
+    /// Asks one VM after the other, each time the one at index `next`, until none is left. query_all() runs
     /// this several times concurrently with the same `next`.
-    boost::asio::awaitable<void> ask_some(std::vector<node_revision>& nodes,
-                                          const std::vector<store::vm>& vms, std::size_t& next,
-                                          configuration::revision_number wanted,
-                                          std::chrono::milliseconds limit);
+    boost::asio::awaitable<void> query_remaining(std::vector<node_revision>& nodes,
+                                                 const std::vector<store::vm>& vms, std::size_t& next,
+                                                 configuration::revision_number wanted,
+                                                 std::chrono::milliseconds limit);
     boost::asio::awaitable<std::optional<configuration::revision_number>>
-    ask(const store::vm& vm, configuration::revision_number wanted, std::chrono::milliseconds limit);
+    query_node(const store::vm& vm, configuration::revision_number wanted, std::chrono::milliseconds limit);
 
     boost::asio::any_io_executor m_executor;
     timer_service& m_timers;
--- a/src/admin/spread_watch.cpp
+++ b/src/admin/spread_watch.cpp
@@ -40,7 +40,7 @@
     while (true) {
         const auto left = std::chrono::ceil<milliseconds>(give_up - steady_clock::now());
         const auto nodes =
-            co_await m_survey.ask_all(revision, std::clamp(left, milliseconds(1), survey_limit));
+            co_await m_survey.query_all(revision, std::clamp(left, milliseconds(1), survey_limit));
         const auto now = steady_clock::now();
         spread.nodes = nodes.size();
         spread.behind = nodes_behind(nodes, revision);
