--- a/src/audit/backlog.cpp
+++ b/src/audit/backlog.cpp
@@ -17,19 +17,19 @@
     const auto now = entry.time;
     m_open.push_back(std::move(entry));
     if (m_open.size() >= m_limits.batch) {
-        close_open(now, false);
+        close_open_batch(now, false);
     }
-    make_room();
+    enforce_memory_limit();
 }
 
 void backlog::close(system_clock::time_point now, bool is_last) {
     const std::scoped_lock lock(m_mutex);
     if (!m_open.empty() || is_last) {
-        close_open(now, is_last);
+        close_open_batch(now, is_last);
     }
 }
 
-void backlog::close_open(system_clock::time_point now, bool is_last) {
+void backlog::close_open_batch(system_clock::time_point now, bool is_last) {
     const auto& writer = m_origin.backend_server.empty() ? m_origin.vm : m_origin.backend_server;
     closed_batch closed;
     closed.key = {std::chrono::floor<std::chrono::minutes>(now), m_origin.role, writer, ++m_sequence,
@@ -42,30 +42,30 @@
     m_closed.push_back(std::move(closed));
 }
 
-void backlog::make_room() {
+void backlog::enforce_memory_limit() {
     for (auto& candidate : m_closed) {
         if (m_open.size() + m_closed_records <= m_limits.memory) {
             return;
         }
         if (candidate.records > 0 && !is_being_written(candidate)) {
-            turn_into_gap(candidate);
+            replace_with_gap(candidate);
         }
     }
     join_gaps();
 }
 
-void backlog::turn_into_gap(closed_batch& victim) {
-    m_lost += victim.records;
-    m_closed_records -= victim.records;
-    victim.lost += victim.records;
-    victim.records = 0;
-    const auto span = std::chrono::ceil<std::chrono::seconds>(victim.last - victim.first);
+void backlog::replace_with_gap(closed_batch& batch) {
+    m_lost += batch.records;
+    m_closed_records -= batch.records;
+    batch.lost += batch.records;
+    batch.records = 0;
+    const auto span = std::chrono::ceil<std::chrono::seconds>(batch.last - batch.first);
     record gap;
-    gap.time = victim.first;
+    gap.time = batch.first;
     gap.what = event::gap;
-    gap.detail = std::to_string(victim.lost) + " records of " + std::to_string(span.count()) +
+    gap.detail = std::to_string(batch.lost) + " records of " + std::to_string(span.count()) +
                  " s from here on were lost: the object store took none and memory was full";
-    victim.text = encode_batch({m_origin, false, {std::move(gap)}});
+    batch.text = encode_batch({m_origin, false, {std::move(gap)}});
 }
 
 void backlog::join_gaps() {
@@ -75,7 +75,7 @@
         auto& joined = m_closed[1];
         joined.lost += m_closed[0].lost;
         joined.first = m_closed[0].first;
-        turn_into_gap(joined);
+        replace_with_gap(joined);
         m_closed.pop_front();
     }
 }
@@ -94,7 +94,7 @@
     const std::scoped_lock lock(m_mutex);
     m_writing = 0;
     if (!is_written) {
-        make_room();
+        enforce_memory_limit();
         return;
     }
     const auto found =
--- a/src/audit/backlog.hpp
+++ b/src/audit/backlog.hpp
@@ -73,9 +73,9 @@
         std::chrono::system_clock::time_point last;
     };
 
-    void close_open(std::chrono::system_clock::time_point now, bool is_last);
-    void make_room();
-    void turn_into_gap(closed_batch& victim);
+    void close_open_batch(std::chrono::system_clock::time_point now, bool is_last);
+    void enforce_memory_limit();
+    void replace_with_gap(closed_batch& batch);
     void join_gaps();
     [[nodiscard]] bool is_being_written(const closed_batch& batch) const;
 
--- a/src/audit/explainer.cpp
+++ b/src/audit/explainer.cpp
@@ -73,7 +73,7 @@
     }
 
     findings finish() {
-        note_missing_batches();
+        add_missing_batch_remarks();
         std::ranges::sort(m_found.records, {}, [](const witnessed_record& witnessed) {
             return std::pair(witnessed.entry.time, witnessed.role);
         });
@@ -90,7 +90,7 @@
 
 private:
     asio::awaitable<void> read_batch(const batch_key& key, const std::string& name) {
-        if (!m_seen.insert(name).second) {
+        if (!m_read_objects.insert(name).second) {
             co_return;
         }
         m_sequences[{describe_writer(key), key.incarnation}].insert(key.sequence);
@@ -106,13 +106,13 @@
             co_return;
         }
         try {
-            take(key, decode_batch(*bytes));
+            add_records(key, decode_batch(*bytes));
         } catch (const batch_error& error) {
             remark("batch " + name + " can't be read: " + error.what() + ".");
         }
     }
 
-    void take(const batch_key& key, batch content) {
+    void add_records(const batch_key& key, batch content) {
         for (auto& entry : content.records) {
             if (entry.what == event::gap) {
                 remark(describe_writer(key) + " lost records: from " + format_time(entry.time) + ", " +
@@ -126,7 +126,7 @@
     /// Adds a remark for each writer with missing batches. Sequence numbers have no gaps, so a missing number
     /// between two batches that were read belongs to a batch that was deleted, that the store lost or that
     /// backlog joined with a later gap.
-    void note_missing_batches() {
+    void add_missing_batch_remarks() {
         for (const auto& [writer, sequences] : m_sequences) {
             const auto expected = *sequences.rbegin() - *sequences.begin() + 1;
             if (expected != sequences.size()) {
@@ -140,7 +140,7 @@
     const explainer_limits& m_limits;
     record_filter m_wanted;
     findings m_found;
-    std::set<std::string> m_seen;
+    std::set<std::string> m_read_objects;
     std::map<std::pair<std::string, identifier>, std::set<std::uint64_t>> m_sequences;
 };
 
@@ -166,10 +166,10 @@
 
 /// Whether the records show how every attempt at this backend server ended, so that no later batches of its
 /// sidecar have to be read.
-bool is_settled(const request_history& history, const std::string& server) {
-    return std::ranges::all_of(history.attempts, [&server](const attempt& place) {
-        return place.backend_server != server || place.ended || place.has_been_withdrawn ||
-               place.was_pushed_out || place.has_lapsed || (place.refusal && place.queued);
+bool all_attempts_ended(const request_history& history, const std::string& server) {
+    return std::ranges::all_of(history.attempts, [&server](const attempt& offer) {
+        return offer.backend_server != server || offer.ended || offer.has_been_withdrawn ||
+               offer.was_pushed_out || offer.has_expired || (offer.refusal && offer.queued);
     });
 }
 
@@ -178,13 +178,13 @@
 /// Reads the batches of the entry that made the request id, until one shows the request's outcome. The id,
 /// the records and the keys of the batches all contain times of this entry's clock, so the search starts at
 /// the minute in the id, without allowing for clock differences.
-asio::awaitable<void> explainer::read_entry(search& looked, request_id request, minute_point last) {
+asio::awaitable<void> explainer::read_entry(search& current_search, request_id request, minute_point last) {
     const search::key_filter from_its_entry = [request](const batch_key& key) {
         return may_come_from(request, key.writer);
     };
     for (auto minute = minute_of(start_time(request)); minute <= last; minute += std::chrono::minutes(1)) {
-        co_await looked.read_minute(key_prefix(minute, entry_role), from_its_entry);
-        if (make_history(request, looked.found()).outcome) {
+        co_await current_search.read_minute(key_prefix(minute, entry_role), from_its_entry);
+        if (make_history(request, current_search.found()).outcome) {
             co_return;
         }
     }
@@ -192,12 +192,13 @@
 
 /// Reads the batches of each sidecar whose backend server the records name, until they show how all attempts
 /// at that server ended.
-asio::awaitable<void> explainer::read_named_sidecars(search& looked, request_id request, minute_point last) {
-    for (const auto& server : named_servers(looked.found())) {
+asio::awaitable<void> explainer::read_named_sidecars(search& current_search, request_id request,
+                                                     minute_point last) {
+    for (const auto& server : named_servers(current_search.found())) {
         for (auto minute = minute_of(start_time(request) - m_limits.clock_difference); minute <= last;
              minute += std::chrono::minutes(1)) {
-            co_await looked.read_minute(key_prefix(minute, sidecar_role, server), every_batch);
-            if (is_settled(make_history(request, looked.found()), server)) {
+            co_await current_search.read_minute(key_prefix(minute, sidecar_role, server), every_batch);
+            if (all_attempts_ended(make_history(request, current_search.found()), server)) {
                 break;
             }
         }
@@ -206,50 +207,53 @@
 
 /// Reads the batches of all sidecars around the start of the request. Needed if the entry crashed before it
 /// wrote its records: nothing then shows which sidecars received the request.
-asio::awaitable<void> explainer::read_all_sidecars(search& looked, request_id request, minute_point last) {
+asio::awaitable<void> explainer::read_all_sidecars(search& current_search, request_id request,
+                                                   minute_point last) {
     const auto start = start_time(request);
     const auto end = std::min(last, minute_of(start + m_limits.batch_delay + m_limits.clock_difference));
     for (auto minute = minute_of(start - m_limits.clock_difference); minute <= end;
          minute += std::chrono::minutes(1)) {
-        co_await looked.read_minute(key_prefix(minute, sidecar_role), every_batch);
+        co_await current_search.read_minute(key_prefix(minute, sidecar_role), every_batch);
     }
 }
 
 asio::awaitable<findings> explainer::find_request(request_id request) {
     const auto start = start_time(request);
     const auto now = m_now();
-    search looked(m_store, m_limits, [&request](const record& entry) { return entry.request == request; });
+    search current_search(m_store, m_limits,
+                          [&request](const record& entry) { return entry.request == request; });
     if (start > now + m_limits.clock_difference) {
-        looked.remark("this id doesn't carry a time that has come: no entry of this system made it.");
-        co_return looked.finish();
+        current_search.remark("this id doesn't carry a time that has come: no entry of this system made it.");
+        co_return current_search.finish();
     }
     const auto last = minute_of(std::min(now + m_limits.clock_difference, start + m_limits.request_time));
-    co_await read_entry(looked, request, last);
-    if (named_servers(looked.found()).empty() && !make_history(request, looked.found()).outcome) {
-        co_await read_all_sidecars(looked, request, last);
+    co_await read_entry(current_search, request, last);
+    if (named_servers(current_search.found()).empty() &&
+        !make_history(request, current_search.found()).outcome) {
+        co_await read_all_sidecars(current_search, request, last);
     }
-    co_await read_named_sidecars(looked, request, last);
-    remark_if_recent(looked, std::max(start, looked.last_record_time()), now);
-    co_return looked.finish();
+    co_await read_named_sidecars(current_search, request, last);
+    add_remark_if_recent(current_search, std::max(start, current_search.last_record_time()), now);
+    co_return current_search.finish();
 }
 
 asio::awaitable<findings> explainer::find_workspace(std::string workspace, time_point from, time_point to) {
     const auto last_minute = minute_of(std::min(m_now(), to + m_limits.batch_delay));
-    search looked(m_store, m_limits, [&](const record& entry) {
+    search current_search(m_store, m_limits, [&](const record& entry) {
         return (workspace.empty() || entry.workspace == workspace) && entry.time >= from && entry.time <= to;
     });
-    for (auto minute = minute_of(from); minute <= last_minute && !looked.has_reached_limit();
+    for (auto minute = minute_of(from); minute <= last_minute && !current_search.has_reached_limit();
          minute += std::chrono::minutes(1)) {
-        co_await looked.read_minute(key_prefix(minute, entry_role), every_batch);
+        co_await current_search.read_minute(key_prefix(minute, entry_role), every_batch);
     }
-    remark_if_recent(looked, to, m_now());
-    co_return looked.finish();
+    add_remark_if_recent(current_search, to, m_now());
+    co_return current_search.finish();
 }
 
-void explainer::remark_if_recent(search& looked, time_point last, time_point now) const {
+void explainer::add_remark_if_recent(search& current_search, time_point last, time_point now) const {
     if (last + m_limits.batch_delay > now) {
-        looked.remark("records of the last " + std::to_string(m_limits.batch_delay.count()) +
-                      " s may not be written yet; ask again.");
+        current_search.remark("records of the last " + std::to_string(m_limits.batch_delay.count()) +
+                              " s may not be written yet; ask again.");
     }
 }
 
--- a/src/audit/explainer.hpp
+++ b/src/audit/explainer.hpp
@@ -51,12 +51,14 @@
 private:
     class search;
 
-    boost::asio::awaitable<void> read_entry(search& looked, request_id request, minute_point last);
-    boost::asio::awaitable<void> read_named_sidecars(search& looked, request_id request, minute_point last);
-    boost::asio::awaitable<void> read_all_sidecars(search& looked, request_id request, minute_point last);
+    boost::asio::awaitable<void> read_entry(search& current_search, request_id request, minute_point last);
+    boost::asio::awaitable<void> read_named_sidecars(search& current_search, request_id request,
+                                                     minute_point last);
+    boost::asio::awaitable<void> read_all_sidecars(search& current_search, request_id request,
+                                                   minute_point last);
     /// Adds a remark if records up to the time `last` may not have been written yet at the time `now`.
-    void remark_if_recent(search& looked, std::chrono::system_clock::time_point last,
-                          std::chrono::system_clock::time_point now) const;
+    void add_remark_if_recent(search& current_search, std::chrono::system_clock::time_point last,
+                              std::chrono::system_clock::time_point now) const;
 
     store::object_store& m_store;
     explainer_limits m_limits;
--- a/src/audit/narrative.cpp
+++ b/src/audit/narrative.cpp
@@ -47,7 +47,7 @@
     return text.data();
 }
 
-verdict judge(const request_history& history) {
+verdict determine_verdict(const request_history& history) {
     const bool has_run = !history.runs().empty();
     if (history.outcome && history.outcome->what == event::answered) {
         return verdict::served;
@@ -65,20 +65,20 @@
 }
 
 /// Describes why a backend server didn't run the request, for example "pluma-2 refused it as overloaded".
-std::string why_not(const attempt& place) {
-    std::string out = place.backend_server;
-    if (place.refusal) {
-        out.append(" refused it as ").append(borageford::to_string(*place.refusal));
-        if (!place.detail.empty()) {
-            out.append(" (").append(place.detail).append(")");
+std::string describe_failed_offer(const attempt& offer) {
+    std::string out = offer.backend_server;
+    if (offer.refusal) {
+        out.append(" refused it as ").append(borageford::to_string(*offer.refusal));
+        if (!offer.detail.empty()) {
+            out.append(" (").append(offer.detail).append(")");
         }
-    } else if (place.was_pushed_out) {
+    } else if (offer.was_pushed_out) {
         out += " dropped it from its queue for a request of a higher tier";
-    } else if (place.has_lapsed) {
+    } else if (offer.has_expired) {
         out += " granted it and got no start in time";
-    } else if (place.has_been_withdrawn) {
-        out += place.granted ? " granted it too late" : " had no room for it by then";
-    } else if (place.queued) {
+    } else if (offer.has_been_withdrawn) {
+        out += offer.granted ? " granted it too late" : " had no room for it by then";
+    } else if (offer.queued) {
         out += " queued it";
     } else {
         out += " left no record of an answer";
@@ -88,16 +88,16 @@
 
 std::string describe_others(const request_history& history, const attempt* chosen) {
     std::string out;
-    for (const auto& place : history.attempts) {
-        if (&place == chosen || place.has_run()) {
+    for (const auto& offer : history.attempts) {
+        if (&offer == chosen || offer.has_run()) {
             continue;
         }
-        out.append(out.empty() ? "" : "; ").append(why_not(place));
+        out.append(out.empty() ? "" : "; ").append(describe_failed_offer(offer));
     }
     return out;
 }
 
-std::string why_there(const request_history& history, const attempt& chosen) {
+std::string describe_choice(const request_history& history, const attempt& chosen) {
     std::string out =
         "It ran on " + chosen.backend_server + " under revision " + std::to_string(chosen.revision);
     if (!chosen.granted) {
@@ -152,10 +152,10 @@
     std::vector<std::string> out;
     const auto runs = history.runs();
     for (const auto* chosen : runs) {
-        out.push_back(why_there(history, *chosen));
+        out.push_back(describe_choice(history, *chosen));
         out.push_back(describe_end(*chosen));
     }
-    const auto result = judge(history);
+    const auto result = determine_verdict(history);
     if (result == verdict::not_run) {
         const auto others = describe_others(history, nullptr);
         out.push_back("It did not run." + (others.empty() ? "" : " " + others + "."));
@@ -265,7 +265,7 @@
                      {"workspace", history.workspace},
                      {"tier", history.tier},
                      {"target", history.target},
-                     {"verdict", to_string(judge(history))}};
+                     {"verdict", to_string(determine_verdict(history))}};
     out["summary"] =
         history.records.empty() ? json::value(json::array()) : json::value_from(summarize(history));
     out["steps"] = std::move(steps);
@@ -287,7 +287,7 @@
         const auto time = history.records.front().entry.time;
         std::string line = format_time(time) + " " + history.request.to_string() + " " + history.workspace +
                            " tier " + std::to_string(history.tier) + " " + history.target + ": ";
-        line.append(to_string(judge(history)));
+        line.append(to_string(determine_verdict(history)));
         if (history.outcome && history.outcome->reason) {
             line.append(" (").append(borageford::to_string(*history.outcome->reason)).append(")");
         }
--- a/src/audit/recorder.cpp
+++ b/src/audit/recorder.cpp
@@ -53,12 +53,12 @@
                   limits_of(settings)) {}
 
     void start() {
-        phase_timer =
-            timers.after(strand, random_phase(settings.flush_period), on_self(&state::begin_period));
+        phase_timer = timers.after(strand, random_phase(settings.flush_period),
+                                   make_weak_callback(&state::begin_period));
     }
 
     /// Returns a callback that calls the member function if the state still exists, without keeping it alive.
-    std::function<void()> on_self(void (state::*call)()) {
+    std::function<void()> make_weak_callback(void (state::*call)()) {
         return [weak = weak_from_this(), call] {
             if (const auto self = weak.lock()) {
                 ((*self).*call)();
@@ -67,7 +67,7 @@
     }
 
     void begin_period() {
-        period_timer = timers.every(strand, settings.flush_period, on_self(&state::end_period));
+        period_timer = timers.every(strand, settings.flush_period, make_weak_callback(&state::end_period));
         end_period();
     }
 
@@ -82,7 +82,7 @@
         period_timer.cancel();
         records.close(system_clock::now(), true);
         flushed = std::move(done);
-        flush_timer = timers.after(strand, limit, on_self(&state::end_flush));
+        flush_timer = timers.after(strand, limit, make_weak_callback(&state::end_flush));
         write_soon();
     }
 
@@ -124,7 +124,7 @@
     /// repeated in the next flush period.
     void retry_flush() {
         if (flushed) {
-            retry_timer = timers.after(strand, flush_retry_delay, on_self(&state::write_soon));
+            retry_timer = timers.after(strand, flush_retry_delay, make_weak_callback(&state::write_soon));
         }
     }
 
@@ -147,23 +147,23 @@
         } catch (const store::store_error& error) {
             // The batch stays in the backlog and is written again. This is safe even if the write took effect
             // and only the answer was lost: the same bytes under the same key don't make a second batch.
-            note_outage(error.what());
+            log_outage(error.what());
         }
         records.end_write(object.sequence, is_written);
         if (is_written) {
-            note_success();
+            log_recovery();
         }
         co_return is_written;
     }
 
-    void note_outage(const std::string& reason) {
-        if (!std::exchange(is_store_out, true)) {
+    void log_outage(const std::string& reason) {
+        if (!std::exchange(is_store_unavailable, true)) {
             log::warning("audit_store_unavailable", {{"reason", reason}});
         }
     }
 
-    void note_success() {
-        if (std::exchange(is_store_out, false)) {
+    void log_recovery() {
+        if (std::exchange(is_store_unavailable, false)) {
             log::info("audit_store_available", {{"lost_records", std::to_string(records.lost_records())}});
         }
     }
@@ -180,7 +180,7 @@
     std::function<void()> flushed; ///< callback of flush(); empty if no flush is in progress
     unsigned allowed_writes = 0;
     bool is_writing = false;
-    bool is_store_out = false;
+    bool is_store_unavailable = false;
 };
 
 recorder::recorder(asio::any_io_executor executor, timer_service& timers, store::object_store& store,
--- a/src/audit/request_history.cpp
+++ b/src/audit/request_history.cpp
@@ -22,20 +22,20 @@
 }
 
 /// Enters an entry's record into the attempt.
-void note_entry_record(attempt& place, const record& entry) {
+void apply_entry_record(attempt& offer, const record& entry) {
     switch (entry.what) {
     case event::offered:
-        place.offered = entry.time;
+        offer.offered = entry.time;
         break;
     case event::started:
-        place.start_sent = entry.time;
+        offer.start_sent = entry.time;
         break;
     case event::refused:
         // The entry records the refusal that it received from the sidecar. The sidecar's own record is
         // preferred but may be lost.
-        if (!place.refusal) {
-            place.refusal = entry.reason;
-            place.detail = entry.detail;
+        if (!offer.refusal) {
+            offer.refusal = entry.reason;
+            offer.detail = entry.detail;
         }
         break;
     default:
@@ -44,36 +44,36 @@
 }
 
 /// Enters a sidecar's record into the attempt.
-void note_sidecar_record(attempt& place, const record& entry) {
+void apply_sidecar_record(attempt& offer, const record& entry) {
     switch (entry.what) {
     case event::queued:
-        place.queued = entry.time;
+        offer.queued = entry.time;
         break;
     case event::refused:
-        place.refusal = entry.reason.value_or(error_kind::internal);
-        place.detail = entry.detail;
+        offer.refusal = entry.reason.value_or(error_kind::internal);
+        offer.detail = entry.detail;
         break;
     case event::pushed_out:
-        place.was_pushed_out = true;
+        offer.was_pushed_out = true;
         break;
     case event::granted:
-        place.granted = entry.time;
+        offer.granted = entry.time;
         break;
     case event::withdrawn:
-        place.has_been_withdrawn = true;
+        offer.has_been_withdrawn = true;
         break;
     case event::lapsed:
-        place.has_lapsed = true;
+        offer.has_expired = true;
         break;
     case event::started:
-        place.started = entry.time;
+        offer.started = entry.time;
         break;
     case event::ended:
-        place.ended = entry.time;
-        place.failure = entry.reason;
+        offer.ended = entry.time;
+        offer.failure = entry.reason;
         break;
     case event::cancelled:
-        place.was_cancelled = true;
+        offer.was_cancelled = true;
         break;
     default:
         break;
@@ -85,21 +85,21 @@
            what == event::cancelled;
 }
 
-void note_attempt(request_history& history, const witnessed_record& witnessed) {
+void apply_to_attempt(request_history& history, const witnessed_record& witnessed) {
     const auto& entry = witnessed.entry;
-    auto& place = find_attempt(history, entry);
-    place.revision = entry.revision;
+    auto& offer = find_attempt(history, entry);
+    offer.revision = entry.revision;
     if (!entry.backend_server.empty()) {
-        place.backend_server = entry.backend_server;
+        offer.backend_server = entry.backend_server;
     }
     if (witnessed.role == entry_role) {
-        note_entry_record(place, entry);
+        apply_entry_record(offer, entry);
     } else {
-        note_sidecar_record(place, entry);
+        apply_sidecar_record(offer, entry);
     }
 }
 
-void note_record(request_history& history, const witnessed_record& witnessed) {
+void apply_record(request_history& history, const witnessed_record& witnessed) {
     const auto& entry = witnessed.entry;
     history.records.push_back(witnessed);
     if (history.workspace.empty()) {
@@ -108,7 +108,7 @@
         history.target = entry.target;
     }
     if (!entry.dispatch.is_none()) {
-        note_attempt(history, witnessed);
+        apply_to_attempt(history, witnessed);
     }
     if (witnessed.role != entry_role) {
         return;
@@ -128,9 +128,9 @@
 
 std::vector<const attempt*> request_history::runs() const {
     std::vector<const attempt*> out;
-    for (const auto& place : attempts) {
-        if (place.has_run()) {
-            out.push_back(&place);
+    for (const auto& offer : attempts) {
+        if (offer.has_run()) {
+            out.push_back(&offer);
         }
     }
     return out;
@@ -145,7 +145,7 @@
     history.request = request;
     for (const auto& witnessed : found.records) {
         if (witnessed.entry.request == request) {
-            note_record(history, witnessed);
+            apply_record(history, witnessed);
         }
     }
     return history;
@@ -159,11 +159,11 @@
         if (request.is_none()) {
             continue;
         }
-        const auto [place, is_new] = indexes.try_emplace(request, histories.size());
+        const auto [position, is_new] = indexes.try_emplace(request, histories.size());
         if (is_new) {
             histories.emplace_back().request = request;
         }
-        note_record(histories.at(place->second), witnessed);
+        apply_record(histories.at(position->second), witnessed);
     }
     return histories;
 }
--- a/src/audit/request_history.hpp
+++ b/src/audit/request_history.hpp
@@ -29,7 +29,7 @@
     std::string detail;                ///< details of the refusal
     bool has_been_withdrawn = false;
     bool was_pushed_out = false;
-    bool has_lapsed = false;
+    bool has_expired = false;
     bool was_cancelled = false;
 
     /// Whether the sidecar sent the request to its backend server. A refusal recorded for a started attempt
@@ -37,7 +37,7 @@
     [[nodiscard]] bool has_run() const { return started && !refusal; }
     /// Whether the entry sent the start message and no record shows if the sidecar started the request.
     [[nodiscard]] bool may_have_run() const {
-        return start_sent && !started && !refusal && !has_lapsed && !has_been_withdrawn;
+        return start_sent && !started && !refusal && !has_expired && !has_been_withdrawn;
     }
 };
 
