--- a/src/audit/backlog.cpp
+++ b/src/audit/backlog.cpp
@@ -12,10 +12,10 @@
 backlog::backlog(batch_origin origin, const identifier& incarnation, backlog_limits limits)
     : m_origin(std::move(origin)), m_incarnation(incarnation), m_limits(limits) {}
 
-void backlog::add(record entry) {
+void backlog::add(record audit_record) {
     const std::scoped_lock lock(m_mutex);
-    const auto now = entry.time;
-    m_open.push_back(std::move(entry));
+    const auto now = audit_record.time;
+    m_open.push_back(std::move(audit_record));
     if (m_open.size() >= m_limits.batch) {
         close_open_batch(now, false);
     }
--- a/src/audit/backlog.hpp
+++ b/src/audit/backlog.hpp
@@ -43,7 +43,7 @@
 
     /// Appends a record to the open batch. Closes the batch when it is full, and replaces the oldest batches
     /// by gaps if the memory limit is exceeded.
-    void add(record entry);
+    void add(record audit_record);
 
     /// Closes the open batch if it contains records. With `is_last` an empty batch is closed, too, and the
     /// batch is marked as the last one of this process.
--- a/src/audit/batch.cpp
+++ b/src/audit/batch.cpp
@@ -32,15 +32,15 @@
 public:
     explicit batch_writer(microseconds base) : m_base(base) {}
 
-    void add(const record& entry) {
-        auto& attempt = find_attempt(entry);
-        json::object event{{"at", (since_epoch(entry.time) - m_base).count()},
-                           {"event", to_string(entry.what)}};
-        if (entry.reason) {
-            event["reason"] = to_string(*entry.reason);
+    void add(const record& audit_record) {
+        auto& attempt = find_attempt(audit_record);
+        json::object event{{"at", (since_epoch(audit_record.time) - m_base).count()},
+                           {"event", to_string(audit_record.what)}};
+        if (audit_record.reason) {
+            event["reason"] = to_string(*audit_record.reason);
         }
-        if (!entry.detail.empty()) {
-            event["detail"] = entry.detail;
+        if (!audit_record.detail.empty()) {
+            event["detail"] = audit_record.detail;
         }
         attempt["events"].as_array().push_back(std::move(event));
     }
@@ -52,38 +52,40 @@
     }
 
 private:
-    json::object& find_attempt(const record& entry) {
-        const line_key where{entry.request, entry.workspace, entry.tier, entry.target};
+    json::object& find_attempt(const record& audit_record) {
+        const line_key where{audit_record.request, audit_record.workspace, audit_record.tier,
+                             audit_record.target};
         const auto [line, is_new_line] = m_line_indexes.try_emplace(where, m_lines.size());
         if (is_new_line) {
-            m_lines.push_back(make_line(entry));
+            m_lines.push_back(make_line(audit_record));
         }
         auto& attempts = m_lines.at(line->second)["attempts"].as_array();
-        const std::pair key{line->second, attempt_key{entry.dispatch, entry.backend_server, entry.revision}};
+        const std::pair key{line->second, attempt_key{audit_record.dispatch, audit_record.backend_server,
+                                                      audit_record.revision}};
         const auto [attempt, is_new_attempt] = m_attempt_indexes.try_emplace(key, attempts.size());
         if (is_new_attempt) {
-            attempts.push_back(make_attempt(entry));
+            attempts.push_back(make_attempt(audit_record));
         }
         return attempts.at(attempt->second).as_object();
     }
 
-    static json::object make_line(const record& entry) {
-        return {{"request", entry.request.to_string()},
-                {"workspace", entry.workspace},
-                {"tier", entry.tier},
-                {"target", entry.target},
+    static json::object make_line(const record& audit_record) {
+        return {{"request", audit_record.request.to_string()},
+                {"workspace", audit_record.workspace},
+                {"tier", audit_record.tier},
+                {"target", audit_record.target},
                 {"attempts", json::array()}};
     }
 
-    static json::object make_attempt(const record& entry) {
+    static json::object make_attempt(const record& audit_record) {
         json::object attempt;
-        if (!entry.dispatch.is_none()) {
-            attempt["dispatch"] = entry.dispatch.to_string();
+        if (!audit_record.dispatch.is_none()) {
+            attempt["dispatch"] = audit_record.dispatch.to_string();
         }
-        if (!entry.backend_server.empty()) {
-            attempt["backend_server"] = entry.backend_server;
+        if (!audit_record.backend_server.empty()) {
+            attempt["backend_server"] = audit_record.backend_server;
         }
-        attempt["revision"] = entry.revision;
+        attempt["revision"] = audit_record.revision;
         attempt["events"] = json::array();
         return attempt;
     }
@@ -176,12 +178,12 @@
 
 std::string encode_batch(const batch& content) {
     microseconds base = microseconds::max();
-    for (const auto& entry : content.records) {
-        base = std::min(base, since_epoch(entry.time));
+    for (const auto& audit_record : content.records) {
+        base = std::min(base, since_epoch(audit_record.time));
     }
     batch_writer writer(base);
-    for (const auto& entry : content.records) {
-        writer.add(entry);
+    for (const auto& audit_record : content.records) {
+        writer.add(audit_record);
     }
     const json::object head{
         {"format", format_version},         {"role", content.origin.role},
--- a/src/audit/explainer.cpp
+++ b/src/audit/explainer.cpp
@@ -67,7 +67,7 @@
     [[nodiscard]] time_point last_record_time() const {
         time_point last;
         for (const auto& witnessed : m_found.records) {
-            last = std::max(last, witnessed.entry.time);
+            last = std::max(last, witnessed.audit_record.time);
         }
         return last;
     }
@@ -75,7 +75,7 @@
     findings finish() {
         add_missing_batch_remarks();
         std::ranges::sort(m_found.records, {}, [](const witnessed_record& witnessed) {
-            return std::pair(witnessed.entry.time, witnessed.role);
+            return std::pair(witnessed.audit_record.time, witnessed.role);
         });
         return std::move(m_found);
     }
@@ -113,12 +113,12 @@
     }
 
     void add_records(const batch_key& key, batch content) {
-        for (auto& entry : content.records) {
-            if (entry.what == event::gap) {
-                remark(describe_writer(key) + " lost records: from " + format_time(entry.time) + ", " +
-                       entry.detail + ".");
-            } else if (m_wanted(entry)) {
-                m_found.records.push_back({std::move(entry), key.role, key.writer});
+        for (auto& audit_record : content.records) {
+            if (audit_record.what == event::gap) {
+                remark(describe_writer(key) + " lost records: from " + format_time(audit_record.time) + ", " +
+                       audit_record.detail + ".");
+            } else if (m_wanted(audit_record)) {
+                m_found.records.push_back({std::move(audit_record), key.role, key.writer});
             }
         }
     }
@@ -157,8 +157,8 @@
 std::set<std::string> named_servers(const findings& found) {
     std::set<std::string> out;
     for (const auto& witnessed : found.records) {
-        if (!witnessed.entry.backend_server.empty()) {
-            out.insert(witnessed.entry.backend_server);
+        if (!witnessed.audit_record.backend_server.empty()) {
+            out.insert(witnessed.audit_record.backend_server);
         }
     }
     return out;
@@ -221,7 +221,7 @@
     const auto start = start_time(request);
     const auto now = m_now();
     search current_search(m_store, m_limits,
-                          [&request](const record& entry) { return entry.request == request; });
+                          [&request](const record& audit_record) { return audit_record.request == request; });
     if (start > now + m_limits.clock_difference) {
         current_search.remark("this id doesn't carry a time that has come: no entry of this system made it.");
         co_return current_search.finish();
@@ -239,8 +239,9 @@
 
 asio::awaitable<findings> explainer::find_workspace(std::string workspace, time_point from, time_point to) {
     const auto last_minute = minute_of(std::min(m_now(), to + m_limits.batch_delay));
-    search current_search(m_store, m_limits, [&](const record& entry) {
-        return (workspace.empty() || entry.workspace == workspace) && entry.time >= from && entry.time <= to;
+    search current_search(m_store, m_limits, [&](const record& audit_record) {
+        return (workspace.empty() || audit_record.workspace == workspace) && audit_record.time >= from &&
+               audit_record.time <= to;
     });
     for (auto minute = minute_of(from); minute <= last_minute && !current_search.has_reached_limit();
          minute += std::chrono::minutes(1)) {
--- a/src/audit/findings.hpp
+++ b/src/audit/findings.hpp
@@ -11,7 +11,7 @@
 
 /// A record and the process that wrote it.
 struct witnessed_record {
-    record entry;
+    record audit_record;
     std::string role;   ///< "entry" or "sidecar"
     std::string writer; ///< the entry's VM or the sidecar's backend server
 };
--- a/src/audit/narrative.cpp
+++ b/src/audit/narrative.cpp
@@ -175,23 +175,23 @@
 }
 
 std::string describe_step(const witnessed_record& witnessed) {
-    const auto& entry = witnessed.entry;
-    std::string out = format_time(entry.time) + " " + witnessed.role + " " + witnessed.writer + ": " +
-                      std::string(to_string(entry.what));
-    if (witnessed.role == "entry" && !entry.backend_server.empty()) {
-        out += entry.what == event::offered ? " to " : " at ";
-        out += entry.backend_server;
+    const auto& audit_record = witnessed.audit_record;
+    std::string out = format_time(audit_record.time) + " " + witnessed.role + " " + witnessed.writer + ": " +
+                      std::string(to_string(audit_record.what));
+    if (witnessed.role == "entry" && !audit_record.backend_server.empty()) {
+        out += audit_record.what == event::offered ? " to " : " at ";
+        out += audit_record.backend_server;
     }
-    if (!entry.dispatch.is_none()) {
-        out += ", dispatch " + short_name(entry.dispatch);
+    if (!audit_record.dispatch.is_none()) {
+        out += ", dispatch " + short_name(audit_record.dispatch);
     }
-    if (entry.reason) {
-        out.append(", reason ").append(borageford::to_string(*entry.reason));
+    if (audit_record.reason) {
+        out.append(", reason ").append(borageford::to_string(*audit_record.reason));
     }
-    if (!entry.detail.empty()) {
-        out += " (" + entry.detail + ")";
+    if (!audit_record.detail.empty()) {
+        out += " (" + audit_record.detail + ")";
     }
-    return out + ", revision " + std::to_string(entry.revision);
+    return out + ", revision " + std::to_string(audit_record.revision);
 }
 
 std::string describe_subject(const request_history& history) {
@@ -245,20 +245,20 @@
     const auto history = make_history(request, found);
     json::array steps;
     for (const auto& witnessed : history.records) {
-        const auto& entry = witnessed.entry;
-        json::object step{{"time", format_time(entry.time)},
+        const auto& audit_record = witnessed.audit_record;
+        json::object step{{"time", format_time(audit_record.time)},
                           {"role", witnessed.role},
                           {"writer", witnessed.writer},
-                          {"event", to_string(entry.what)},
-                          {"revision", entry.revision}};
-        if (!entry.dispatch.is_none()) {
-            step["dispatch"] = entry.dispatch.to_string();
-            step["backend_server"] = entry.backend_server;
+                          {"event", to_string(audit_record.what)},
+                          {"revision", audit_record.revision}};
+        if (!audit_record.dispatch.is_none()) {
+            step["dispatch"] = audit_record.dispatch.to_string();
+            step["backend_server"] = audit_record.backend_server;
         }
-        if (entry.reason) {
-            step["reason"] = borageford::to_string(*entry.reason);
+        if (audit_record.reason) {
+            step["reason"] = borageford::to_string(*audit_record.reason);
         }
-        step["detail"] = entry.detail;
+        step["detail"] = audit_record.detail;
         steps.emplace_back(std::move(step));
     }
     json::object out{{"request", request.to_string()},
@@ -284,7 +284,7 @@
             ++left_out;
             continue;
         }
-        const auto time = history.records.front().entry.time;
+        const auto time = history.records.front().audit_record.time;
         std::string line = format_time(time) + " " + history.request.to_string() + " " + history.workspace +
                            " tier " + std::to_string(history.tier) + " " + history.target + ": ";
         line.append(to_string(determine_verdict(history)));
--- a/src/audit/record.cpp
+++ b/src/audit/record.cpp
@@ -33,13 +33,13 @@
 
 void sort_by_time(std::vector<record>& records) {
     std::multimap<std::chrono::system_clock::time_point, record> ordered;
-    for (auto& entry : records) {
-        const auto time = entry.time;
-        ordered.emplace(time, std::move(entry));
+    for (auto& audit_record : records) {
+        const auto time = audit_record.time;
+        ordered.emplace(time, std::move(audit_record));
     }
     records.clear();
-    for (auto& [time, entry] : ordered) {
-        records.push_back(std::move(entry));
+    for (auto& [time, audit_record] : ordered) {
+        records.push_back(std::move(audit_record));
     }
 }
 
--- a/src/audit/recorder.cpp
+++ b/src/audit/recorder.cpp
@@ -193,8 +193,8 @@
     asio::post(m_state->strand, [self = m_state] { self->start(); });
 }
 
-void recorder::record(audit::record entry) {
-    m_state->records.add(std::move(entry));
+void recorder::record(audit::record audit_record) {
+    m_state->records.add(std::move(audit_record));
 }
 
 void recorder::flush(milliseconds limit, std::function<void()> done) {
--- a/src/audit/recorder.hpp
+++ b/src/audit/recorder.hpp
@@ -41,7 +41,7 @@
 
     /// Starts writing batches in each flush period.
     void start();
-    void record(audit::record entry);
+    void record(audit::record audit_record);
 
     /// Writes all records, the last batch marked as the last one of this process, then calls `done` on the
     /// executor, after `limit` at the latest. Used for a graceful shutdown.
--- a/src/audit/request_history.cpp
+++ b/src/audit/request_history.cpp
@@ -10,32 +10,32 @@
 
 constexpr std::string_view entry_role = "entry";
 
-attempt& find_attempt(request_history& history, const record& entry) {
-    const auto found = std::ranges::find(history.attempts, entry.dispatch, &attempt::dispatch);
+attempt& find_attempt(request_history& history, const record& audit_record) {
+    const auto found = std::ranges::find(history.attempts, audit_record.dispatch, &attempt::dispatch);
     if (found != history.attempts.end()) {
         return *found;
     }
     attempt fresh;
-    fresh.dispatch = entry.dispatch;
+    fresh.dispatch = audit_record.dispatch;
     history.attempts.push_back(std::move(fresh));
     return history.attempts.back();
 }
 
 /// Enters an entry's record into the attempt.
-void apply_entry_record(attempt& offer, const record& entry) {
-    switch (entry.what) {
+void apply_entry_record(attempt& offer, const record& audit_record) {
+    switch (audit_record.what) {
     case event::offered:
-        offer.offered = entry.time;
+        offer.offered = audit_record.time;
         break;
     case event::started:
-        offer.start_sent = entry.time;
+        offer.start_sent = audit_record.time;
         break;
     case event::refused:
         // The entry records the refusal that it received from the sidecar. The sidecar's own record is
         // preferred but may be lost.
         if (!offer.refusal) {
-            offer.refusal = entry.reason;
-            offer.detail = entry.detail;
+            offer.refusal = audit_record.reason;
+            offer.detail = audit_record.detail;
         }
         break;
     default:
@@ -44,20 +44,20 @@
 }
 
 /// Enters a sidecar's record into the attempt.
-void apply_sidecar_record(attempt& offer, const record& entry) {
-    switch (entry.what) {
+void apply_sidecar_record(attempt& offer, const record& audit_record) {
+    switch (audit_record.what) {
     case event::queued:
-        offer.queued = entry.time;
+        offer.queued = audit_record.time;
         break;
     case event::refused:
-        offer.refusal = entry.reason.value_or(error_kind::internal);
-        offer.detail = entry.detail;
+        offer.refusal = audit_record.reason.value_or(error_kind::internal);
+        offer.detail = audit_record.detail;
         break;
     case event::pushed_out:
         offer.was_pushed_out = true;
         break;
     case event::granted:
-        offer.granted = entry.time;
+        offer.granted = audit_record.time;
         break;
     case event::withdrawn:
         offer.has_been_withdrawn = true;
@@ -66,11 +66,11 @@
         offer.has_expired = true;
         break;
     case event::started:
-        offer.started = entry.time;
+        offer.started = audit_record.time;
         break;
     case event::ended:
-        offer.ended = entry.time;
-        offer.failure = entry.reason;
+        offer.ended = audit_record.time;
+        offer.failure = audit_record.reason;
         break;
     case event::cancelled:
         offer.was_cancelled = true;
@@ -86,41 +86,42 @@
 }
 
 void apply_to_attempt(request_history& history, const witnessed_record& witnessed) {
-    const auto& entry = witnessed.entry;
-    auto& offer = find_attempt(history, entry);
-    offer.revision = entry.revision;
-    if (!entry.backend_server.empty()) {
-        offer.backend_server = entry.backend_server;
+    const auto& audit_record = witnessed.audit_record;
+    auto& offer = find_attempt(history, audit_record);
+    offer.revision = audit_record.revision;
+    if (!audit_record.backend_server.empty()) {
+        offer.backend_server = audit_record.backend_server;
     }
     if (witnessed.role == entry_role) {
-        apply_entry_record(offer, entry);
+        apply_entry_record(offer, audit_record);
     } else {
-        apply_sidecar_record(offer, entry);
+        apply_sidecar_record(offer, audit_record);
     }
 }
 
 void apply_record(request_history& history, const witnessed_record& witnessed) {
-    const auto& entry = witnessed.entry;
+    const auto& audit_record = witnessed.audit_record;
     history.records.push_back(witnessed);
     if (history.workspace.empty()) {
-        history.workspace = entry.workspace;
-        history.tier = entry.tier;
-        history.target = entry.target;
+        history.workspace = audit_record.workspace;
+        history.tier = audit_record.tier;
+        history.target = audit_record.target;
     }
-    if (!entry.dispatch.is_none()) {
+    if (!audit_record.dispatch.is_none()) {
         apply_to_attempt(history, witnessed);
     }
     if (witnessed.role != entry_role) {
         return;
     }
     history.entry = witnessed.writer;
-    if (entry.what == event::received) {
-        history.received = entry.time;
-        history.revision = entry.revision;
+    if (audit_record.what == event::received) {
+        history.received = audit_record.time;
+        history.revision = audit_record.revision;
     }
     // A refusal with a dispatch concerns only one sidecar; the entry may still run the request elsewhere.
-    if (is_outcome(entry.what) && (entry.dispatch.is_none() || entry.what == event::answered)) {
-        history.outcome = entry;
+    if (is_outcome(audit_record.what) &&
+        (audit_record.dispatch.is_none() || audit_record.what == event::answered)) {
+        history.outcome = audit_record;
     }
 }
 
@@ -144,7 +145,7 @@
     request_history history;
     history.request = request;
     for (const auto& witnessed : found.records) {
-        if (witnessed.entry.request == request) {
+        if (witnessed.audit_record.request == request) {
             apply_record(history, witnessed);
         }
     }
@@ -155,7 +156,7 @@
     std::vector<request_history> histories;
     std::map<request_id, std::size_t> indexes;
     for (const auto& witnessed : found.records) {
-        const auto& request = witnessed.entry.request;
+        const auto& request = witnessed.audit_record.request;
         if (request.is_none()) {
             continue;
         }
--- a/src/audit/request_history.hpp
+++ b/src/audit/request_history.hpp
@@ -47,8 +47,7 @@
     std::string workspace;
     unsigned tier = 0;
     std::string target;
-    std::string
-        entry; ///< VM of the entry that received the request; empty if no record of the entry was found
+    std::string entry; ///< VM of the entry that received the request; empty: none of its records was found
     std::optional<time_point> received;
     std::uint64_t revision = 0; ///< revision of the configuration when the entry received the request
     /// The entry's last record about the whole request: answered, refused, failed or cancelled.
