--- a/tests/failure/test_audit_trail.cpp
+++ b/tests/failure/test_audit_trail.cpp
@@ -13,10 +13,10 @@
 namespace {
 
 std::string explain(const http::endpoint& admin, const std::string& request) {
-    http::request question;
-    question.target = "/admin/requests/" + request;
-    question.headers.push_back({"Authorization", "Bearer operator-token"});
-    return call(admin, question).body;
+    http::request query;
+    query.target = "/admin/requests/" + request;
+    query.headers.push_back({"Authorization", "Bearer operator-token"});
+    return call(admin, query).body;
 }
 
 } // namespace
--- a/tests/unit/test_audit_explainer.cpp
+++ b/tests/unit/test_audit_explainer.cpp
@@ -80,8 +80,8 @@
         }
     }
 
-    audit::findings ask(boost::asio::awaitable<audit::findings> question) {
-        auto answer = boost::asio::co_spawn(context, std::move(question), boost::asio::use_future);
+    audit::findings run_search(boost::asio::awaitable<audit::findings> search) {
+        auto answer = boost::asio::co_spawn(context, std::move(search), boost::asio::use_future);
         context.restart();
         while (answer.wait_for(0s) != std::future_status::ready && context.run_one_for(20s) > 0) {
         }
@@ -91,7 +91,7 @@
 
     audit::findings find(audit::time_point now = noon + 1h) {
         audit::explainer explainer(store, {}, [now] { return now; });
-        return ask(explainer.find_request(request));
+        return run_search(explainer.find_request(request));
     }
 
     std::string explain(audit::time_point now = noon + 1h) {
@@ -294,11 +294,11 @@
     parts.entry().add(other);
     parts.close_all(30s);
     audit::explainer explainer(parts.store, {}, [] { return noon + 1h; });
-    const auto found = parts.ask(explainer.find_workspace("tinta", noon, noon + 1min));
+    const auto found = parts.run_search(explainer.find_workspace("tinta", noon, noon + 1min));
     const auto lines = audit::list_requests("tinta", found, 10);
     REQUIRE(lines.size() == 1);
     CHECK(contains(lines[0], parts.request.to_string() + " tinta tier 0 pluma: served"));
-    const auto all = parts.ask(explainer.find_workspace("", noon, noon + 1min));
+    const auto all = parts.run_search(explainer.find_workspace("", noon, noon + 1min));
     CHECK(audit::list_requests("", all, 10).size() == 2);
     CHECK(contains(audit::list_requests("", all, 1).back(), "1 more requests were left out"));
 }
@@ -312,7 +312,7 @@
     audit::explainer_limits limits;
     limits.object_limit = 3;
     audit::explainer explainer(parts.store, limits, [] { return noon + 1h; });
-    const auto found = parts.ask(explainer.find_workspace("", noon, noon + 1min));
+    const auto found = parts.run_search(explainer.find_workspace("", noon, noon + 1min));
     CHECK(found.objects_read == 3);
     REQUIRE(found.remarks.size() == 1);
     CHECK(contains(found.remarks[0], "those past that number were not"));
--- a/tests/unit/test_intent_parser.cpp
+++ b/tests/unit/test_intent_parser.cpp
@@ -19,14 +19,14 @@
 
 const std::string hash_a(64, 'a');
 
-const std::string sound = "[tier high]\nrank = 0\n"
-                          "[model m]\nversion = 1\nadapters = x\n"
-                          "[service s]\n"
-                          "[workspace w]\nkey_sha256 = " +
-                          hash_a +
-                          "\ntier = high\n"
-                          "[backend_server b]\nfailure_domain = d\nmodels = m\n"
-                          "[route r]\nworkspace = w\nmodel = m\n";
+const std::string valid_intent = "[tier high]\nrank = 0\n"
+                                 "[model m]\nversion = 1\nadapters = x\n"
+                                 "[service s]\n"
+                                 "[workspace w]\nkey_sha256 = " +
+                                 hash_a +
+                                 "\ntier = high\n"
+                                 "[backend_server b]\nfailure_domain = d\nmodels = m\n"
+                                 "[route r]\nworkspace = w\nmodel = m\n";
 
 std::vector<problem> problems_of(const std::string& text) {
     std::vector<problem> problems;
@@ -34,15 +34,15 @@
     return problems;
 }
 
-bool complains(const std::vector<problem>& problems, unsigned line, const std::string& key,
-               const std::string& part) {
+bool has_problem(const std::vector<problem>& problems, unsigned line, const std::string& key,
+                 const std::string& part) {
     return std::ranges::any_of(problems, [&](const problem& found) {
         return found.line == line && found.key == key && found.expected.find(part) != std::string::npos;
     });
 }
 
 /// A section with one error and the problem that must be reported for it.
-struct fault {
+struct invalid_section {
     std::string text; ///< appended to a valid intent
     std::string key;
     std::string expected;
@@ -52,7 +52,7 @@
 
 TEST_CASE("a valid intent is read completely", "[configuration]") {
     std::vector<problem> problems;
-    const auto read = parse_intent(sound, "intent.ini", problems);
+    const auto read = parse_intent(valid_intent, "intent.ini", problems);
     REQUIRE(problems.empty());
     CHECK(read.tiers.size() == 1);
     CHECK(read.find_workspace_by_key_hash(hash_a)->name == "w");
@@ -60,7 +60,7 @@
     CHECK(read.find_backend_server("b")->slots == 16);
     CHECK(read.find_route("w", "high", "m", false)->idempotent);
     CHECK(read.find_route("w", "high", "s", true) == nullptr);
-    CHECK(read.text == sound);
+    CHECK(read.text == valid_intent);
 }
 
 TEST_CASE("the example intent file has no errors", "[configuration][examples]") {
@@ -94,7 +94,7 @@
     // An operator makes a typing error in a long file. If it were accepted, callers would be routed or
     // limited wrongly until somebody notices, so each error must be reported with its line and key.
     const std::string hash_b(64, 'b');
-    const std::vector<fault> faults{
+    const std::vector<invalid_section> invalid_sections{
         {"[tire low]\n", "tire low", "one of the sections"},
         {"[tier]\nrank = 1\n", "tier", "a name of at most 64"},
         {"[tier a/b]\nrank = 1\n", "tier a/b", "a name of at most 64"},
@@ -142,24 +142,24 @@
         {"[route q]\nworkspace = w\nmodel = gone\n", "route q.model", "\"gone\""},
         {"[route q]\nworkspace = w\nservice = s\nidempotent = 1\n", "route q.idempotent", "one of no yes"},
     };
-    const auto lines = static_cast<unsigned>(std::ranges::count(sound, '\n'));
-    for (const auto& entry : faults) {
-        const auto problems = problems_of(sound + entry.text);
+    const auto lines = static_cast<unsigned>(std::ranges::count(valid_intent, '\n'));
+    for (const auto& entry : invalid_sections) {
+        const auto problems = problems_of(valid_intent + entry.text);
         INFO(entry.text);
         REQUIRE(problems.size() == 1);
         CHECK(problems.front().file == "intent.ini");
         CHECK(problems.front().line > lines);
-        CHECK(complains(problems, problems.front().line, entry.key, entry.expected));
+        CHECK(has_problem(problems, problems.front().line, entry.key, entry.expected));
     }
 }
 
 TEST_CASE("all errors in a file are reported at once in the order of lines", "[configuration]") {
     const auto problems = problems_of("[tier high]\nrank = x\n[workspace w]\ntier = top\n[nonsense]\n");
     REQUIRE(problems.size() == 4);
-    CHECK(complains(problems, 2, "tier high.rank", "whole number"));
-    CHECK(complains(problems, 3, "workspace w.key_sha256", "at least one"));
-    CHECK(complains(problems, 4, "workspace w.tier", "\"top\""));
-    CHECK(complains(problems, 5, "nonsense", "one of the sections"));
+    CHECK(has_problem(problems, 2, "tier high.rank", "whole number"));
+    CHECK(has_problem(problems, 3, "workspace w.key_sha256", "at least one"));
+    CHECK(has_problem(problems, 4, "workspace w.tier", "\"top\""));
+    CHECK(has_problem(problems, 5, "nonsense", "one of the sections"));
 }
 
 TEST_CASE("an empty intent is an error", "[configuration]") {
--- a/tests/unit/test_settings_page.cpp
+++ b/tests/unit/test_settings_page.cpp
@@ -76,7 +76,7 @@
 
 /// Reads a file that consists of this section with the given body. Returns the text of the problem reported
 /// for the key; empty if there is none.
-std::string complaint(const documented_section& section, const std::string& key, const std::string& body) {
+std::string find_problem(const documented_section& section, const std::string& key, const std::string& body) {
     for (const auto& problem : section.read("[" + section.title + "]\n" + body)) {
         if (problem.key == section.title + "." + key) {
             return problem.expected;
@@ -87,9 +87,9 @@
 
 /// Returns the keys that the code reads in this section, taken from the problem that it reports for an
 /// unknown key.
-std::set<std::string> keys_of_code(const documented_section& section) {
+std::set<std::string> read_keys_of_code(const documented_section& section) {
     constexpr std::string_view lead = "this section has";
-    const std::string text = complaint(section, "no_such_key", "no_such_key = 1\n");
+    const std::string text = find_problem(section, "no_such_key", "no_such_key = 1\n");
     std::set<std::string> keys;
     std::string word;
     for (const char letter : text.substr(text.find(lead) + lead.size()) + " ") {
@@ -108,7 +108,7 @@
 }
 
 struct documented_key {
-    std::string initial; ///< "required", "none" or the default
+    std::string default_value; ///< "required", "none" or the default
     std::string accepted;
 };
 
@@ -125,7 +125,7 @@
 }
 
 /// Removes the backticks of Markdown code spans.
-std::string plain(std::string text) {
+std::string remove_backticks(std::string text) {
     std::erase(text, '`');
     return text;
 }
@@ -137,11 +137,11 @@
     std::string title;
     for (std::string line; std::getline(page, line);) {
         if (line.starts_with("### ")) {
-            title = plain(line.substr(4));
+            title = remove_backticks(line.substr(4));
         } else if (line.starts_with("| `")) {
             const auto cells = cells_of(line);
             REQUIRE(cells.size() == 4);
-            sections[title][plain(cells[0])] = {plain(cells[1]), cells[2]};
+            sections[title][remove_backticks(cells[0])] = {remove_backticks(cells[1]), cells[2]};
         }
     }
     return sections;
@@ -160,7 +160,7 @@
                 documented.insert(key);
             }
         }
-        CHECK(documented == keys_of_code(section));
+        CHECK(documented == read_keys_of_code(section));
     }
     CHECK(page.size() < documented_sections().size()); // [service NAME] has no keys and no table on the page
 }
@@ -170,11 +170,11 @@
         const auto page = read_page()[section.page_title];
         for (const auto& [key, row] : page) {
             INFO(section.page_title << " " << key);
-            const auto without = complaint(section, key, "");
+            const auto without = find_problem(section, key, "");
             // These keys are required or not depending on other keys: `models` on a backend server's kind,
             // and `model` on whether the route has a service.
             const bool depends = key == "models" || key == "model";
-            CHECK((depends || without.empty() == (row.initial != "required")));
+            CHECK((depends || without.empty() == (row.default_value != "required")));
         }
     }
 }
@@ -185,10 +185,10 @@
         for (const auto& [key, row] : page) {
             INFO(section.page_title << " " << key);
             REQUIRE_FALSE(row.accepted.empty());
-            const auto wrong = complaint(section, key, key + " = ?\n");
+            const auto wrong = find_problem(section, key, key + " = ?\n");
             CHECK((wrong.empty() ? row.accepted.starts_with("any ") : wrong.starts_with(row.accepted)));
-            if (row.initial != "required" && row.initial != "none") {
-                CHECK(complaint(section, key, key + " = " + row.initial + "\n").empty());
+            if (row.default_value != "required" && row.default_value != "none") {
+                CHECK(find_problem(section, key, key + " = " + row.default_value + "\n").empty());
             }
         }
     }
