--- a/tests/unit/test_audit_explainer.cpp
+++ b/tests/unit/test_audit_explainer.cpp
@@ -1,4 +1,4 @@
-// Tests of the search for audit records (explainer) and of the explanations made from them (narrative):
+// Tests of the search for audit records and of the explanations that describe_request() makes from them:
 // records of entries and sidecars are found among the batches of many writers and combined into one text.
 #include "audit/backlog.hpp"
 #include "audit/explainer.hpp"
@@ -27,7 +27,7 @@
 const dispatch_id first_dispatch{3, 1};
 const dispatch_id second_dispatch{3, 2};
 
-/// Backlogs of entries and sidecars whose batches the test closes, and an explainer that reads those batches.
+/// Backlogs of entries and sidecars whose batches the test closes, and a search that reads those batches.
 struct fixture {
     boost::asio::io_context context;
     test::object_store_stub stub{context.get_executor()};
