--- a/src/admin/revision_survey.cpp
+++ b/src/admin/revision_survey.cpp
@@ -74,8 +74,8 @@
         m_on_finished = std::move(finished);
     }
 
-    /// Ends the inquiry and closes its connection. The inquiry releases the connection, whose callbacks keep
-    /// the inquiry alive.
+    /// Ends the query and closes its connection. The query releases the connection, whose callbacks keep
+    /// the query alive.
     void finish() {
         m_is_finished = true;
         if (const auto connection = std::exchange(m_connection, nullptr)) {
@@ -102,7 +102,7 @@
     bool m_is_finished = false;
 };
 
-/// Completes when the inquiry has finished.
+/// Completes when the query has finished.
 asio::awaitable<void> wait_for(std::shared_ptr<node_query> query) {
     auto initiate = [query](auto handler) {
         // Posts, so that the coroutine isn't resumed inside a callback of the connection.
