--- a/src/audit/explainer.cpp
+++ b/src/audit/explainer.cpp
@@ -1,4 +1,4 @@
-// Implements explainer: reads batches minute by minute, first those of the entry that made the request id,
+// Implements `explainer`: reads batches minute by minute, first those of the entry that made the request id,
 // then those of the sidecars that the entry's records name.
 #include "audit/explainer.hpp"
 
--- a/src/audit/request_history.hpp
+++ b/src/audit/request_history.hpp
@@ -64,7 +64,7 @@
 /// Builds the history of one request. Records of other requests are ignored.
 [[nodiscard]] request_history make_history(const request_id& request, const findings& found);
 
-/// Builds the history of each request in the findings, in the order of their first records.
+/// Builds the history of each request whose records were found, in the order of their first records.
 [[nodiscard]] std::vector<request_history> make_histories(const findings& found);
 
 } // namespace borageford::audit
