--- a/src/admin/configuration_exchange.cpp
+++ b/src/admin/configuration_exchange.cpp
@@ -1,4 +1,4 @@
-// The three messages of the exchange.
+// Sends and handles the messages by which a process gets a newer configuration from a peer.
 #include "admin/configuration_exchange.hpp"
 
 #include <memory>
@@ -6,8 +6,8 @@
 
 namespace borageford::admin {
 
-void ask_when_behind(const configuration::configuration_follower& follower, std::uint64_t peer_revision,
-                     wire::peer_connection& connection) {
+void request_if_newer(const configuration::configuration_follower& follower, std::uint64_t peer_revision,
+                      wire::peer_connection& connection) {
     const auto held = follower.revision();
     if (peer_revision <= held) {
         return;
@@ -29,11 +29,12 @@
         reply.revision = current->revision;
         reply.deflated_text = current->deflated_text;
         connection.send(std::move(reply));
-        // Its answer shows at once whether the peer took the revision.
+        // Every frame contains its sender's revision, so the peer's answer to this heartbeat shows without
+        // delay whether the revision is now in force there.
         connection.send(wire::heartbeat_message());
         return;
     }
-    ask_when_behind(follower, received.revision, connection);
+    request_if_newer(follower, received.revision, connection);
 }
 
 } // namespace borageford::admin
--- a/src/admin/revision_listener.cpp
+++ b/src/admin/revision_listener.cpp
@@ -1,4 +1,4 @@
-// Accepting other entries' connections.
+// Accepts connections from other entries and exchanges the configuration over them.
 #include "admin/revision_listener.hpp"
 
 #include "admin/configuration_exchange.hpp"
@@ -25,8 +25,9 @@
 
 } // namespace
 
-/// Invariant: everything but `acceptor`'s construction happens on the strand, which all connections share;
-/// `connections` holds exactly those that haven't called `closed`.
+/// State that open connections share with the listener. Invariants: after construction, everything is used
+/// only on the strand, which all connections share; a connection is in `connections` until it calls its
+/// `closed` callback.
 struct revision_listener::state : std::enable_shared_from_this<revision_listener::state> {
     state(const asio::any_io_executor& executor, timer_service& given_timers,
           configuration::configuration_follower& given_follower, peer_identity given_identity)
@@ -45,30 +46,30 @@
                 co_return;
             }
             if (error) {
-                // Out of file descriptors, most likely: asked again at once, it would fail again and keep a
-                // thread busy that the open connections need to finish.
+                // The process is probably out of file descriptors. Without the pause the loop would fail
+                // again at once and keep a thread busy that the open connections need to finish.
                 co_await pause(self->timers, accept_pause);
             } else if (self->connections.size() < connection_limit) {
-                self->adopt(std::move(socket));
+                self->start_connection(std::move(socket));
             }
         }
     }
 
-    void adopt(tcp::socket socket) {
-        const auto number = ++last_number;
+    void start_connection(tcp::socket socket) {
+        const auto number = ++last_connection_number;
         auto hello = identity.hello;
         hello.revision = follower.revision();
         auto connection = std::make_shared<wire::peer_connection>(
             std::move(socket), strand, timers, identity.heartbeat, std::move(hello),
-            [self = shared_from_this()] { return self->follower.revision(); }, make_calls(number));
+            [self = shared_from_this()] { return self->follower.revision(); }, make_callbacks(number));
         connections.emplace(number, connection);
         connection->start();
     }
 
-    wire::peer_connection::callbacks make_calls(std::uint64_t number) {
+    wire::peer_connection::callbacks make_callbacks(std::uint64_t number) {
         wire::peer_connection::callbacks calls;
         calls.opened = [self = shared_from_this(), number](const wire::hello_message& hello) {
-            ask_when_behind(self->follower, hello.revision, *self->connections.at(number));
+            request_if_newer(self->follower, hello.revision, *self->connections.at(number));
         };
         calls.received = [self = shared_from_this(), number](const wire::envelope& received) {
             exchange_configuration(self->follower, received, *self->connections.at(number));
@@ -94,7 +95,7 @@
     configuration::configuration_follower& follower;
     peer_identity identity;
     std::map<std::uint64_t, std::shared_ptr<wire::peer_connection>> connections;
-    std::uint64_t last_number = 0;
+    std::uint64_t last_connection_number = 0;
 };
 
 revision_listener::revision_listener(asio::any_io_executor executor, timer_service& timers,
--- a/src/audit/narrative.cpp
+++ b/src/audit/narrative.cpp
@@ -1,4 +1,4 @@
-// The sentences of an explanation.
+// Implements the explanation of a request: a verdict, sentences about why it ran where it did, and its steps.
 #include "audit/narrative.hpp"
 
 #include "audit/request_history.hpp"
@@ -14,7 +14,7 @@
 
 namespace json = boost::json;
 
-/// What an auditor asks first.
+/// Whether the request ran, and with what result: the first thing that an auditor needs to know.
 enum class verdict : std::uint8_t { served, ran_and_failed, interrupted, not_run, may_have_run, unknown };
 
 std::string_view to_string(verdict value) {
@@ -47,7 +47,7 @@
     return text.data();
 }
 
-verdict judge(const request_history& history) {
+verdict determine_verdict(const request_history& history) {
     const bool has_run = !history.runs().empty();
     if (history.outcome && history.outcome->what == event::answered) {
         return verdict::served;
@@ -64,21 +64,21 @@
     return history.outcome ? verdict::not_run : verdict::unknown;
 }
 
-/// "pluma-2 had refused it (overloaded)" and the like, for a place that didn't run the request.
-std::string why_not(const attempt& place) {
-    std::string out = place.backend_server;
-    if (place.refusal) {
-        out.append(" refused it as ").append(borageford::to_string(*place.refusal));
-        if (!place.detail.empty()) {
-            out.append(" (").append(place.detail).append(")");
+/// Describes why a backend server didn't run the request, for example "pluma-2 refused it as overloaded".
+std::string describe_failed_offer(const attempt& offer) {
+    std::string out = offer.backend_server;
+    if (offer.refusal) {
+        out.append(" refused it as ").append(borageford::to_string(*offer.refusal));
+        if (!offer.detail.empty()) {
+            out.append(" (").append(offer.detail).append(")");
         }
-    } else if (place.was_pushed_out) {
+    } else if (offer.was_pushed_out) {
         out += " dropped it from its queue for a request of a higher tier";
-    } else if (place.has_lapsed) {
+    } else if (offer.has_expired) {
         out += " granted it and got no start in time";
-    } else if (place.has_been_withdrawn) {
-        out += place.granted ? " granted it too late" : " had no room for it by then";
-    } else if (place.queued) {
+    } else if (offer.has_been_withdrawn) {
+        out += offer.granted ? " granted it too late" : " had no room for it by then";
+    } else if (offer.queued) {
         out += " queued it";
     } else {
         out += " left no record of an answer";
@@ -88,16 +88,16 @@
 
 std::string describe_others(const request_history& history, const attempt* chosen) {
     std::string out;
-    for (const auto& place : history.attempts) {
-        if (&place == chosen || place.has_run()) {
+    for (const auto& offer : history.attempts) {
+        if (&offer == chosen || offer.has_run()) {
             continue;
         }
-        out.append(out.empty() ? "" : "; ").append(why_not(place));
+        out.append(out.empty() ? "" : "; ").append(describe_failed_offer(offer));
     }
     return out;
 }
 
-std::string why_there(const request_history& history, const attempt& chosen) {
+std::string describe_choice(const request_history& history, const attempt& chosen) {
     std::string out =
         "It ran on " + chosen.backend_server + " under revision " + std::to_string(chosen.revision);
     if (!chosen.granted) {
@@ -152,10 +152,10 @@
     std::vector<std::string> out;
     const auto runs = history.runs();
     for (const auto* chosen : runs) {
-        out.push_back(why_there(history, *chosen));
+        out.push_back(describe_choice(history, *chosen));
         out.push_back(describe_end(*chosen));
     }
-    const auto result = judge(history);
+    const auto result = determine_verdict(history);
     if (result == verdict::not_run) {
         const auto others = describe_others(history, nullptr);
         out.push_back("It did not run." + (others.empty() ? "" : " " + others + "."));
@@ -175,23 +175,23 @@
 }
 
 std::string describe_step(const witnessed_record& witnessed) {
-    const auto& entry = witnessed.entry;
-    std::string out = format_time(entry.time) + " " + witnessed.role + " " + witnessed.writer + ": " +
-                      std::string(to_string(entry.what));
-    if (witnessed.role == "entry" && !entry.backend_server.empty()) {
-        out += entry.what == event::offered ? " to " : " at ";
-        out += entry.backend_server;
+    const auto& audit_record = witnessed.audit_record;
+    std::string out = format_time(audit_record.time) + " " + witnessed.role + " " + witnessed.writer + ": " +
+                      std::string(to_string(audit_record.what));
+    if (witnessed.role == "entry" && !audit_record.backend_server.empty()) {
+        out += audit_record.what == event::offered ? " to " : " at ";
+        out += audit_record.backend_server;
     }
-    if (!entry.dispatch.is_none()) {
-        out += ", dispatch " + short_name(entry.dispatch);
+    if (!audit_record.dispatch.is_none()) {
+        out += ", dispatch " + short_name(audit_record.dispatch);
     }
-    if (entry.reason) {
-        out.append(", reason ").append(borageford::to_string(*entry.reason));
+    if (audit_record.reason) {
+        out.append(", reason ").append(borageford::to_string(*audit_record.reason));
     }
-    if (!entry.detail.empty()) {
-        out += " (" + entry.detail + ")";
+    if (!audit_record.detail.empty()) {
+        out += " (" + audit_record.detail + ")";
     }
-    return out + ", revision " + std::to_string(entry.revision);
+    return out + ", revision " + std::to_string(audit_record.revision);
 }
 
 std::string describe_subject(const request_history& history) {
@@ -245,27 +245,27 @@
     const auto history = make_history(request, found);
     json::array steps;
     for (const auto& witnessed : history.records) {
-        const auto& entry = witnessed.entry;
-        json::object step{{"time", format_time(entry.time)},
+        const auto& audit_record = witnessed.audit_record;
+        json::object step{{"time", format_time(audit_record.time)},
                           {"role", witnessed.role},
                           {"writer", witnessed.writer},
-                          {"event", to_string(entry.what)},
-                          {"revision", entry.revision}};
-        if (!entry.dispatch.is_none()) {
-            step["dispatch"] = entry.dispatch.to_string();
-            step["backend_server"] = entry.backend_server;
+                          {"event", to_string(audit_record.what)},
+                          {"revision", audit_record.revision}};
+        if (!audit_record.dispatch.is_none()) {
+            step["dispatch"] = audit_record.dispatch.to_string();
+            step["backend_server"] = audit_record.backend_server;
         }
-        if (entry.reason) {
-            step["reason"] = borageford::to_string(*entry.reason);
+        if (audit_record.reason) {
+            step["reason"] = borageford::to_string(*audit_record.reason);
         }
-        step["detail"] = entry.detail;
+        step["detail"] = audit_record.detail;
         steps.emplace_back(std::move(step));
     }
     json::object out{{"request", request.to_string()},
                      {"workspace", history.workspace},
                      {"tier", history.tier},
                      {"target", history.target},
-                     {"verdict", to_string(judge(history))}};
+                     {"verdict", to_string(determine_verdict(history))}};
     out["summary"] =
         history.records.empty() ? json::value(json::array()) : json::value_from(summarize(history));
     out["steps"] = std::move(steps);
@@ -284,10 +284,10 @@
             ++left_out;
             continue;
         }
-        const auto time = history.records.front().entry.time;
+        const auto time = history.records.front().audit_record.time;
         std::string line = format_time(time) + " " + history.request.to_string() + " " + history.workspace +
                            " tier " + std::to_string(history.tier) + " " + history.target + ": ";
-        line.append(to_string(judge(history)));
+        line.append(to_string(determine_verdict(history)));
         if (history.outcome && history.outcome->reason) {
             line.append(" (").append(borageford::to_string(*history.outcome->reason)).append(")");
         }
--- a/src/audit/request_history.cpp
+++ b/src/audit/request_history.cpp
@@ -1,4 +1,5 @@
-// Reading records in the order of their time and noting on the attempt what each says.
+// Builds the history of a request: goes through its records in order of time and enters each into the
+// request's attempts and outcome.
 #include "audit/request_history.hpp"
 
 #include <algorithm>
@@ -9,31 +10,32 @@
 
 constexpr std::string_view entry_role = "entry";
 
-attempt& find_attempt(request_history& history, const record& entry) {
-    const auto found = std::ranges::find(history.attempts, entry.dispatch, &attempt::dispatch);
+attempt& find_attempt(request_history& history, const record& audit_record) {
+    const auto found = std::ranges::find(history.attempts, audit_record.dispatch, &attempt::dispatch);
     if (found != history.attempts.end()) {
         return *found;
     }
     attempt fresh;
-    fresh.dispatch = entry.dispatch;
+    fresh.dispatch = audit_record.dispatch;
     history.attempts.push_back(std::move(fresh));
     return history.attempts.back();
 }
 
-/// What the entry says of an attempt.
-void note_entry_record(attempt& place, const record& entry) {
-    switch (entry.what) {
+/// Enters an entry's record into the attempt.
+void apply_entry_record(attempt& offer, const record& audit_record) {
+    switch (audit_record.what) {
     case event::offered:
-        place.offered = entry.time;
+        offer.offered = audit_record.time;
         break;
     case event::started:
-        place.start_sent = entry.time;
+        offer.start_sent = audit_record.time;
         break;
     case event::refused:
-        // What the sidecar told the entry; its own record says the same and may be lost.
-        if (!place.refusal) {
-            place.refusal = entry.reason;
-            place.detail = entry.detail;
+        // The entry records the refusal that it received from the sidecar. The sidecar's own record is
+        // preferred but may be lost.
+        if (!offer.refusal) {
+            offer.refusal = audit_record.reason;
+            offer.detail = audit_record.detail;
         }
         break;
     default:
@@ -41,37 +43,37 @@
     }
 }
 
-/// What the sidecar says of it.
-void note_sidecar_record(attempt& place, const record& entry) {
-    switch (entry.what) {
+/// Enters a sidecar's record into the attempt.
+void apply_sidecar_record(attempt& offer, const record& audit_record) {
+    switch (audit_record.what) {
     case event::queued:
-        place.queued = entry.time;
+        offer.queued = audit_record.time;
         break;
     case event::refused:
-        place.refusal = entry.reason.value_or(error_kind::internal);
-        place.detail = entry.detail;
+        offer.refusal = audit_record.reason.value_or(error_kind::internal);
+        offer.detail = audit_record.detail;
         break;
     case event::pushed_out:
-        place.was_pushed_out = true;
+        offer.was_pushed_out = true;
         break;
     case event::granted:
-        place.granted = entry.time;
+        offer.granted = audit_record.time;
         break;
     case event::withdrawn:
-        place.has_been_withdrawn = true;
+        offer.has_been_withdrawn = true;
         break;
     case event::lapsed:
-        place.has_lapsed = true;
+        offer.has_expired = true;
         break;
     case event::started:
-        place.started = entry.time;
+        offer.started = audit_record.time;
         break;
     case event::ended:
-        place.ended = entry.time;
-        place.failure = entry.reason;
+        offer.ended = audit_record.time;
+        offer.failure = audit_record.reason;
         break;
     case event::cancelled:
-        place.was_cancelled = true;
+        offer.was_cancelled = true;
         break;
     default:
         break;
@@ -83,42 +85,43 @@
            what == event::cancelled;
 }
 
-void note_attempt(request_history& history, const witnessed_record& witnessed) {
-    const auto& entry = witnessed.entry;
-    auto& place = find_attempt(history, entry);
-    place.revision = entry.revision;
-    if (!entry.backend_server.empty()) {
-        place.backend_server = entry.backend_server;
+void apply_to_attempt(request_history& history, const witnessed_record& witnessed) {
+    const auto& audit_record = witnessed.audit_record;
+    auto& offer = find_attempt(history, audit_record);
+    offer.revision = audit_record.revision;
+    if (!audit_record.backend_server.empty()) {
+        offer.backend_server = audit_record.backend_server;
     }
     if (witnessed.role == entry_role) {
-        note_entry_record(place, entry);
+        apply_entry_record(offer, audit_record);
     } else {
-        note_sidecar_record(place, entry);
+        apply_sidecar_record(offer, audit_record);
     }
 }
 
-void note_record(request_history& history, const witnessed_record& witnessed) {
-    const auto& entry = witnessed.entry;
+void apply_record(request_history& history, const witnessed_record& witnessed) {
+    const auto& audit_record = witnessed.audit_record;
     history.records.push_back(witnessed);
     if (history.workspace.empty()) {
-        history.workspace = entry.workspace;
-        history.tier = entry.tier;
-        history.target = entry.target;
+        history.workspace = audit_record.workspace;
+        history.tier = audit_record.tier;
+        history.target = audit_record.target;
     }
-    if (!entry.dispatch.is_none()) {
-        note_attempt(history, witnessed);
+    if (!audit_record.dispatch.is_none()) {
+        apply_to_attempt(history, witnessed);
     }
     if (witnessed.role != entry_role) {
         return;
     }
     history.entry = witnessed.writer;
-    if (entry.what == event::received) {
-        history.received = entry.time;
-        history.revision = entry.revision;
+    if (audit_record.what == event::received) {
+        history.received = audit_record.time;
+        history.revision = audit_record.revision;
     }
-    // A refusal that names a dispatch is one sidecar's; the entry may still find another place.
-    if (is_outcome(entry.what) && (entry.dispatch.is_none() || entry.what == event::answered)) {
-        history.outcome = entry;
+    // A refusal with a dispatch concerns only one sidecar; the entry may still run the request elsewhere.
+    if (is_outcome(audit_record.what) &&
+        (audit_record.dispatch.is_none() || audit_record.what == event::answered)) {
+        history.outcome = audit_record;
     }
 }
 
@@ -126,9 +129,9 @@
 
 std::vector<const attempt*> request_history::runs() const {
     std::vector<const attempt*> out;
-    for (const auto& place : attempts) {
-        if (place.has_run()) {
-            out.push_back(&place);
+    for (const auto& offer : attempts) {
+        if (offer.has_run()) {
+            out.push_back(&offer);
         }
     }
     return out;
@@ -142,8 +145,8 @@
     request_history history;
     history.request = request;
     for (const auto& witnessed : found.records) {
-        if (witnessed.entry.request == request) {
-            note_record(history, witnessed);
+        if (witnessed.audit_record.request == request) {
+            apply_record(history, witnessed);
         }
     }
     return history;
@@ -153,15 +156,15 @@
     std::vector<request_history> histories;
     std::map<request_id, std::size_t> indexes;
     for (const auto& witnessed : found.records) {
-        const auto& request = witnessed.entry.request;
+        const auto& request = witnessed.audit_record.request;
         if (request.is_none()) {
             continue;
         }
-        const auto [place, is_new] = indexes.try_emplace(request, histories.size());
+        const auto [position, is_new] = indexes.try_emplace(request, histories.size());
         if (is_new) {
             histories.emplace_back().request = request;
         }
-        note_record(histories.at(place->second), witnessed);
+        apply_record(histories.at(position->second), witnessed);
     }
     return histories;
 }
--- a/src/settings/ini_document.cpp
+++ b/src/settings/ini_document.cpp
@@ -1,5 +1,5 @@
-// The INI reader. Boost.PropertyTree's own forgets line numbers, which every complaint here must name, so
-// the few rules of the format are read directly.
+// A parser for INI files. Boost.PropertyTree's INI parser doesn't keep line numbers, which every reported
+// problem must contain; the format is simple enough to be parsed here.
 #include "settings/ini_document.hpp"
 
 #include <algorithm>
@@ -14,14 +14,14 @@
 namespace borageford::settings {
 namespace {
 
-constexpr std::string_view blanks = " \t\r";
+constexpr std::string_view whitespace = " \t\r";
 
 std::string_view trim(std::string_view text) {
-    const auto first = text.find_first_not_of(blanks);
+    const auto first = text.find_first_not_of(whitespace);
     if (first == std::string_view::npos) {
         return {};
     }
-    const auto last = text.find_last_not_of(blanks);
+    const auto last = text.find_last_not_of(whitespace);
     return text.substr(first, last - first + 1);
 }
 
@@ -29,6 +29,7 @@
     return std::ranges::any_of(text, [](unsigned char c) { return c < ' ' && c != '\t'; });
 }
 
+/// Parses a document line by line and collects the problems found.
 class ini_reader {
 public:
     ini_reader(ini_document& document, std::vector<problem>& problems)
@@ -65,7 +66,7 @@
             complain("[]", "a section kind between [ and ]");
             return;
         }
-        const auto space = title.find_first_of(blanks);
+        const auto space = title.find_first_of(whitespace);
         ini_section section{std::string(title.substr(0, space)), "", m_line, {}};
         if (space != std::string_view::npos) {
             section.name = trim(title.substr(space));
@@ -91,7 +92,7 @@
             return;
         }
         if (!m_section_is_usable) {
-            return; // its header has been complained about
+            return; // a problem with the section's header has been reported already
         }
         auto& section = m_document.sections.back();
         if (!m_keys.emplace(key).second) {
@@ -104,9 +105,9 @@
     ini_document& m_document;
     std::vector<problem>& m_problems;
     unsigned m_line = 0;
-    // Looked up in these: comparing each title and key with all before it takes minutes for a large file.
-    std::set<std::string> m_titles;
-    std::set<std::string> m_keys; ///< of the last section
+    // Sets, because comparing each title and key with all earlier ones took minutes for a large file.
+    std::set<std::string> m_titles; ///< titles of all sections read so far
+    std::set<std::string> m_keys;   ///< keys read so far in the current section
     bool m_section_is_usable = false;
 };
 
