--- a/tests/support/answer_text.cpp
+++ b/tests/support/answer_text.cpp
@@ -1,4 +1,5 @@
-// See the header.
+// Computes request fingerprints and the answer text that fake_engine sends, so that tests can compare the
+// two.
 #include "support/answer_text.hpp"
 
 #include "base/hash.hpp"
--- a/tests/support/argument_reader.cpp
+++ b/tests/support/argument_reader.cpp
@@ -1,4 +1,4 @@
-// See the header.
+// Splits the command line into names and values and records which names the program has read.
 #include "support/argument_reader.hpp"
 
 #include <stdexcept>
--- a/tests/support/checks.hpp
+++ b/tests/support/checks.hpp
@@ -1,4 +1,4 @@
-// What several failure tests check about answers.
+// Checks of answers that several failure tests share.
 #pragma once
 
 #include "support/answer_text.hpp"
@@ -9,7 +9,7 @@
 
 namespace borageford::test {
 
-/// The caller has the whole answer to its own streamed call.
+/// Checks that the caller received the complete streamed answer of fake_engine to this call.
 inline void check_whole_answer(const caller_result& answer, const http::request& call, std::uint32_t tokens) {
     INFO(answer.error << ' ' << answer.body);
     CHECK(answer.status == 200);
@@ -18,14 +18,16 @@
     CHECK(text_of_stream(answer.body) == expected_text(call, tokens));
 }
 
-/// The caller has the service's answer to its own call.
+/// Checks that the caller received fake_service's answer to this call: it contains the fingerprint of its
+/// body.
 inline void check_service_answer(const caller_result& answer, const http::request& call) {
     INFO(answer.status << ' ' << answer.error << ' ' << answer.body);
     CHECK(answer.status == 200);
     CHECK(answer.body.find(to_hex(fingerprint_of(call.body))) != std::string::npos);
 }
 
-/// A resend of a call that has run: its answer, or that it has run and its answer is no longer held.
+/// Checks the answer to a call that was sent again after it had run: either the stored answer, or the error
+/// already_ran when the answer is no longer stored.
 inline void check_has_run(const caller_result& answer, const http::request& call) {
     if (answer.status == 200) {
         check_service_answer(answer, call);
@@ -36,7 +38,8 @@
     CHECK(answer.header("X-Ran") == "yes");
 }
 
-/// The caller was refused, truthfully: the request didn't run, and it's told so.
+/// Checks that the caller was refused, that the response says X-Ran: no, and that the backend servers counted
+/// no run.
 inline void check_not_run(const caller_result& answer, std::uint64_t runs) {
     INFO(answer.status << ' ' << answer.body);
     CHECK(answer.status >= 400);
--- a/tests/support/child_process.cpp
+++ b/tests/support/child_process.cpp
@@ -1,4 +1,4 @@
-// See the header.
+// Starts a program with posix_spawn, reads its standard output through a pipe and sends it signals.
 #include "support/child_process.hpp"
 
 #include "support/wait_until.hpp"
@@ -20,7 +20,9 @@
 
 namespace {
 
+/// log_text() returns at most this many bytes from the end of the log.
 constexpr std::size_t shown_log_bytes = 4000;
+/// A process that a signal ended has this plus the signal's number as its exit code, as in a shell.
 constexpr int signal_exit_base = 128;
 constexpr std::size_t read_size = 4096;
 
@@ -30,7 +32,8 @@
     }
 }
 
-/// What the child's standard output and error become. Freed even when starting fails.
+/// Connects the child's standard output to a pipe and its standard error to the log file. An owner, so that
+/// the actions are freed when posix_spawn fails, too.
 class spawn_actions {
 public:
     spawn_actions(int output, const std::string& log) {
@@ -39,8 +42,8 @@
         check(posix_spawn_file_actions_addopen(&m_actions, STDERR_FILENO, log.c_str(),
                                                O_WRONLY | O_CREAT | O_APPEND, 0644),
               "addopen");
-        // The tests' own sockets must not live on in the child: a proxy's port would stay open after it
-        // closed.
+        // Closes the test's own sockets in the child. Otherwise the port of a fault_proxy would stay open
+        // after the test closed it.
         check(posix_spawn_file_actions_addclosefrom_np(&m_actions, STDERR_FILENO + 1), "addclosefrom");
     }
     ~spawn_actions() { posix_spawn_file_actions_destroy(&m_actions); }
@@ -61,7 +64,7 @@
                              std::filesystem::path log)
     : m_log(std::move(log)) {
     std::array<int, 2> ends{};
-    // Closed at exec, so that no other child holds this one's pipe open after its end.
+    // Closed at exec, so that no other child keeps this pipe open after this child has ended.
     if (pipe2(ends.data(), O_CLOEXEC) != 0) {
         throw std::system_error(errno, std::generic_category(), "pipe2");
     }
@@ -101,10 +104,12 @@
             }
         }
         if (!read_more(std::chrono::milliseconds(500)) && !is_running()) {
-            throw std::runtime_error("process ended before it was ready: " + log_text());
+            throw std::runtime_error("the process ended before it printed " + std::string(first_word) + ": " +
+                                     log_text());
         }
     }
-    throw std::runtime_error("process never said " + std::string(first_word) + ": " + log_text());
+    throw std::runtime_error("the process printed no line that begins with " + std::string(first_word) +
+                             ": " + log_text());
 }
 
 void child_process::kill() {
@@ -117,8 +122,9 @@
 
 void child_process::freeze() {
     signal_child(SIGSTOP);
-    // Returns only once the process has really stopped, or ended, so that what a test does next comes after.
-    // The state is left to be seen again: a process that is frozen twice stops only once.
+    // Returns only once the process has stopped or ended, so that the test's next step can't overtake the
+    // signal. WNOWAIT keeps the stopped state readable: a process that is frozen twice stops only once, and
+    // without WNOWAIT the second call would wait forever.
     siginfo_t state{};
     waitid(P_PID, static_cast<id_t>(m_id), &state, WSTOPPED | WEXITED | WNOWAIT);
 }
--- a/tests/support/child_process.hpp
+++ b/tests/support/child_process.hpp
@@ -1,4 +1,5 @@
-// One process under test: started with arguments, killed, frozen and thawed at will, and never left behind.
+// Runs one program as a child process of a test. The test can kill, freeze (SIGSTOP) and resume it; the child
+// never outlives the test.
 #pragma once
 
 #include <chrono>
@@ -11,10 +12,11 @@
 
 namespace borageford::test {
 
-/// Invariant: the child is ended, at the latest, by the destructor.
+/// Invariant: the destructor kills a child that is still running.
 class child_process {
 public:
-    /// Starts the program; its standard error goes to `log`.
+    /// Starts the program; its standard error is appended to the file `log`. Throws std::system_error when it
+    /// can't be started.
     child_process(const std::filesystem::path& program, std::vector<std::string> arguments,
                   std::filesystem::path log);
     ~child_process();
@@ -23,28 +25,31 @@
     child_process(child_process&&) = delete;
     child_process& operator=(child_process&&) = delete;
 
-    /// The first line on standard output that starts with this word. Throws, with the end of the log, when
-    /// the process ends or stays silent instead.
+    /// Waits for a line on standard output that starts with `first_word` and returns it; earlier lines are
+    /// dropped. Throws std::runtime_error with the end of the log when the process ends first, or after
+    /// `hang_guard`.
     std::string wait_for_line(std::string_view first_word);
 
-    /// SIGTERM: asks for the graceful stop.
+    /// Sends SIGTERM: the process shuts down gracefully.
     void terminate() { signal_child(15); }
-    /// SIGHUP: asks for its settings to be read again.
+    /// Sends SIGHUP: the process reloads its settings.
     void reload() { signal_child(1); }
-    /// SIGKILL, and waits for its end.
+    /// Sends SIGKILL and waits for the process to end.
     void kill();
-    /// SIGSTOP: the process keeps its connections and does nothing.
+    /// Sends SIGSTOP and waits for it to take effect: the process keeps its connections and does nothing.
     void freeze();
-    /// SIGCONT.
+    /// Sends SIGCONT: a frozen process runs again.
     void thaw();
 
-    /// The exit code, or 128 plus the signal. Throws when it doesn't end within the guard against hanging.
+    /// Waits for the process to end and returns its exit code, or 128 plus the number of the signal that
+    /// ended it. Throws std::runtime_error when it is still running after `hang_guard`.
     int wait_for_exit();
     [[nodiscard]] bool is_running();
+    /// The end of the standard error, at most 4000 bytes.
     [[nodiscard]] std::string log_text() const;
-    /// What it has written to standard output and no line was taken from yet.
+    /// Standard output that wait_for_line() and take_output() haven't consumed yet.
     [[nodiscard]] std::string output_text();
-    /// The same, and the next call begins after it.
+    /// Returns the same text as output_text() and consumes it.
     [[nodiscard]] std::string take_output();
     [[nodiscard]] pid_t id() const noexcept { return m_id; }
 
@@ -55,7 +60,7 @@
 
     pid_t m_id = -1;
     int m_output = -1;
-    std::string m_text; ///< standard output that no line was taken from yet
+    std::string m_text; ///< standard output that was read and not yet consumed
     std::filesystem::path m_log;
     std::optional<int> m_exit_code;
 };
--- a/tests/support/cluster.cpp
+++ b/tests/support/cluster.cpp
@@ -1,4 +1,4 @@
-// See the header.
+// Starts the processes of a cluster, writes their settings and configuration, and reads their counters.
 #include "support/cluster.hpp"
 
 #include "base/sha256.hpp"
@@ -26,7 +26,7 @@
 
 namespace {
 
-/// Where the build puts its programs.
+/// The folder in which the build puts borageford and the fake servers.
 const fs::path program_folder = BORAGEFORD_PROGRAM_FOLDER;
 constexpr std::string_view any_port = "127.0.0.1:0";
 
@@ -58,7 +58,7 @@
 idempotent = no
 )";
 
-/// "ready NAME=IP:PORT ..." as a map from name to address.
+/// Parses the line "ready NAME=IP:PORT ..." that borageford prints once it listens; maps names to addresses.
 std::map<std::string, http::endpoint> read_ready_line(const std::string& line) {
     std::map<std::string, http::endpoint> addresses;
     std::istringstream words(line);
@@ -78,7 +78,7 @@
 fs::path make_folder() {
     auto pattern = (fs::temp_directory_path() / "borageford-test-XXXXXX").string();
     if (mkdtemp(pattern.data()) == nullptr) {
-        throw std::runtime_error("no temporary folder");
+        throw std::runtime_error("cannot create a temporary folder");
     }
     return pattern;
 }
@@ -116,7 +116,7 @@
             wait_for_entry(index);
         }
     } catch (const std::exception&) {
-        show_logs(); // the destructor doesn't run
+        show_logs(); // because the destructor doesn't run after an exception in the constructor
         throw;
     }
 }
@@ -302,7 +302,7 @@
     const bool has_engine =
         std::ranges::any_of(m_backends, [](const auto& unit) { return !unit.options.is_service; });
     const auto probe = has_engine ? make_completion(name, {.tokens = 1}) : make_kudos(name, name);
-    wait_until("an answer by entry " + std::to_string(index), [&] {
+    wait_until("an answer from entry " + std::to_string(index), [&] {
         const auto answer = send(index, probe);
         if (answer.status != 200) {
             throw std::runtime_error(std::to_string(answer.status) + " " + answer.body + answer.error);
