--- a/tests/fakes/engine_batch.cpp
+++ b/tests/fakes/engine_batch.cpp
@@ -1,4 +1,5 @@
-// See the header.
+// Advances the sequences of a batch with a timer: first prefill, then decoding in the time that is left of
+// each tick.
 #include "fakes/engine_batch.hpp"
 
 #include <algorithm>
@@ -7,10 +8,12 @@
 
 namespace {
 
+/// Time between two steps of the batch.
 constexpr std::chrono::milliseconds tick_period{6};
-/// A tick that comes late counts for no more than this, so that a frozen engine doesn't catch up at once.
+/// A late tick advances the batch by at most this time, so that an engine process that was frozen doesn't
+/// catch up at once.
 constexpr double longest_tick_seconds = 0.05;
-/// The share of a tick that prefill may take while others wait for tokens.
+/// The share of a tick that prefill may use while other sequences are decoding.
 constexpr double prefill_share = 0.6;
 
 } // namespace
@@ -67,9 +70,9 @@
         auto stream = std::move(m_waiting.front());
         m_waiting.pop_front();
         if (stream->is_finished) {
-            continue; // cancelled while it waited
+            continue; // cancelled while waiting
         }
-        // At least the last block is computed anew: the first token needs it.
+        // At least the last prompt token is computed again, because the first output token depends on it.
         const auto cached = m_cache.find_prefix(stream->request.blocks);
         stream->cached_tokens = std::min(cached, std::max(1U, stream->request.prompt_tokens) - 1);
         stream->prefill_left = static_cast<double>(stream->request.prompt_tokens - stream->cached_tokens);
--- a/tests/fakes/engine_batch.hpp
+++ b/tests/fakes/engine_batch.hpp
@@ -1,5 +1,5 @@
-// How an engine spends its time: one tick drives all sequences, prefill delays the tokens of others, and
-// every further sequence slows all of them.
+// Models how fake_engine spends its time. A periodic tick advances all running sequences; prefill of one
+// sequence delays the output tokens of the others, and each additional sequence slows all of them down.
 #pragma once
 
 #include "fakes/engine_stream.hpp"
@@ -13,23 +13,28 @@
 
 namespace borageford::test {
 
+/// The speed and the size of an engine's batch.
 struct engine_speed {
     double prefill_tokens_per_second = 8000;
-    double output_tokens_per_second = 60; ///< one sequence alone
-    double batch_knee = 16;               ///< with n running, a token takes 1 + n / knee times as long
-    std::size_t slots = 256;              ///< sequences in the batch; others wait in order of arrival
+    double output_tokens_per_second = 60; ///< of a sequence that runs alone
+    double batch_knee =
+        16; ///< with n sequences running, a token takes 1 + (n - 1) / batch_knee times as long
+    std::size_t slots = 256; ///< sequences in the batch; further ones wait in their order of arrival
 };
 
-/// Invariant: the timer runs only while there is work, so an idle engine costs nothing.
+/// Invariant: the timer runs only while a sequence runs or waits, so an idle engine uses no processor time.
 class engine_batch {
 public:
     engine_batch(const boost::asio::any_io_executor& executor, engine_speed speed, prefix_cache& cache,
                  const fault_controls& faults);
 
+    /// Adds a sequence at the end of the waiting ones.
     void add(std::shared_ptr<engine_stream> stream);
 
+    /// Sequences in the batch, and sequences that wait for a place in it.
     [[nodiscard]] std::size_t running() const noexcept { return m_running.size(); }
     [[nodiscard]] std::size_t waiting() const noexcept { return m_waiting.size(); }
+    /// Prompt tokens that are still to be computed, over all running and waiting sequences.
     [[nodiscard]] std::uint64_t prefill_backlog() const;
 
 private:
--- a/tests/fakes/engine_orders.cpp
+++ b/tests/fakes/engine_orders.cpp
@@ -1,4 +1,4 @@
-// See the header.
+// Executes orders given as JSON and describes the engine's models, adapters and role.
 #include "fakes/engine_orders.hpp"
 
 #include <boost/json/object.hpp>
--- a/tests/fakes/engine_request.cpp
+++ b/tests/fakes/engine_request.cpp
@@ -1,4 +1,4 @@
-// See the header.
+// Parses the body of a completion call and cuts its prompt into hashed blocks.
 #include "fakes/engine_request.hpp"
 
 #include "base/hash.hpp"
@@ -14,8 +14,10 @@
 
 namespace {
 
+/// Bytes of the prompt in a block.
 constexpr std::size_t block_bytes = 256;
 constexpr std::size_t bytes_per_token = 4;
+/// Without max_tokens, an answer has 8 to 127 tokens, chosen by the request's fingerprint.
 constexpr std::uint32_t shortest_answer = 8;
 constexpr std::uint32_t answer_spread = 120;
 
--- a/tests/fakes/engine_stream.cpp
+++ b/tests/fakes/engine_stream.cpp
@@ -1,4 +1,4 @@
-// See the header.
+// Appends tokens to an answer as server-sent events, or as one JSON object at its end.
 #include "fakes/engine_stream.hpp"
 
 #include "support/answer_text.hpp"
--- a/tests/fakes/fake_engine.cpp
+++ b/tests/fakes/fake_engine.cpp
@@ -1,6 +1,6 @@
-// A model engine: batches continuously, caches prompt prefixes, streams answers that can be resumed and
-// cancelled, reports its load with a lag, takes orders, and counts every run and every wasted token of
-// prefill.
+// A fake model engine with continuous batching and a cache of prompt prefixes. It streams answers, which can
+// be resumed and cancelled, reports its load with a lag, executes orders, and counts every run and every
+// prompt token that was computed in vain.
 #include "fakes/engine_batch.hpp"
 #include "fakes/engine_orders.hpp"
 #include "fakes/run_counter.hpp"
@@ -19,11 +19,15 @@
 
 namespace {
 
+/// A finished answer can be read for at least this time.
 constexpr std::chrono::seconds kept_for{60};
+/// Old answers are removed after this many new ones.
 constexpr std::size_t prune_period = 256;
 constexpr std::string_view stream_path = "/v1/streams/";
+/// Time between two load reports.
 constexpr std::chrono::milliseconds load_period{50};
 
+/// The command line's settings.
 struct engine_options {
     engine_speed speed;
     std::uint64_t cache_tokens = 200000;
@@ -32,12 +36,14 @@
     bool checks_fencing = false;
 };
 
+/// The load at one time, as JSON.
 struct load_report {
     std::chrono::steady_clock::time_point time;
     std::string text;
 };
 
-/// What runs that are no longer kept had prefilled.
+/// Counts of computed prompt tokens over several runs. Wasted are all tokens of a finished run whose answer
+/// no reader received completely, and otherwise the tokens that this engine had computed before.
 struct prefill_totals {
     std::uint64_t prefilled = 0;
     std::uint64_t wasted = 0;
@@ -154,7 +160,8 @@
         co_await deliver(std::move(stream), offset, writer);
     }
 
-    /// Sends the answer from the offset on as it grows. A reader that goes away ends this, not the run.
+    /// Sends the answer from the offset on while it grows. When the reader disconnects, sending ends but the
+    /// run goes on.
     asio::awaitable<void> deliver(stream_pointer stream, std::size_t offset, http::response_writer& writer) {
         co_await stream->wait_for(offset);
         http::response_head head;
@@ -180,10 +187,11 @@
         stream->is_delivered = true;
     }
 
+    /// Stores a run under its id, so that its answer can be read again.
     void keep(const stream_pointer& stream) {
         auto& slot = m_streams[stream->id];
         if (slot != nullptr) {
-            m_replaced.push_back(slot); // a second run of the same id: both count
+            m_replaced.push_back(slot); // a second run with the same id: the counts include both
         }
         slot = stream;
         if (++m_since_pruned >= prune_period) {
@@ -254,7 +262,7 @@
     engine_orders m_orders;
     engine_batch m_batch;
     asio::steady_timer m_load_timer;
-    std::deque<load_report> m_loads; ///< the first is the one to report
+    std::deque<load_report> m_loads; ///< oldest first; the first is the newest one that is older than the lag
     run_counter m_runs;
     std::unordered_map<std::string, stream_pointer> m_streams;
     std::vector<stream_pointer> m_replaced;
--- a/tests/fakes/fake_platform.cpp
+++ b/tests/fakes/fake_platform.cpp
@@ -1,4 +1,5 @@
-// The platform: its table, its object store and its list of VMs, with the faults that tests switch on.
+// A fake platform: transactional table, object store and list of VMs over HTTP, with faults that tests switch
+// on through POST /control.
 #include "fakes/platform_table.hpp"
 #include "fakes/stand_in.hpp"
 #include "fakes/vm_list.hpp"
@@ -21,8 +22,10 @@
 
 namespace {
 
+/// Items in a page when the call names no limit.
 constexpr std::size_t default_page = 1000;
 
+/// What /control/counts reports, counted since the start.
 struct platform_counts {
     std::uint64_t transactions = 0;
     std::uint64_t rows_written = 0;
@@ -165,7 +168,7 @@
     void apply(std::string_view text) {
         const auto parsed = json::parse(json::string_view(text.data(), text.size()));
         const auto& controls = parsed.as_object();
-        // The lag comes first: it decides when a list in the same call is put in force.
+        // The lag is read first, because it applies to a list of VMs in the same call.
         if (const auto* lag = controls.if_contains("vm_lag_ms")) {
             m_vm_lag_ms = lag->to_number<double>();
         }
@@ -222,8 +225,8 @@
     double m_latency_ms;
     double m_vm_lag_ms = 0;
     bool m_outage = false;
-    bool m_outage_after_loss = false; ///< a lost answer begins an outage
-    std::uint64_t m_lose_answers = 0;
+    bool m_outage_after_loss = false; ///< a lost answer starts an outage
+    std::uint64_t m_lose_answers = 0; ///< next transactions that take effect but whose answer is lost
 };
 
 } // namespace borageford::test
--- a/tests/fakes/fake_service.cpp
+++ b/tests/fakes/fake_service.cpp
@@ -1,4 +1,5 @@
-// A plain service: answers any call after a set time with the fingerprint of what it was sent, and counts.
+// A fake service without a model. It answers any call after a configured delay with the fingerprint of the
+// call's body, and counts the runs.
 #include "fakes/fault_controls.hpp"
 #include "fakes/run_counter.hpp"
 #include "fakes/stand_in.hpp"
@@ -48,7 +49,8 @@
             writer.cut();
             co_return;
         }
-        // Named first: this compiler destroys the temporaries of a conditional twice within a co_await.
+        // A variable rather than an argument: the compiler destroys temporaries of a conditional expression
+        // twice when they are part of a co_await.
         const auto body = m_faults.garble ? std::string("\x01rubbish") : describe(call, id);
         co_await writer.write(json_response(200, body));
     }
--- a/tests/fakes/fault_controls.cpp
+++ b/tests/fakes/fault_controls.cpp
@@ -1,4 +1,4 @@
-// See the header.
+// Reads fault controls from the JSON of POST /control.
 #include "fakes/fault_controls.hpp"
 
 #include <boost/json/parse.hpp>
--- a/tests/fakes/fault_controls.hpp
+++ b/tests/fakes/fault_controls.hpp
@@ -1,4 +1,4 @@
-// The faults that tests switch on in the engine's and the service's stand-ins through POST /control.
+// The faults that tests switch on in fake_engine and fake_service through POST /control.
 #pragma once
 
 #include <cstdint>
@@ -8,19 +8,22 @@
 
 namespace borageford::test {
 
+/// The faults in force; the defaults mean none.
 struct fault_controls {
-    double slowdown = 1.0;                    ///< times slower than usual
-    std::optional<std::uint32_t> stall_after; ///< tokens after which a stream stands still
-    bool garble = false;                      ///< answers with bytes that aren't an answer
-    bool refuse = false;                      ///< answers 503
-    bool cut = false;                         ///< ends the connection in the middle of the answer
-    std::string crash_on;                     ///< a request with this word ends the process at once
-    std::optional<std::uint32_t> lag_ms;      ///< how late the load is reported
+    double slowdown = 1.0;                    ///< factor by which the server is slower than usual
+    std::optional<std::uint32_t> stall_after; ///< output tokens after which a stream stops without ending
+    bool garble = false;                      ///< answers with bytes that aren't a valid answer
+    bool refuse = false;                      ///< answers every request with status 503
+    bool cut = false;                         ///< closes the connection before the answer's end
+    std::string crash_on; ///< a request whose body contains this text ends the process; empty: none
+    std::optional<std::uint32_t>
+        lag_ms; ///< lag of load reports and cache events; none: the one of the command line
 
-    /// Applies the members that the JSON object names; null clears one. Throws for anything else.
+    /// Sets the members that the JSON object names; null resets an optional member or `crash_on`. Throws for
+    /// an unknown name or malformed JSON.
     void apply(std::string_view json);
 
-    /// Ends the process without a trace, as an engine's crash does, when the body holds the word.
+    /// Ends the process at once, without closing anything, when the body contains `crash_on`.
     void crash_if_asked(std::string_view body) const;
 };
 
--- a/tests/fakes/platform_table.cpp
+++ b/tests/fakes/platform_table.cpp
@@ -1,4 +1,4 @@
-// See the header.
+// Implements the table's transactions and reads on JSON.
 #include "fakes/platform_table.hpp"
 
 #include <boost/json/array.hpp>
--- a/tests/fakes/prefix_cache.cpp
+++ b/tests/fakes/prefix_cache.cpp
@@ -1,4 +1,4 @@
-// See the header.
+// Implements the cache of prompt blocks with a list in order of use, and the log of its events.
 #include "fakes/prefix_cache.hpp"
 
 #include "support/answer_text.hpp"
@@ -13,9 +13,10 @@
 
 namespace {
 
+/// Older events are discarded.
 constexpr std::size_t kept_events = 20000;
 constexpr std::size_t events_a_page = 1000;
-/// One event in so many is never published.
+/// Every 17th event is never published, so that readers see gaps.
 constexpr std::uint64_t gap_period = 17;
 
 } // namespace
--- a/tests/fakes/prefix_cache.hpp
+++ b/tests/fakes/prefix_cache.hpp
@@ -1,5 +1,5 @@
-// An engine's cache of prompt prefixes: least recently used blocks go first, and its events are published
-// late and with gaps.
+// The cache of prompt prefixes of fake_engine. It evicts the least recently used blocks first, and publishes
+// its events late and with gaps.
 #pragma once
 
 #include "fakes/engine_request.hpp"
@@ -15,24 +15,25 @@
 
 namespace borageford::test {
 
-/// Invariant: holds at most the given number of tokens.
+/// Invariant: the cached blocks have at most `capacity_tokens` tokens together.
 class prefix_cache {
 public:
     using clock = std::chrono::steady_clock;
 
     explicit prefix_cache(std::uint64_t capacity_tokens) : m_capacity(capacity_tokens) {}
 
-    /// The tokens of the prompt's longest cached prefix; marks its blocks as used.
+    /// Returns the number of tokens in the prompt's longest cached prefix, and marks its blocks as used.
     [[nodiscard]] std::uint32_t find_prefix(std::span<const prompt_block> blocks);
 
-    /// Notes what was prefilled from this token on, and caches the whole blocks. Returns how many of those
-    /// tokens had been prefilled here before.
+    /// Records that the prompt's tokens from `from_token` on were computed, and caches the complete blocks
+    /// among them. Returns how many of these tokens this engine had computed before.
     std::uint32_t store(std::span<const prompt_block> blocks, std::uint32_t from_token);
 
-    /// The events after a sequence number that are older than the lag, as the interface describes.
+    /// A page of the events that come after this sequence number and are older than the lag, as the JSON that
+    /// GET /cache_events answers.
     [[nodiscard]] std::string events_after(std::uint64_t sequence, std::chrono::milliseconds lag) const;
 
-    /// Every block ever prefilled here: `{"HASH": [times, tokens]}`.
+    /// Every block that this engine ever computed, as JSON: `{"HASH": [times, tokens]}`.
     [[nodiscard]] std::string describe_prefilled() const;
 
     [[nodiscard]] std::uint64_t cached_tokens() const noexcept { return m_tokens; }
--- a/tests/fakes/run_counter.cpp
+++ b/tests/fakes/run_counter.cpp
@@ -1,4 +1,4 @@
-// See the header.
+// Counts runs in maps by request id, fingerprint of the body, and path.
 #include "fakes/run_counter.hpp"
 
 #include "support/answer_text.hpp"
--- a/tests/fakes/run_counter.hpp
+++ b/tests/fakes/run_counter.hpp
@@ -1,4 +1,4 @@
-// Counts every run that reaches a stand-in, so that a second run of a request is seen where it happens.
+// Counts every run that reaches a fake backend server, so that a test sees when a request ran twice.
 #pragma once
 
 #include "http/message.hpp"
@@ -13,12 +13,14 @@
 
 namespace borageford::test {
 
+/// Counts since the start of the process.
 class run_counter {
 public:
-    /// Counts a request by its X-Request-Id, its body and its path; returns its id ("none" without one).
+    /// Counts a request under its X-Request-Id, its body's fingerprint and its path. Returns its
+    /// X-Request-Id, or "none" without one.
     std::string count(const http::request& call);
 
-    /// Adds `runs`, `by_fingerprint`, `by_path` and `total`.
+    /// Adds the fields `runs` (by id), `by_fingerprint`, `by_path` and `total` to the object.
     void describe(boost::json::object& out) const;
 
 private:
--- a/tests/fakes/stand_in.cpp
+++ b/tests/fakes/stand_in.cpp
@@ -1,4 +1,4 @@
-// See the header.
+// Runs the HTTP server and the event loop of a fake server, and builds its JSON answers.
 #include "fakes/stand_in.hpp"
 
 #include "http/client.hpp"
@@ -16,6 +16,7 @@
 constexpr std::size_t connection_limit = 100000;
 constexpr std::chrono::hours patience{1};
 
+/// Limits that tests don't reach.
 http::server_limits generous_limits() {
     http::server_limits limits;
     limits.body_bytes = body_limit;
--- a/tests/fakes/vm_list.cpp
+++ b/tests/fakes/vm_list.cpp
@@ -1,4 +1,4 @@
-// See the header.
+// Keeps the last description of each VM with the version at which it changed.
 #include "fakes/vm_list.hpp"
 
 #include <boost/json/array.hpp>
--- a/tests/fakes/vm_list.hpp
+++ b/tests/fakes/vm_list.hpp
@@ -1,4 +1,4 @@
-// The platform's list of VMs, which tells of every change after a lag.
+// The fake platform's list of VMs, which can be read as changes since a version. fake_platform adds the lag.
 #pragma once
 
 #include <chrono>
@@ -14,15 +14,18 @@
 
 namespace borageford::test {
 
+/// Invariant: the version grows by one with each VM whose description changes.
 class vm_list {
 public:
-    /// Puts a whole new list in force; a VM that it leaves out is shown as gone. Unchanged ones stay.
+    /// Replaces the list. A VM that the new list leaves out is listed with the state "gone"; a VM whose
+    /// description is unchanged keeps its version.
     void replace(const boost::json::array& machines);
 
-    /// The VMs that changed after this version, as the interface describes.
+    /// The current version and the VMs that changed after this version, as the JSON that GET /vms answers.
     [[nodiscard]] std::string changes_since(std::uint64_t version) const;
 
 private:
+    /// A VM and the version at which it last changed.
     struct entry {
         std::string description; ///< the VM's JSON object
         std::uint64_t changed = 0;
--- a/tests/fakes/write_budget.hpp
+++ b/tests/fakes/write_budget.hpp
@@ -1,4 +1,4 @@
-// The platform's bound on writes a second: a token bucket that holds one second's worth.
+// Limits the fake platform's writes per second with a token bucket that holds the writes of one second.
 #pragma once
 
 #include <algorithm>
@@ -6,12 +6,12 @@
 
 namespace borageford::test {
 
-/// Invariant: a rate of 0 means no bound.
+/// A rate of 0 means no limit.
 class write_budget {
 public:
     explicit write_budget(double writes_per_second) : m_rate(writes_per_second), m_left(writes_per_second) {}
 
-    /// Takes one write; false when the rate is used up.
+    /// Takes one write from the bucket; returns false when the bucket is empty.
     bool take() {
         if (m_rate <= 0) {
             return true;
--- a/tests/support/completion.cpp
+++ b/tests/support/completion.cpp
@@ -1,4 +1,4 @@
-// See the header.
+// Builds completion and service calls and reads the text out of streamed answers.
 #include "support/completion.hpp"
 
 #include "support/answer_text.hpp"
@@ -17,7 +17,7 @@
 constexpr std::string_view data_prefix = "data: ";
 constexpr std::string_view done_mark = "data: [DONE]";
 
-/// The text that one event adds.
+/// The text that one event of a streamed answer adds; empty for an event without content.
 std::string text_of_event(std::string_view event) {
     const auto parsed = json::parse(json::string_view(event.data(), event.size()));
     const auto& choices = parsed.at("choices").as_array();
--- a/tests/support/fault_proxy.cpp
+++ b/tests/support/fault_proxy.cpp
@@ -1,4 +1,5 @@
-// See the header.
+// Implements fault_proxy: one thread forwards units (frames or raw bytes) between pairs of sockets and
+// applies faults.
 #include "support/fault_proxy.hpp"
 
 #include "support/wait_until.hpp"
@@ -34,17 +35,19 @@
 
 constexpr std::size_t piece_size = 16384;
 constexpr std::size_t corrupt_stride = 7;
-/// Until some descriptors may have been closed.
+/// Wait after a failed accept, in which other connections may close and free descriptors.
 constexpr std::chrono::milliseconds accept_pause{50};
 
+/// What happens to bytes in one direction of a connection.
 enum class lane_state : std::uint8_t { passing, holding, dropping };
 
+/// One direction of a connection.
 struct lane {
     lane_state state = lane_state::passing;
-    std::string pending; ///< raw bytes or half a frame that no unit was made of yet
+    std::string pending; ///< bytes that don't form a complete unit yet
 };
 
-/// One accepted connection and the one behind it.
+/// An accepted connection and the connection to the server that its bytes are forwarded on.
 struct relay {
     explicit relay(tcp::socket accepted)
         : client(std::move(accepted)),
@@ -71,9 +74,10 @@
     tcp::socket client;
     tcp::socket server;
     std::array<lane, 2> lanes;
-    asio::steady_timer changed; ///< never expires; cancelled when a lane's state changes
+    asio::steady_timer changed; ///< never expires; cancelled to wake waiters when a lane's state changes
 };
 
+/// A fault that arm() set and that no unit has matched yet.
 struct armed_fault {
     std::size_t number;
     direction way;
@@ -115,7 +119,8 @@
     state(state&&) = delete;
     state& operator=(state&&) = delete;
 
-    /// Runs on the proxy's thread and waits for the result, so that a command has acted when it returns.
+    /// Runs `action` on the proxy's thread and waits for its result, so that a command has taken effect when
+    /// it returns.
     template <typename Action>
     auto on_thread(Action action) {
         std::packaged_task<decltype(action())()> task(std::move(action));
@@ -129,11 +134,12 @@
             boost::system::error_code error;
             auto socket = co_await acceptor.async_accept(asio::redirect_error(asio::use_awaitable, error));
             if (error == asio::error::operation_aborted || error == asio::error::bad_descriptor) {
-                co_return; // closed
+                co_return; // the listening port was closed
             }
             if (error) {
-                // Out of descriptors, most likely. A proxy that gave up here took no connection for the rest
-                // of a test, and the server behind it looked dead.
+                // Most likely the process is out of descriptors. If the proxy stopped accepting here, it
+                // would take no connection for the rest of the test, and the server behind it would seem
+                // down.
                 asio::steady_timer pause(context, accept_pause);
                 co_await pause.async_wait(asio::redirect_error(asio::use_awaitable, error));
                 continue;
@@ -176,7 +182,7 @@
         relays.remove(link);
     }
 
-    /// Once both ends have said that they send no more, the relay is done.
+    /// Records that one direction has ended; removes the relay once both have.
     void finish(const std::shared_ptr<relay>& link, direction way) {
         auto& finished = half_closed[link.get()];
         finished |= way == direction::up ? 1U : 2U;
@@ -230,7 +236,7 @@
             unit += unit;
         }
         co_await asio::async_write(link.sink(way), asio::buffer(unit), asio::use_awaitable);
-        // The peer must be able to read what was let through: a reset would throw it away unread.
+        // Closes without a reset, which would discard bytes that the peer hasn't read yet.
         if (action == fault::truncate || action == fault::cut_after) {
             link.cut(cut_kind::end);
         }
@@ -265,7 +271,8 @@
         return what;
     }
 
-    /// Called when the fault's state is in force, so that whoever waited for it finds it so.
+    /// Updates the set that wait_for_fault() checks. Called only after the fault's lane states are set, so
+    /// that they are in effect when wait_for_fault() returns.
     void note_fired() {
         const std::scoped_lock lock(waiting_mutex);
         waiting.clear();
--- a/tests/support/fault_proxy.hpp
+++ b/tests/support/fault_proxy.hpp
@@ -1,5 +1,5 @@
-// A TCP proxy that brings faults about on command: delay, cut, silence, bytes held back, answers lost. It
-// knows the frames between our processes, so a fault can strike at a chosen message.
+// A TCP proxy that injects faults on command: delays, closed connections, bytes that are dropped or held
+// back. It can split the traffic into the frames of wire/message.hpp, so that a fault hits a chosen message.
 #pragma once
 
 #include "wire/message.hpp"
@@ -15,29 +15,31 @@
 
 namespace borageford::test {
 
-/// `up` is towards the server behind the proxy.
+/// `up` is from the client to the server behind the proxy, `down` from the server to the client.
 enum class direction : std::uint8_t { up, down };
+/// How a connection is closed: with a TCP reset, or by a shutdown in both directions.
 enum class cut_kind : std::uint8_t { reset, end };
 
-/// What a trigger does to the unit (a frame, or a piece of raw bytes) that it fires on.
+/// What an armed fault does to the unit (a frame, or the bytes of one read) that it fires on.
 enum class fault : std::uint8_t {
-    pass,      ///< nothing; the trigger is just waited for
-    hold,      ///< keep it and all that follows in this direction until release()
-    isolate,   ///< hold, and swallow silently what comes in the other direction
-    drop,      ///< swallow it and all that follows in this direction, silently
-    drop_both, ///< swallow it and all that follows in both directions, silently
-    lose,      ///< swallow it and reset the connection
-    cut_after, ///< let it through, then end the connection
-    truncate,  ///< let half of it through, then end the connection
-    duplicate, ///< send it twice
-    corrupt    ///< change some of its bytes
+    pass,      ///< forward it unchanged; a test uses this to wait for the unit
+    hold,      ///< hold it and all later bytes in this direction until release()
+    isolate,   ///< like hold; later bytes in the other direction are dropped
+    drop,      ///< drop it and all later bytes in this direction; the connection stays open
+    drop_both, ///< drop it and all later bytes in both directions; the connection stays open
+    lose,      ///< drop it and reset the connection
+    cut_after, ///< forward it, then shut the connection down
+    truncate,  ///< forward its first half, then shut the connection down
+    duplicate, ///< forward it twice
+    corrupt    ///< change some bytes after the frame header
 };
 
+/// What the proxy splits the traffic into: frames of wire/message.hpp, or the bytes of each read.
 enum class proxy_units : std::uint8_t { frames, raw };
 
 using unit_matcher = std::function<bool(std::string_view unit)>;
 
-/// Matches a frame that carries this message.
+/// Matches a frame whose content is a `Message`.
 template <typename Message>
 [[nodiscard]] unit_matcher is_message() {
     return [](std::string_view unit) {
@@ -47,11 +49,12 @@
     };
 }
 
-/// Matches raw bytes with this text in them.
+/// Matches a unit that contains this text.
 [[nodiscard]] unit_matcher contains(std::string text);
 
-/// Runs on a thread of its own. Commands act at once on all open connections; a trigger acts on the
-/// connection that it fires on. New connections work unless refused.
+/// Forwards connections on its own thread; its functions may be called from any other thread. set_delay()
+/// applies to all connections; cut(), drop() and hold() affect the connections that are open at the time of
+/// the call; an armed fault affects the connection that it fires on.
 class fault_proxy {
 public:
     using endpoint = boost::asio::ip::tcp::endpoint;
@@ -63,30 +66,35 @@
     fault_proxy(fault_proxy&&) = delete;
     fault_proxy& operator=(fault_proxy&&) = delete;
 
+    /// The loopback address on which the proxy accepts connections.
     [[nodiscard]] endpoint address() const;
-    /// New connections go there: the server was started again elsewhere.
+    /// Forwards new connections to this address, for example after the server was restarted on another port.
     void set_target(const endpoint& target);
 
-    /// Every unit waits this long, in both directions.
+    /// Delays every unit by this time, in both directions; 0 turns the delay off.
     void set_delay(std::chrono::milliseconds delay);
-    /// Refusing: new connections are reset.
+    /// While true, new connections are accepted and closed at once.
     void set_refusing(bool refusing);
-    /// Closes the port, as a server that is gone does, or opens the same one again.
+    /// Closes the listening port, as if the server had ended (false), or opens the same port again (true).
     void set_listening(bool listening);
+    /// Closes all open connections.
     void cut(cut_kind kind);
-    /// Swallows silently what comes in this direction on the connections open now.
+    /// Drops all further bytes in this direction on the open connections, which stay open.
     void drop(direction way);
-    /// Stops reading in this direction on the connections open now.
+    /// Holds back further bytes in this direction on the open connections until release().
     void hold(direction way);
-    /// Lets go on what was held, in order.
+    /// Forwards held bytes in their order. Directions that drop bytes go on dropping them.
     void release();
 
-    /// Arms a fault for the next unit that matches; it fires once. Returns its number, for waiting.
+    /// Sets a fault that fires once, on the next unit in this direction that matches. Returns its number for
+    /// wait_for_fault().
     std::size_t arm(direction way, unit_matcher matches, fault what);
+    /// Returns once this fault has fired; throws after `hang_guard`.
     void wait_for_fault(std::size_t number);
-    /// Returns once every armed fault has fired.
+    /// Returns once every armed fault has fired; throws after `hang_guard`.
     void wait_for_fault();
     [[nodiscard]] std::size_t open_connections() const;
+    /// Connections accepted since the proxy was created.
     [[nodiscard]] std::size_t accepted_connections() const;
 
 private:
--- a/tests/support/free_ports.cpp
+++ b/tests/support/free_ports.cpp
@@ -1,4 +1,5 @@
-// See the header.
+// Finds ports that are free by asking the kernel for a port and binding it and its successors at each
+// address.
 #include "support/free_ports.hpp"
 
 #include <boost/asio/io_context.hpp>
@@ -15,9 +16,10 @@
 
 namespace {
 
+/// Gateways per 127.0.N.0/24 block: addresses 127.0.N.2 to 127.0.N.251.
 constexpr std::size_t addresses_of_a_block = 250;
 
-/// Whether these ports are free at all addresses, for TCP and UDP.
+/// True when the ports from `first` on are free for TCP and UDP at the addresses of all gateways.
 bool are_free(std::uint16_t first, std::size_t gateways) {
     asio::io_context context;
     try {
@@ -30,7 +32,7 @@
             }
         }
     } catch (const boost::system::system_error&) {
-        return false; // taken by another test
+        return false; // a port is in use, probably by another test
     }
     return true;
 }
--- a/tests/support/free_ports.hpp
+++ b/tests/support/free_ports.hpp
@@ -1,4 +1,4 @@
-// Loopback addresses and ports for gateways that a test starts.
+// Chooses the loopback addresses and the ports of the gateways that a test starts.
 #pragma once
 
 #include <cstddef>
@@ -7,14 +7,16 @@
 
 namespace borageford::test {
 
-/// Ports that one gateway listens on: callers, readiness, other gateways, metrics.
+/// The number of ports that one gateway listens on, in this order: callers, readiness, other gateways,
+/// metrics.
 inline constexpr unsigned ports_of_a_gateway = 4;
 
-/// Each gateway has a loopback address of its own, since all of them use the same ports.
+/// The loopback address of a gateway. Each gateway has its own address, because all gateways use the same
+/// ports.
 [[nodiscard]] std::string gateway_address(std::size_t gateway);
 
-/// The first of `ports_of_a_gateway` ports in a row that are free at all these gateways' addresses, for TCP
-/// and UDP. The kernel proposes them.
+/// Returns the first of `ports_of_a_gateway` consecutive ports that are free for TCP and UDP at the addresses
+/// of all these gateways. Another process may still take one before the gateways bind them.
 [[nodiscard]] std::uint16_t find_gateway_ports(std::size_t gateways);
 
 } // namespace borageford::test
--- a/tests/support/gateway_site.cpp
+++ b/tests/support/gateway_site.cpp
@@ -1,4 +1,5 @@
-// Starting, stopping and asking the parts of a site.
+// Starts and stops the gateways and emulated backend servers of a gateway_site, and writes rows into its
+// store.
 #include "support/gateway_site.hpp"
 
 #include "base/identifier.hpp"
--- a/tests/support/gateway_site.hpp
+++ b/tests/support/gateway_site.hpp
@@ -1,5 +1,5 @@
-// A small deployment for one test: the emulated store and backend servers in this process, gateways as real
-// processes, each at a loopback address of its own.
+// A small deployment for one test: gateways as real processes, each at its own loopback address, and the
+// store and the backend servers emulated in the test's process.
 #pragma once
 
 #include "emulator/emulated_backend.hpp"
@@ -25,41 +25,47 @@
 
 namespace borageford::test {
 
+/// What a gateway_site consists of.
 struct site_options {
     std::size_t gateways = 1;
-    /// What the gateways are configured with before they start; nothing is written when `is_configured` is
-    /// false.
+    /// The configuration that is written into the store before the gateways start, if `is_configured`.
+    /// Without it, the gateways start unconfigured.
     routing::routing_document configuration;
     bool is_configured = true;
     std::vector<emulator::backend_options> backends;
-    std::string gateway_settings = {}; ///< further lines of [gateway]
-    /// After which a call to the store counts as lost.
+    std::string gateway_settings = {}; ///< additional lines of the section [gateway]
+    /// How long a gateway waits for an answer from the store.
     std::chrono::milliseconds store_timeout{500};
 };
 
-/// One route to one plain service named "plain", host "site.example", prefix "/plain/".
+/// A configuration with one route to the service "plain": host "site.example", prefix "/plain/", three
+/// attempts.
 [[nodiscard]] routing::routing_document plain_configuration(routing::route_kind kind);
-/// One route of streams to the service "engines", prefix "/stream/".
+/// A configuration with one streaming route to the service "engines": host "site.example", prefix "/stream/",
+/// three attempts.
 [[nodiscard]] routing::routing_document stream_configuration(bool is_resumable);
+/// A server of the service "plain" or of the service "engines".
 [[nodiscard]] emulator::backend_options plain_backend(const std::string& id);
 [[nodiscard]] emulator::backend_options engine_backend(const std::string& id);
 
-/// A request with the fields that every caller sends.
+/// A POST with the header fields that every caller sends: host, request id and a deadline of 5000 ms.
 [[nodiscard]] http::request make_call(const std::string& target, const std::string& id,
                                       std::string body = "hello");
 
-/// Gateways before servers "server-0", "server-1", ... of the plain service, whose calls may be repeated.
+/// Gateways and servers "server-0", "server-1", ... of the service "plain", whose route is idempotent.
 [[nodiscard]] site_options plain_site(std::size_t servers, std::size_t gateways = 1);
-/// The same document under another version, with one workspace that has this key.
+/// A copy of the document with this version and, as its only workspace, "archive" with this key.
 [[nodiscard]] routing::routing_document with_key(routing::routing_document document, std::uint64_t version,
                                                  const std::string& key);
-/// A call to the plain service with a workspace's key.
+/// A call to the service "plain" with this API key.
 [[nodiscard]] http::request keyed_call(const std::string& id, const std::string& key);
 
-/// Invariant: all processes are ended by the destructor; when a test has failed, the ends of the logs are
-/// shown first.
+/// Invariant: the destructor ends all processes. When an exception is in flight or the environment variable
+/// SHOW_GATEWAY_LOGS is set, it first prints the ends of the logs.
 class gateway_site {
 public:
+    /// Starts everything and waits until the gateways are ready, unless they have no configuration or no
+    /// servers.
     explicit gateway_site(site_options options);
     ~gateway_site();
     gateway_site(const gateway_site&) = delete;
@@ -67,29 +73,34 @@
     gateway_site(gateway_site&&) = delete;
     gateway_site& operator=(gateway_site&&) = delete;
 
+    /// The addresses on which a gateway answers callers, readiness checks and requests for metrics.
     [[nodiscard]] http::endpoint callers(std::size_t gateway) const;
     [[nodiscard]] http::endpoint readiness(std::size_t gateway) const;
     [[nodiscard]] http::endpoint metrics(std::size_t gateway) const;
     [[nodiscard]] child_process& process(std::size_t gateway) { return *m_gateways.at(gateway).process; }
+    /// Starts the process of a gateway (again) with its current settings file.
     void start_gateway(std::size_t index);
-    /// Changes a gateway's settings file; it takes effect at the next start or reload.
+    /// Writes a gateway's settings file with `further` as additional lines of [gateway]; it takes effect at
+    /// the next start or reload.
     void write_settings(std::size_t index, const std::string& further);
     [[nodiscard]] bool is_ready(std::size_t gateway) const;
     void wait_until_ready(std::size_t gateway) const;
 
-    /// Writes the configuration into the store, as an operator does.
+    /// Writes the configuration into the store, as an operator would.
     void configure(const routing::routing_document& document);
-    /// Orders a service to move to another version, or withdraws the order, as an operator does.
+    /// Writes or deletes the store's row that orders a service's roll-out, as an operator would.
     void order_rollout(const routing::rollout_order& order);
     void withdraw_rollout(const std::string& service);
-    /// Starts a backend server and registers it; the same index may be used again.
+    /// Starts a backend server and registers it as ready. An index that is in use is reassigned to the new
+    /// server; the previous server is neither stopped nor unregistered.
     void start_backend(std::size_t index, const emulator::backend_options& options);
+    /// Writes or deletes a server's row in the table of servers. Every `state` but "ready" means draining.
     void register_backend(std::size_t index, const std::string& state);
     void unregister_backend(std::size_t index);
-    /// Closes the server without a word; its registration stays.
+    /// Stops the server without deleting its registration.
     void stop_backend(std::size_t index);
 
-    /// Runs something on the thread of the emulated parts and returns its result.
+    /// Runs `function` on the thread of the emulated store and servers and returns its result.
     template <typename Function>
     auto on_emulator(Function function) -> std::invoke_result_t<Function> {
         std::packaged_task<std::invoke_result_t<Function>()> task(std::move(function));
@@ -98,16 +109,17 @@
         return result.get();
     }
 
-    /// On the emulator's thread only.
+    /// May only be used inside of on_emulator().
     [[nodiscard]] emulator::emulated_store& store() { return *m_store; }
     [[nodiscard]] emulator::emulated_backend& backend(std::size_t index) {
         return *m_backends.at(index).server;
     }
 
-    /// How often a request of this id has begun to run, over all servers there ever were.
+    /// How often a request with this id has begun to run, on all servers ever started or on one of them.
     [[nodiscard]] std::size_t runs_of(const std::string& request_id);
     [[nodiscard]] std::size_t runs_of(const std::string& request_id, std::size_t index);
 
+    /// Sends the call to a gateway and waits for the answer.
     [[nodiscard]] caller_result send(std::size_t gateway, const http::request& call) const;
 
 private:
@@ -135,7 +147,8 @@
     std::map<std::size_t, backend_unit> m_backends;
     std::vector<std::unique_ptr<emulator::emulated_backend>> m_former_backends;
     std::vector<gateway_unit> m_gateways;
-    std::uint16_t m_port = 0; ///< the first of four that are free at all gateways' addresses
+    std::uint16_t m_port =
+        0; ///< the first of `ports_of_a_gateway` consecutive ports, the same for all gateways
     std::jthread m_thread;
 };
 
--- a/tests/support/http_caller.cpp
+++ b/tests/support/http_caller.cpp
@@ -1,4 +1,5 @@
-// See the header.
+// Runs the calls of all pending_call objects on one shared thread, and raw exchanges on the thread of the
+// caller.
 #include "support/http_caller.hpp"
 
 #include "support/wait_until.hpp"
@@ -23,7 +24,7 @@
 
 namespace {
 
-/// The thread on which all calls are read.
+/// The thread on which all calls are sent and their answers are read.
 class caller_thread {
 public:
     caller_thread() : m_work(m_context.get_executor()), m_thread([this] { m_context.run(); }) {}
@@ -47,6 +48,7 @@
     std::thread m_thread;
 };
 
+/// Limits that only end a call that would hang.
 http::exchange_limits patient_limits() {
     http::exchange_limits limits;
     limits.connect = hang_guard;
--- a/tests/support/http_caller.hpp
+++ b/tests/support/http_caller.hpp
@@ -1,4 +1,5 @@
-// A caller: sends requests, reads answers whole or as they come, hangs up, and sends what no client should.
+// An HTTP client for tests: sends requests, reads answers at once or piece by piece, closes connections
+// early, and sends malformed bytes.
 #pragma once
 
 #include "http/client.hpp"
@@ -11,19 +12,20 @@
 
 namespace borageford::test {
 
-/// How an exchange ended for its caller.
+/// What a caller received.
 struct caller_result {
-    unsigned status = 0; ///< 0: no head came
+    unsigned status = 0; ///< 0: no response head was received
     http::header_fields headers;
     std::string body;
-    bool is_whole = false; ///< the body's end was marked
-    std::string error;
+    bool is_whole = false; ///< the body was received to its end
+    std::string error;     ///< why the exchange failed; empty when it didn't
 
     /// The header's value, or an empty text.
     [[nodiscard]] std::string header(std::string_view name) const;
 };
 
-/// A request in progress; hangs up when destroyed. Reads on a thread that all callers share.
+/// A request in progress; its destructor closes the connection. The answer is read on a thread that all calls
+/// share.
 class pending_call {
 public:
     pending_call(const http::endpoint& server, http::request call);
@@ -33,12 +35,14 @@
     pending_call(pending_call&&) = delete;
     pending_call& operator=(pending_call&&) = delete;
 
-    /// Returns once so much of the body has come, or throws when the answer ended before.
+    /// Waits until at least `count` bytes of the body were received. Throws std::runtime_error when the
+    /// answer ends earlier.
     void wait_for_bytes(std::size_t count);
+    /// True once the exchange has ended, with or without a complete answer.
     [[nodiscard]] bool is_finished() const;
-    /// The answer's end, whole or not.
+    /// Waits for the end of the exchange and returns what was received, complete or not.
     caller_result wait();
-    /// Closes the connection, as a caller that is gone does.
+    /// Closes the connection without waiting for the answer's end.
     void hang_up();
 
 private:
@@ -46,15 +50,19 @@
     std::shared_ptr<state> m_state;
 };
 
-/// A whole exchange.
+/// Sends a request and waits for the end of the exchange. Doesn't throw for a failed exchange; see
+/// caller_result::error.
 caller_result call(const http::endpoint& server, http::request request);
 
-/// A GET of a control or status path; throws unless it answers 200.
+/// Sends a GET and returns the body; throws std::runtime_error unless the answer is complete and has status
+/// 200.
 std::string fetch_text(const http::endpoint& server, const std::string& target);
-/// A POST; throws unless it answers 200.
+/// Sends a POST of JSON and returns the body; throws std::runtime_error unless the answer is complete and has
+/// status 200.
 std::string post_text(const http::endpoint& server, const std::string& target, const std::string& body);
 
-/// Sends raw bytes, then reads until the server closes or the time is over; returns what came.
+/// Sends raw bytes, reads until the server closes the connection or `limit` has passed, and returns the
+/// received bytes.
 std::string exchange_raw(const http::endpoint& server, std::string_view bytes,
                          std::chrono::milliseconds limit);
 
--- a/tests/support/known_servers.hpp
+++ b/tests/support/known_servers.hpp
@@ -1,4 +1,5 @@
-// One gateway's knowledge of backend servers, without network or time.
+// Builds a gateway's backend_roster, backend_directory and rollout_keeper without network, so that a test can
+// feed them rows of the table of servers directly.
 #pragma once
 
 #include "gateway/backend_directory.hpp"
@@ -15,8 +16,10 @@
 
 namespace borageford::test {
 
-/// Entries are "SERVICE@START#VERSION", with "leaving " before it of a server that drains; a part that is
-/// left out isn't told.
+/// The rows of servers have the form "SERVICE@START#VERSION", with the prefix "leaving " for a draining
+/// server.
+/// "@START" and "#VERSION" may be left out; the row then states no start or no version. An empty row and
+/// "garbage" are unreadable.
 class known_servers {
 public:
     explicit known_servers(std::chrono::milliseconds registration_life = std::chrono::hours(1))
@@ -36,12 +39,12 @@
     gateway::backend_directory& backends() { return m_backends; }
     gateway::backend_roster& roster() { return m_roster; }
     gateway::rollout_keeper& rollouts() { return m_rollouts; }
-    /// Whether this gateway coordinates.
+    /// Sets whether this gateway is the one that decides on roll-outs.
     void decide(bool decides) { m_decides = decides; }
-    /// States of roll-outs that were to be written into the store.
+    /// The statuses of roll-outs that the gateway would have written into the store.
     [[nodiscard]] const std::vector<routing::rollout_status>& recorded() const { return m_recorded; }
 
-    /// The store tells of a change, in the present era.
+    /// Delivers a changed row from the store, in the current era.
     void write(const std::string& id, const std::string& value, std::uint64_t version) {
         m_roster.take_change({{"servers/" + id, value, version}, false});
     }
@@ -50,12 +53,13 @@
         m_roster.take_change({{"servers/" + id, "", version}, true});
     }
 
+    /// A row of the table of servers, without the table's prefix in its key.
     struct entry {
         std::string id;
         std::string value;
         std::uint64_t version = 0;
     };
-    /// All rows are read, as after a return of the store.
+    /// Delivers all rows at once, as when a gateway reads the whole table, for example after a store restore.
     void read_all(store::position at, const std::vector<entry>& entries) {
         store::row_page page;
         page.position = at;
@@ -65,12 +69,13 @@
         m_roster.take_all(page);
     }
 
-    /// The key of the server that takes work under this id; 0: none does.
+    /// The key of the server with this id if its state is ready; otherwise 0.
     [[nodiscard]] policy::server_key usable(const std::string& id) const {
         const auto server = m_backends.find_id(id);
         const bool is_usable = server != nullptr && server->record().state == routing::backend_state::ready;
         return is_usable ? server->record().key() : 0;
     }
+    /// True when the roster has a server with this id in any state.
     [[nodiscard]] bool knows(const std::string& id) const { return m_roster.all().contains(id); }
 
 private:
--- a/tests/support/object_store_stub.cpp
+++ b/tests/support/object_store_stub.cpp
@@ -1,4 +1,4 @@
-// Answering puts, gets and lists from memory.
+// Answers PUT, GET and list requests from a map in memory.
 #include "support/object_store_stub.hpp"
 
 #include <boost/json.hpp>
--- a/tests/support/object_store_stub.hpp
+++ b/tests/support/object_store_stub.hpp
@@ -1,5 +1,5 @@
-// An object store in this process for unit tests, spoken to over HTTP like the platform's, with an outage to
-// switch on.
+// An object store in the test's process for unit tests. It is reached over HTTP like the platform's object
+// store, and tests can make it fail.
 #pragma once
 
 #include "http/server.hpp"
@@ -14,7 +14,7 @@
 
 namespace borageford::test {
 
-/// Used from one thread: that of its executor.
+/// May only be used on the thread of its executor. All members may be read and changed by the test.
 class object_store_stub {
 public:
     explicit object_store_stub(const boost::asio::any_io_executor& executor);
@@ -22,12 +22,14 @@
     [[nodiscard]] boost::asio::ip::tcp::endpoint address() const { return m_address; }
 
     std::map<std::string, std::string> objects;
-    bool is_out = false;
-    std::size_t lost_answers = 0; ///< so many next writes take effect and their connection is cut
+    bool is_out = false; ///< answers every call with status 503
+    std::size_t lost_answers =
+        0; ///< number of next writes that take effect but whose connection is broken before the answer
     std::size_t puts = 0;
     std::size_t gets = 0;
     std::size_t lists = 0;
-    std::function<void()> after_put; ///< lets a test wait for a write instead of for time
+    std::function<void()>
+        after_put; ///< called after each PUT that took effect, so that a test need not wait for a time
 
 private:
     boost::asio::awaitable<void> handle(const http::request& call, http::response_writer& writer);
--- a/tests/support/operator_client.cpp
+++ b/tests/support/operator_client.cpp
@@ -1,4 +1,4 @@
-// See the header.
+// Sends calls to an entry's administration API and reads their JSON answers.
 #include "support/operator_client.hpp"
 
 #include <boost/json/parse.hpp>
--- a/tests/support/operator_client.hpp
+++ b/tests/support/operator_client.hpp
@@ -1,4 +1,4 @@
-// An operator at one entry's administration API.
+// A client for the administration API of one entry, which acts as a named operator.
 #pragma once
 
 #include "http/client.hpp"
@@ -11,43 +11,48 @@
 
 namespace borageford::test {
 
-/// What a confirm was answered.
+/// The answer to a confirm or drain call.
 struct confirm_answer {
     unsigned status = 0;
-    std::string kind;  ///< of the error; empty when it was accepted
-    std::string state; ///< "accepted" or "already_accepted"
-    std::uint64_t revision = 0;
-    std::string came_between; ///< the operator whose revision did
-    bool is_everywhere = false;
-    std::uint64_t milliseconds = 0; ///< until it was, or until the wait ended
-    std::vector<std::string> behind;
+    std::string kind;           ///< kind of the error; empty when the call was accepted
+    std::string state;          ///< "accepted" or "already_accepted"
+    std::uint64_t revision = 0; ///< the new revision, or the one that came between
+    std::string came_between; ///< after a conflict: the operator whose revision came between plan and confirm
+    bool is_everywhere = false;      ///< all nodes had the revision in force when the wait ended
+    std::uint64_t milliseconds = 0;  ///< how long the call waited for that
+    std::vector<std::string> behind; ///< nodes that didn't have it in force yet
 };
 
-/// One node's line of the status.
+/// One node in the answer to a status call.
 struct node_line {
     std::string vm;
     bool is_reached = false;
-    std::uint64_t revision = 0;
+    std::uint64_t revision = 0; ///< 0 when the node wasn't reached
 };
 
-/// Throws std::runtime_error for an answer that the call doesn't expect.
+/// Functions that return a value from the answer throw std::runtime_error unless its status is 200;
+/// confirm(), drain() and read_confirm() return errors in confirm_answer.
 class operator_client {
 public:
     operator_client(http::endpoint entry, std::string name);
 
-    /// Makes a plan and returns its id.
+    /// Sends the text of a configuration as a plan and returns the plan's id.
     [[nodiscard]] std::string plan(const std::string& intent) const;
-    /// `wait` as the API takes it, for example "10s"; empty: not to wait.
+    /// Confirms a plan. `wait` is how long the entry waits for the revision to be in force everywhere, for
+    /// example "10s"; empty: it
+    /// answers without waiting.
     [[nodiscard]] confirm_answer confirm(const std::string& plan_id, const std::string& wait = "10s") const;
-    /// Sends a confirm without waiting for its answer; pass the answer to read_confirm.
+    /// Sends a confirm without waiting for its answer; read_confirm() parses the answer.
     [[nodiscard]] std::unique_ptr<pending_call> begin_confirm(const std::string& plan_id) const;
     [[nodiscard]] static confirm_answer read_confirm(const caller_result& answer);
     [[nodiscard]] confirm_answer drain(const std::string& backend_server, const std::string& wait) const;
 
+    /// The configuration's text in this revision.
     [[nodiscard]] std::string text_of(std::uint64_t revision) const;
+    /// The number of revisions, 200 at most.
     [[nodiscard]] std::size_t count_revisions() const;
     [[nodiscard]] std::vector<node_line> status() const;
-    /// The revision that this entry holds.
+    /// The revision that this entry uses.
     [[nodiscard]] std::uint64_t held_revision() const;
 
 private:
--- a/tests/support/peer_client.cpp
+++ b/tests/support/peer_client.cpp
@@ -1,4 +1,4 @@
-// See the header.
+// Implements peer_client with a blocking socket.
 #include "support/peer_client.hpp"
 
 #include <array>
@@ -64,7 +64,8 @@
     wire::heartbeat_message question;
     question.sequence = ++m_heartbeats;
     send(std::move(question));
-    // Replies carry the sidecar's own numbers, so each one is waited for as it comes.
+    // The replies are numbered by the sidecar, so a reply can't be matched to its heartbeat; any reply will
+    // do.
     wait_for<wire::heartbeat_message>([](const wire::heartbeat_message& held) { return held.is_reply; });
 }
 
@@ -75,7 +76,7 @@
             read_one(until);
         }
     } catch (const std::system_error&) {
-        // The connection is over.
+        // The connection has ended.
     }
 }
 
@@ -102,7 +103,7 @@
             std::chrono::duration_cast<std::chrono::milliseconds>(until - std::chrono::steady_clock::now());
         pollfd waiting{m_socket, POLLIN, 0};
         if (left.count() <= 0 || poll(&waiting, 1, static_cast<int>(left.count())) == 0) {
-            throw std::runtime_error("the sidecar did not send what was waited for");
+            throw std::runtime_error("the sidecar did not send the expected message in time");
         }
         const auto count = recv(m_socket, into.data(), into.size(), 0);
         if (count <= 0) {
--- a/tests/support/peer_client.hpp
+++ b/tests/support/peer_client.hpp
@@ -1,4 +1,5 @@
-// An entry as a sidecar sees it, driven step by step by a test: sends any message and waits for answers.
+// Connects to a sidecar in the place of an entry, so that a test can send any message and wait for single
+// answers.
 #pragma once
 
 #include "http/client.hpp"
@@ -14,10 +15,12 @@
 
 namespace borageford::test {
 
-/// One blocking connection. Answers heartbeats only while it waits, so a test must not idle on it.
+/// One blocking connection. It answers heartbeats only inside of the waiting functions; if a test does
+/// nothing for too long, the sidecar closes the connection.
 class peer_client {
 public:
-    /// Connects and says hello. `revision` goes with every frame.
+    /// Connects and exchanges hello messages. `revision` is sent in every frame. Throws
+    /// std::system_error when the connection fails.
     peer_client(const http::endpoint& sidecar, std::uint64_t revision);
     ~peer_client();
     peer_client(const peer_client&) = delete;
@@ -25,12 +28,14 @@
     peer_client(peer_client&&) = delete;
     peer_client& operator=(peer_client&&) = delete;
 
+    /// The sidecar's hello message.
     [[nodiscard]] const wire::hello_message& hello() const noexcept { return m_hello; }
     void send(wire::message content);
     void set_revision(std::uint64_t revision) noexcept { m_revision = revision; }
 
-    /// The next message of this kind; others that come before it are kept for later calls. Throws when none
-    /// comes within the guard against hanging, or the connection ends.
+    /// Returns the next message of this type that matches; messages of other types that arrive earlier are
+    /// kept for later calls. Throws std::runtime_error when none arrives within `hang_guard`, and
+    /// std::system_error when the connection ends.
     template <typename Message>
     Message wait_for(const std::function<bool(const Message&)>& matches = {}) {
         const auto until = std::chrono::steady_clock::now() + hang_guard;
@@ -48,14 +53,14 @@
         }
     }
 
-    /// The next message of this kind for this dispatch.
+    /// Returns the next message of this type that belongs to the dispatch.
     template <typename Message>
     Message wait_for(const dispatch_id& dispatch) {
         return wait_for<Message>(
             [&](const Message& held) { return wire::from_wire(held.dispatch) == dispatch; });
     }
 
-    /// Whether a message of this kind for this dispatch has been read and not been asked for.
+    /// True when a message of this type for the dispatch was received and no wait_for() has returned it yet.
     template <typename Message>
     [[nodiscard]] bool has(const dispatch_id& dispatch) const {
         for (const auto& held : m_received) {
@@ -67,7 +72,8 @@
         return false;
     }
 
-    /// Everything that the sidecar had sent before this call has been read when it returns.
+    /// Sends a heartbeat and waits for a reply, so that all that the sidecar sent before its reply was
+    /// received.
     void synchronize();
 
     /// Returns once the sidecar has ended the connection.
--- a/tests/support/run_until.hpp
+++ b/tests/support/run_until.hpp
@@ -1,4 +1,4 @@
-// Running a test's own event loop until something is so.
+// Runs the event loop of a unit test until a condition holds.
 #pragma once
 
 #include "support/wait_until.hpp"
@@ -8,10 +8,11 @@
 
 namespace borageford::test {
 
+/// Runs handlers until the condition holds. Fails the test when no handler runs for `hang_guard`.
 template <typename Condition>
 void run_until(boost::asio::io_context& context, Condition condition) {
     while (!condition()) {
-        // The guard decides nothing: it ends a test that would hang.
+        // The limit only ends a test that would hang; no result depends on it.
         REQUIRE(context.run_one_for(hang_guard) > 0);
     }
 }
--- a/tests/support/sidecar_driver.cpp
+++ b/tests/support/sidecar_driver.cpp
@@ -1,4 +1,4 @@
-// See the header.
+// Sends the messages of the dispatch protocol through a peer_client and collects the answers.
 #include "support/sidecar_driver.hpp"
 
 #include "support/answer_text.hpp"
@@ -83,7 +83,7 @@
     while (entry.has<wire::chunk_message>(dispatch)) {
         const auto chunk = entry.wait_for<wire::chunk_message>(dispatch);
         if (chunk.offset != offset + answer.body.size()) {
-            throw std::runtime_error("a chunk came out of order");
+            throw std::runtime_error("a chunk is missing, repeated or out of order");
         }
         answer.body.append(chunk.data.begin(), chunk.data.end());
     }
--- a/tests/support/wait_until.cpp
+++ b/tests/support/wait_until.cpp
@@ -1,4 +1,4 @@
-// See the header.
+// Polls a condition until it holds or the time limit has passed.
 #include "support/wait_until.hpp"
 
 #include <stdexcept>
--- a/tests/support/wait_until.hpp
+++ b/tests/support/wait_until.hpp
@@ -1,5 +1,5 @@
-// Waits for a condition with a guard against hanging; the guard never decides what a test finds, it only ends
-// a test that would hang.
+// Waits for a condition. The time limit only ends a test that would hang; no test's result depends on its
+// length.
 #pragma once
 
 #include <chrono>
@@ -8,11 +8,12 @@
 
 namespace borageford::test {
 
-/// Long enough for a loaded machine; a test that passes never waits for it.
+/// The usual limit: long enough for a loaded machine. A test that passes never waits this long.
 inline constexpr std::chrono::seconds hang_guard{40};
 
-/// Returns once the condition holds; throws std::runtime_error naming it when the guard's time has passed.
-/// An exception of the condition counts as "not yet".
+/// Returns once the condition holds. Throws std::runtime_error with the text `what` when it doesn't hold
+/// within `guard`. While the condition throws, it counts as not holding; the error contains the last
+/// exception's text.
 void wait_until(const std::string& what, const std::function<bool()>& condition,
                 std::chrono::milliseconds guard = hang_guard);
 
