--- a/tests/soak/descriptor_need.cpp
+++ b/tests/soak/descriptor_need.cpp
@@ -1,4 +1,5 @@
-// Every gateway comes to hold a connection to every server, each through a proxy.
+// Estimates the file descriptors of a soak. In the end every gateway has a connection to every server, each
+// through a fault_proxy in the soak's process.
 #include "soak/descriptor_need.hpp"
 
 #include <sys/resource.h>
@@ -7,12 +8,14 @@
 
 namespace {
 
-/// Each connection is accepted by a proxy, made by it, and accepted by the server.
+/// A connection between a gateway and a server takes the proxy's two sockets and the emulated server's
+/// socket.
 constexpr std::size_t descriptors_per_connection = 3;
-/// Its output, and its connections to the store with those that ask again, through a proxy too.
+/// The pipe of the gateway's output, and its connections to the emulated store through a proxy, including
+/// those of repeated long polls.
 constexpr std::size_t descriptors_per_gateway = 44;
 constexpr std::size_t descriptors_per_caller = 2;
-/// Listeners, logs and the event loops.
+/// Listening sockets, log files and event loops.
 constexpr std::size_t descriptors_of_process = 200;
 
 } // namespace
--- a/tests/soak/descriptor_need.hpp
+++ b/tests/soak/descriptor_need.hpp
@@ -1,4 +1,4 @@
-// Whether a soak of some size fits into the descriptors that its process may hold.
+// Checks whether a soak needs more file descriptors than its process may open.
 #pragma once
 
 #include <cstddef>
@@ -7,24 +7,24 @@
 
 namespace borageford::soak {
 
-/// How many there are of what takes descriptors of the soak's own process, which is proxy, server, store and
-/// caller to all gateways.
+/// The counts on which the number of descriptors depends. The soak's process needs descriptors for all
+/// proxies, emulated servers, the emulated store and all callers; the gateways are processes of their own.
 struct soak_size {
     std::size_t gateways = 0;
     std::size_t servers = 0;
     std::size_t callers = 0;
 };
 
-/// The most descriptors that the process comes to hold.
+/// An estimate of the most descriptors that the soak's process has open at a time.
 [[nodiscard]] std::size_t count_descriptors(const soak_size& size) noexcept;
 
-/// What to tell whoever asked for a size that doesn't fit; nothing when it does.
+/// Returns an error message when a soak of this size needs more than `limit` descriptors; otherwise nothing.
 ///
-/// Started all the same, such a soak ends in the middle with "Too many open files", and says nothing of the
-/// promises.
+/// Without this check, a soak that is too large would end after a while with "Too many open files" and
+/// without a verdict on the promises.
 [[nodiscard]] std::optional<std::string> refuse_size(const soak_size& size, std::size_t limit);
 
-/// The soft limit of this process.
+/// The soft limit of open descriptors of this process.
 [[nodiscard]] std::size_t descriptor_limit();
 
 } // namespace borageford::soak
--- a/tests/soak/disturbance_log.cpp
+++ b/tests/soak/disturbance_log.cpp
@@ -1,4 +1,4 @@
-// See the header.
+// Stores disturbances in a vector; an entry's index is its number.
 #include "soak/disturbance_log.hpp"
 
 #include <algorithm>
--- a/tests/soak/fault_schedule.cpp
+++ b/tests/soak/fault_schedule.cpp
@@ -1,4 +1,5 @@
-// Kinds are drawn evenly; some faults come twice in short order, as series do.
+// Draws faults at random: all kinds are equally likely, and some faults are repeated at another target while
+// the first is still in effect.
 #include "soak/fault_schedule.hpp"
 
 #include <algorithm>
@@ -10,6 +11,7 @@
 
 namespace {
 
+/// A kind of fault and its name on the command line.
 struct kind_row {
     fault_kind kind;
     std::string_view name;
@@ -52,15 +54,17 @@
 };
 static_assert(kind_names.size() == static_cast<std::size_t>(fault_kind::last_kind) + 1);
 
-/// A fault begins each so often on average, so that two or three are in force at most times.
+/// Average time between the begins of two faults, so that two or three are in effect most of the time.
 constexpr milliseconds mean_gap{500};
+/// Shortest and longest duration of a fault.
 constexpr milliseconds least_length{300};
 constexpr milliseconds most_length{3000};
-/// A server that leaves stays for long after its announcement, so that what it gets too late is seen.
+/// Duration of server_drains: much longer than gateways need to learn of it, so that check_leaving() sees
+/// requests that reach the server too late.
 constexpr milliseconds leaving_length{6500};
-/// Left at the end without new faults, so that the last ones end inside the soak.
+/// No fault begins in this time before the soak's end, so that the last faults end before it.
 constexpr milliseconds calm_end{1000};
-/// Share of the faults that come again, somewhere else, while they are in force.
+/// Share of the faults that are repeated at the next gateway or server while they are still in effect.
 constexpr double series_share = 0.3;
 
 template <typename Value>
--- a/tests/soak/fault_schedule.hpp
+++ b/tests/soak/fault_schedule.hpp
@@ -1,4 +1,5 @@
-// What goes wrong in one soak, and when: drawn from a seed, in series that overlap.
+// Plans the faults of a soak: which fault begins when, how long it lasts and what it affects, drawn from a
+// seed.
 #pragma once
 
 #include <chrono>
@@ -12,24 +13,26 @@
 
 using std::chrono::milliseconds;
 
+/// The kinds of faults. Unless a comment says otherwise, a kind is in effect from the fault's begin to its
+/// end.
 enum class fault_kind : std::uint8_t {
-    // Gateways, by signals.
-    gateway_killed,  ///< SIGKILL, and started again when it ends
-    gateway_frozen,  ///< SIGSTOP until it ends
-    gateway_stopped, ///< SIGTERM, and started again when it is gone
-    gateway_reloaded,
+    // Faults of gateways, by signals.
+    gateway_killed,   ///< SIGKILL; the gateway is started again at the fault's end
+    gateway_frozen,   ///< SIGSTOP; SIGCONT at the fault's end
+    gateway_stopped,  ///< SIGTERM; the gateway is started again when its process has ended
+    gateway_reloaded, ///< SIGHUP
     all_gateways_killed,
-    // The store.
+    // Faults of the store.
     store_busy,
     store_over_rate,
     store_resetting,
     store_silent,
     store_slow,
-    store_forgets, ///< its history: followers have to read everything again
-    // The way from one gateway to the store, by a proxy.
-    store_path_cut,      ///< open connections are reset, and new ones refused
-    store_path_silenced, ///< open connections lose what comes back; new ones work
-    // Backend servers.
+    store_forgets, ///< forgets its history of changes, so that gateways have to read all rows again
+    // Faults of the connections between one gateway and the store, by a proxy.
+    store_path_cut,      ///< open connections are reset and new ones are refused
+    store_path_silenced, ///< answers on the open connections are dropped; new connections work
+    // Faults of one backend server.
     server_crashed,
     server_hangs,
     server_fails,
@@ -41,42 +44,48 @@
     server_unframed,
     server_slow,
     server_drains,
-    // The way to one backend server, by a proxy.
+    // Faults of the connections to one backend server, by a proxy.
     server_path_reset,
     server_path_silenced,
-    server_path_held, ///< bytes are kept back and delivered when it ends
+    server_path_held, ///< requests are held back and delivered at the fault's end
     server_path_delayed,
-    // The operator.
-    configuration_grows,
-    configuration_moves_route,
-    // Backend servers again, and other programs that write into their table.
-    server_restarts_in_place, ///< its connections silenced, back at once under the id that it had
-    foreign_entries,          ///< beside the servers' own, and over one of them
-    store_returns,            ///< away, and then back from an older copy
+    // Changes by the operator.
+    configuration_grows,       ///< a route is added
+    configuration_moves_route, ///< the route "moving" leads to another service
+    // Further faults; in this order, because seeds depend on the position of each kind.
+    server_restarts_in_place, ///< answers on open connections are dropped; the server is back at once under
+                              ///< its previous id
+    foreign_entries,          ///< unreadable rows in the table of servers; one replaces a server's own row
+    store_returns,            ///< the store is unreachable, then restored from an older copy
     last_kind = store_returns
 };
 
+/// The name of a kind on the command line.
 [[nodiscard]] std::string_view to_string(fault_kind kind) noexcept;
-/// Throws std::invalid_argument for a name that is none.
+/// The kind with this name; throws std::invalid_argument when there is none.
 [[nodiscard]] fault_kind parse_fault_kind(std::string_view name);
 
+/// One fault of the schedule.
 struct planned_fault {
     fault_kind kind = fault_kind::gateway_killed;
-    milliseconds at{0};
+    milliseconds at{0}; ///< begin, counted from the soak's begin
     milliseconds length{0};
-    std::size_t target = 0; ///< a gateway or a server, where the kind has one
+    std::size_t target =
+        0; ///< index of a gateway or server, modulo their number; unused by kinds that affect all
 };
 
+/// What a schedule is drawn for.
 struct schedule_size {
     std::uint64_t seed = 1;
     milliseconds length{10000};
     std::size_t gateways = 3;
     std::size_t servers = 5;
-    /// Only these kinds; all when empty.
+    /// Kinds to draw from; empty: all kinds.
     std::vector<fault_kind> kinds;
 };
 
-/// The same for the same size. In the order of their begins; each ends within the length.
+/// Draws the faults, ordered by their begin; each ends within the soak's length. Equal arguments give equal
+/// faults.
 [[nodiscard]] std::vector<planned_fault> draw_faults(const schedule_size& size);
 
 } // namespace borageford::soak
--- a/tests/soak/promise_checks.cpp
+++ b/tests/soak/promise_checks.cpp
@@ -1,4 +1,4 @@
-// One function a promise.
+// Implements the checks, one function for each promise.
 #include "soak/promise_checks.hpp"
 
 #include <algorithm>
@@ -20,15 +20,18 @@
 constexpr unsigned first_success = 200;
 constexpr unsigned first_redirect = 300;
 
-/// A grant or a send may be under way when its caller leaves. One that begins later than this wasn't.
+/// A request may still reach a server shortly after its caller disconnected, because it was already being
+/// granted or sent. A run that begins later than this is a fault.
 constexpr milliseconds leave_limit{2000};
-/// The bound of gateways' settings is two seconds; the rest is for a busy machine.
+/// How long after its announcement a draining server may still get new requests. The gateways' settings allow
+/// two seconds; the other two allow for a busy machine.
 constexpr milliseconds drain_limit{4000};
-/// A gateway that was frozen or cut off needs this long to hear what it missed.
+/// How long a gateway that was frozen or disconnected from the store needs to receive the changes that it
+/// missed.
 constexpr milliseconds catch_up{4000};
-/// Within which a route has moved at every gateway, and as much again, since the machine may be busy.
+/// The time in which every gateway applies a moved route, doubled to allow for a busy machine.
 constexpr milliseconds configuration_limit{4000};
-/// Answers of one process that were made side by side may arrive in another order.
+/// Answers that one gateway gives concurrently may reach the callers in another order within this time.
 constexpr milliseconds order_slack{250};
 
 bool is_success(unsigned status) {
@@ -40,6 +43,7 @@
            status == unavailable;
 }
 
+/// The text of the first `count` events of a stream of an emulated engine.
 std::string expected_events(std::uint64_t count) {
     std::string text;
     for (std::uint64_t number = 1; number <= count; ++number) {
--- a/tests/soak/promise_checks.hpp
+++ b/tests/soak/promise_checks.hpp
@@ -1,5 +1,5 @@
-// The promises that a soak checks, against what callers and backend servers have seen. Pure: each check reads
-// records and returns what breaks a promise, one line each.
+// The promises of the gateways that a soak checks against the records of callers and backend servers. Each
+// check is a pure function that returns one line for each violation, and nothing when the promise was kept.
 #pragma once
 
 #include "soak/disturbance_log.hpp"
@@ -15,69 +15,78 @@
 
 using broken_promises = std::vector<std::string>;
 
-/// How often each request has run.
+/// The number of runs of each request, by request id.
 using run_counts = std::map<std::string, std::size_t>;
 
 [[nodiscard]] run_counts count_runs(std::span<const server_run> runs);
 
-/// Who made a successful answer: the run that its signature names, or null.
+/// The run that made a successful answer, according to the answer's signature; null when there is no such
+/// run.
 using answer_maker = const server_run*;
 
-/// A success is the whole answer of a run of this very request; the events of a stream come in order, each
-/// once, and one that ends as complete has its last event.
+/// Promise: a successful answer comes from a run of the same request. The events of a stream arrive in order
+/// and once each, and a stream that ends as complete has all its events.
 [[nodiscard]] broken_promises check_answer(const sent_request& request, answer_maker made_by);
 
-/// What may run once ran once at most, and a refusal that says "not run" is true.
+/// Promise: a request that may run only once runs at most once, and a request that was refused with a status
+/// that means "not run" has not run.
 [[nodiscard]] broken_promises check_runs(const sent_request& request, std::size_t runs);
 
-/// A request that a process has passed on gets a final answer, in its time, unless the process was killed or
-/// frozen. What crosses the close of a kept connection and wasn't passed on doesn't count.
+/// Promise: a request that the gateway received gets a final answer in time, unless the gateway was killed or
+/// frozen. A request without a run is excused when it was sent on a reused connection, or to a stopping
+/// gateway: it may have been sent while the gateway was closing the connection.
 [[nodiscard]] broken_promises check_final_answer(const sent_request& request, std::size_t runs,
                                                  const disturbance_log& disturbances);
 
-/// What every configuration allows is never called unknown or forbidden.
+/// Promise: a request that every configuration allows is never answered with 400, 401, 403 or 404.
 [[nodiscard]] broken_promises check_allowed(const sent_request& request);
 
-/// Within one process, a route that it has served once is there from then on.
+/// Promise: a gateway process that has served a route once never answers later that it doesn't exist; this
+/// would mean that the gateway went back to an older configuration.
 [[nodiscard]] broken_promises check_configuration_order(std::span<const sent_request> requests);
 
-/// The service that the moving route leads to from a time on.
+/// A change of the service of the route "moving", and when it was written into the store.
 struct route_move {
     clock::time_point at;
     std::string service;
 };
 
-/// A request on the moving route runs where the route leads, or led shortly before it was sent, once a
-/// process that could hear of it had time. `moves` are in their order; the first is there from the start.
+/// Promise: a request on the route "moving" runs at a server of the service that the route had shortly before
+/// the request was sent, or later. Excused when a disturbance kept a gateway from receiving the change.
+/// `moves` are in order of time; the first one is the route's service at the soak's begin.
 [[nodiscard]] broken_promises check_moves_in_time(const sent_request& request, const server_run& run,
                                                   std::span<const route_move> moves,
                                                   const disturbance_log& disturbances);
 
-/// Every run is of a request that a caller sent, unchanged, at a service that its route leads to.
+/// Promise: every run has the id, target, body and workspace of a request that a caller sent, and is at a
+/// server of the service of the request's route. `sent` is by request id.
 [[nodiscard]] broken_promises check_origin(const server_run& run,
                                            const std::map<std::string, const sent_request*>& sent);
 
-/// Nothing begins to reach a server after a caller has left, but for what was under way.
+/// Promise: a request doesn't begin to run after its caller has disconnected, except shortly afterwards, when
+/// it was already being granted or sent.
 [[nodiscard]] broken_promises check_left(const sent_request& request, std::span<const server_run> runs,
                                          const disturbance_log& disturbances);
 
-/// A server that has announced that it leaves.
+/// A server that has announced that it drains, and when.
 struct leaving_server {
     std::string id;
     clock::time_point announced;
 };
 
-/// A leaving server gets nothing new, once the store's word and a process that could hear it had time.
+/// Promise: a draining server gets no new requests once the gateways have had time to read its row from the
+/// store. Excused when a disturbance of the store, a gateway or the connections to a server could delay that.
 [[nodiscard]] broken_promises check_leaving(const leaving_server& leaving, std::span<const server_run> runs,
                                             const disturbance_log& disturbances);
 
-/// What runs over all gateways together in any window.
+/// A limit on the number of events in any window of time, over all gateways together.
 struct window_limit {
     std::chrono::milliseconds window{0};
     double most = 0;
 };
 
-/// The first window that has more than its limit.
+/// Promise: no window has more events than its limit. Returns the first window that does; `what` names the
+/// events in the message.
 [[nodiscard]] broken_promises check_window(const std::string& what, std::vector<clock::time_point> events,
                                            const window_limit& limit);
 
--- a/tests/soak/sent_request.hpp
+++ b/tests/soak/sent_request.hpp
@@ -1,4 +1,5 @@
-// One request of a soak as its caller saw it, and one run of it as a backend server saw it.
+// The records that the soak checks: a request as its caller saw it, and a run of a request as a backend
+// server saw it.
 #pragma once
 
 #include "experiment/load_call.hpp"
@@ -14,30 +15,32 @@
 
 /// How a caller's wait ended.
 enum class caller_end : std::uint8_t {
-    answered,   ///< the connection brought an answer, or its end
-    left,       ///< the caller left on purpose
-    unanswered, ///< nothing final came long after the request's time was over
+    answered,   ///< an answer was received, or the connection ended
+    left,       ///< the caller disconnected on purpose
+    unanswered, ///< no final answer was received until long after the request's deadline
 };
 
+/// A request and its outcome, recorded by its caller.
 struct sent_request {
     std::string id;
     std::string target;
     std::string body;
     std::string key;
-    std::string service; ///< that its route leads to; empty where that changes
-    bool may_repeat = false;
+    std::string service; ///< the service of the request's route; empty for the route whose service changes
+    bool may_repeat = false; ///< the route is idempotent: the request may run more than once
     bool is_stream = false;
-    bool is_always_there = true; ///< its route is in every configuration
-    unsigned output_tokens = 0;  ///< events of its whole stream
+    bool is_always_there = true; ///< every configuration has the request's route
+    unsigned output_tokens = 0;  ///< events of the complete stream
     std::size_t gateway = 0;
-    unsigned gateway_life = 0;  ///< starts of that gateway when it was sent
-    bool is_of_one_life = true; ///< the gateway was not started again before its end
+    unsigned gateway_life = 0;  ///< how often the gateway had been started when the request was sent
+    bool is_of_one_life = true; ///< the gateway wasn't started again before the request ended
     clock::time_point sent;
     clock::time_point ended;
     caller_end end = caller_end::answered;
     experiment::call_result result;
 };
 
+/// A run of a request, recorded by the backend server.
 struct server_run {
     std::string server;
     std::string service;
--- a/tests/soak/soak_callers.cpp
+++ b/tests/soak/soak_callers.cpp
@@ -1,4 +1,5 @@
-// Kinds of requests are drawn evenly, gateways too: also those that are gone.
+// Draws each request's route and gateway at random with equal probability; the gateway may be one that is
+// down.
 #include "soak/soak_callers.hpp"
 
 #include "platform/call_names.hpp"
@@ -11,22 +12,28 @@
 
 namespace {
 
+/// Deadline of each request.
 constexpr milliseconds time_limit{4000};
-/// A gateway has answered long before this, or never will.
+/// A caller gives up after this time, long after the deadline: a gateway that hasn't answered by now never
+/// will.
 constexpr milliseconds unanswered_after{9000};
+/// A caller pauses between 10 and 60 ms before its next request.
 constexpr milliseconds least_pause{10};
 constexpr milliseconds most_pause{60};
 constexpr unsigned most_output_tokens = 60;
 constexpr std::size_t prompt_tokens = 200;
+/// Share of the requests whose caller disconnects early, after 1 to 300 ms.
 constexpr double leaving_share = 0.04;
 constexpr milliseconds most_leaving_time{300};
+/// Share of the requests that are sent by the limited workspace.
 constexpr double limited_share = 0.2;
 constexpr unsigned first_success = 200;
 constexpr unsigned first_redirect = 300;
 
+/// A route that every configuration has.
 struct route_row {
     std::string_view name;
-    std::string_view service; ///< empty where it changes
+    std::string_view service; ///< empty for the route whose service changes
     bool may_repeat;
     bool is_stream;
 };
@@ -37,7 +44,7 @@
     route_row{"moving", "", true, false},
 };
 
-/// Where a signature says that the answer was made.
+/// The run that made an answer, according to the answer's signature: a server and the index of the run there.
 struct maker {
     std::string server;
     std::size_t run = 0;
@@ -175,7 +182,7 @@
             result.is_whole && result.status >= first_success && result.status < first_redirect;
     }
     m_requests.push_back(std::move(request));
-    m_requests.back().result.event_text.clear(); // checked, and large
+    m_requests.back().result.event_text.clear(); // checked already, and large
     if (by->is_probe) {
         std::erase(m_callers, by);
         return;
--- a/tests/soak/soak_callers.hpp
+++ b/tests/soak/soak_callers.hpp
@@ -1,5 +1,5 @@
-// The callers of a soak: each sends a request, looks at what comes, and sends the next. They keep connections
-// and use them until the process behind them is gone.
+// The callers of a soak. Each caller sends a request, checks the answer, pauses and sends the next request.
+// Callers reuse their connections until the gateway's process ends.
 #pragma once
 
 #include "base/timer_service.hpp"
@@ -19,7 +19,7 @@
 
 namespace borageford::soak {
 
-/// Belongs to the thread of the deployment's emulated parts.
+/// May only be used on the thread of the emulated parts, through soak_deployment::on_emulator().
 class soak_callers {
 public:
     soak_callers(soak_deployment& deployment, std::uint64_t seed);
@@ -29,19 +29,21 @@
     soak_callers(soak_callers&&) = delete;
     soak_callers& operator=(soak_callers&&) = delete;
 
+    /// Starts `count` callers.
     void start(std::size_t count);
-    /// No further requests; those under way go on.
+    /// Sends no further requests; requests in progress are continued.
     void stop() noexcept { m_is_stopping = true; }
+    /// Requests in progress.
     [[nodiscard]] std::size_t under_way() const noexcept { return m_under_way; }
 
-    /// Sends one request of a route to a gateway; it is recorded like the others.
+    /// Sends one request on a route to a gateway. It is recorded and checked like the callers' own requests.
     void send_probe(std::size_t gateway, const std::string& route);
-    /// The last answer to a probe of this route at this gateway was a success.
+    /// True when the last probe of this route at this gateway was answered successfully.
     [[nodiscard]] bool has_served_probe(std::size_t gateway, const std::string& route) const;
 
-    /// All that have ended.
+    /// All requests that have ended.
     [[nodiscard]] const std::vector<sent_request>& requests() const noexcept { return m_requests; }
-    /// Answers that broke a promise when they came.
+    /// Violations that check_answer() found when answers were received.
     [[nodiscard]] const broken_promises& broken() const noexcept { return m_broken; }
 
 private:
--- a/tests/soak/soak_deployment.cpp
+++ b/tests/soak/soak_deployment.cpp
@@ -1,4 +1,5 @@
-// Each kind of fault is a few calls to a process, a proxy or an emulated part.
+// Starts and supervises the gateways, and turns each kind of fault into calls of a process, a proxy or an
+// emulated part.
 #include "soak/soak_deployment.hpp"
 
 #include "experiment/gateway_files.hpp"
@@ -29,20 +30,21 @@
 constexpr milliseconds route_timeout{4000};
 constexpr milliseconds slow_store_answer{400};
 constexpr milliseconds path_delay{150};
-/// What was written before the store went away, and while it was away, is lost.
+/// Age of the copy from which the store is restored: writes in this time before the restore are lost.
 constexpr milliseconds age_of_copy{4000};
+/// How long after a store restore the servers or the operator write their lost rows again.
 constexpr milliseconds early_rewrite{300};
 constexpr milliseconds late_rewrite{1200};
 constexpr double slow_factor = 6;
-/// Each connection between a gateway and a server takes three descriptors of this process. 250 gateways that
-/// keep theirs for some seconds took all of its 20,000 within 2 s; servers then couldn't be started, nor
-/// connections taken. Where there are more gateways than this, servers tell them to keep connections for a
-/// short time only.
+/// With more gateways than this, servers ask them to keep idle connections for `short_keep_alive` only. Each
+/// connection between a gateway and a server takes three descriptors of this process. 250 gateways that kept
+/// their connections for some seconds used up its 20,000 descriptors within 2 s; after that, no server could
+/// be started and no connection accepted.
 constexpr std::size_t most_gateways_that_keep = 100;
 constexpr std::chrono::seconds short_keep_alive{1};
-/// A process handles signals from then on.
+/// A gateway that has printed this event handles signals.
 constexpr std::string_view started_event = R"("event":"started")";
-/// Services by their place in the configuration.
+/// Indices of the services in the configuration.
 enum service_index : std::size_t { plain_service, engine_service, other_service };
 
 routing::route make_route(std::string name, routing::route_kind kind, service_index service) {
@@ -109,6 +111,7 @@
     return text.str();
 }
 
+/// The fault of an emulated server that this kind stands for; `none` for other kinds.
 backend_fault fault_of(fault_kind kind) {
     switch (kind) {
     case fault_kind::server_hangs:
@@ -142,7 +145,8 @@
            kind == fault_kind::store_returns;
 }
 
-/// Servers first, or operators first, as the target has it.
+/// How the store is restored. An even target lets the servers write their lost rows again before the operator
+/// does; an odd one lets the operator be first.
 emulator::store_return return_of(const planned_fault& fault) {
     const bool are_servers_first = fault.target % 2 == 0;
     return {age_of_copy, are_servers_first ? early_rewrite : late_rewrite,
@@ -157,7 +161,7 @@
     return kind == fault_kind::configuration_grows || kind == fault_kind::configuration_moves_route;
 }
 
-/// Entries that look like servers, each wrong in another way; nobody listens at their addresses.
+/// Rows that look like servers; each is invalid in a different way. Nothing listens at their addresses.
 constexpr std::array<std::string_view, 4> foreign_values{
     std::string_view("\xff\xfe\x00\x01{", 5),
     R"({"service":"plain","address":"127.0.0.1:9","zone":"a","slots":900,"state":"paused"})",
@@ -239,7 +243,7 @@
     return m_lives.at(gateway);
 }
 
-// Gateways.
+// Gateways: processes and their faults.
 
 void soak_deployment::start_gateway(std::size_t index) {
     auto& unit = m_gateways.at(index);
@@ -339,7 +343,7 @@
             unit.process->terminate();
         }
         break;
-    default: // a reload
+    default: // gateway_reloaded
         if (unit.has_started) {
             unit.process->reload();
         }
@@ -347,7 +351,7 @@
     }
 }
 
-// The store.
+// The store and the configuration in it.
 
 void soak_deployment::begin_store_fault(const planned_fault& fault) {
     note(fault, disturbance_kind::store, std::nullopt);
@@ -398,7 +402,7 @@
     });
 }
 
-// Backend servers.
+// Backend servers and the connections to them.
 
 void soak_deployment::begin_server_fault(const planned_fault& fault) {
     on_emulator([&] {
@@ -431,7 +435,8 @@
     });
 }
 
-/// Behind a cut: what was open hangs, and only the registration tells of the new start.
+/// Drops the answers on all open connections before the restart. These connections hang, so gateways can
+/// learn of the new start from the server's registration only.
 void soak_deployment::restart_in_place(const planned_fault& fault) {
     note(fault, disturbance_kind::server_path, std::nullopt);
     const auto server = fault.target % m_server_proxies.size();
@@ -439,7 +444,8 @@
     on_emulator([&] { m_site->restart_in_place(server); });
 }
 
-/// One of them stands over a server's own entry, until the server writes anew.
+/// Writes invalid rows into the table of servers. One of them replaces a server's own row until the server
+/// writes its row again.
 void soak_deployment::write_foreign_entries(const planned_fault& fault) {
     on_emulator([&] {
         for (std::size_t number = 0; number < foreign_values.size(); ++number) {
@@ -478,7 +484,7 @@
     }
 }
 
-// The schedule's two calls.
+// The functions that the schedule calls.
 
 void soak_deployment::begin(const planned_fault& fault) {
     if (fault.kind <= fault_kind::all_gateways_killed) {
--- a/tests/soak/soak_deployment.hpp
+++ b/tests/soak/soak_deployment.hpp
@@ -1,5 +1,6 @@
-// The parts of one soak: gateways as real processes, the store and the backend servers emulated here, and a
-// proxy on each way between them. Faults are brought about from outside.
+// The deployment of one soak: gateways as real processes, the store and the backend servers emulated in the
+// soak's process, and a fault_proxy between each gateway and the store and in front of each server. Injects
+// the planned faults.
 #pragma once
 
 #include "base/timer_service.hpp"
@@ -30,28 +31,29 @@
 
 namespace borageford::soak {
 
+/// The numbers of processes and emulated servers.
 struct deployment_size {
     std::size_t gateways = 3;
     std::size_t plain_servers = 3;
     std::size_t engines = 3;
 };
 
-/// The names that callers use.
+/// The host and the workspaces of the callers' requests.
 inline constexpr std::string_view soak_host = "soak.example";
 inline constexpr std::string_view open_workspace = "open";
 inline constexpr std::string_view limited_workspace = "limited";
-/// Calls that the limited workspace may make.
+/// Requests per second, and the burst, that the limited workspace may send.
 inline constexpr double limited_rate = 20;
 inline constexpr double limited_burst = 20;
-/// What gateways are configured with, and what is checked.
+/// Values of the gateways' settings with these names, which the checks of limits use, too.
 inline constexpr double allowance_slack = 30;
 inline constexpr milliseconds allowance_window{8000};
 inline constexpr double retry_ratio = 0.2;
 inline constexpr double retry_reserve = 50;
 inline constexpr milliseconds retry_window{10000};
 
-/// Commands come from the thread that plays the schedule; what is emulated runs on a thread of its own.
-/// Invariant: all processes that were started are ended by the destructor.
+/// Used by the thread that plays the schedule of faults; the emulated store and servers run on a thread of
+/// their own. Invariant: the destructor ends all processes.
 class soak_deployment {
 public:
     soak_deployment(deployment_size size, std::filesystem::path folder);
@@ -61,15 +63,17 @@
     soak_deployment(soak_deployment&&) = delete;
     soak_deployment& operator=(soak_deployment&&) = delete;
 
+    /// Puts a fault into effect, and ends it. Both calls for a fault must get the same object.
     void begin(const planned_fault& fault);
     void end(const planned_fault& fault);
 
-    /// Ended processes are started again where that is due, logs are kept, and ends of their own are noted.
+    /// To be called regularly: writes the gateways' output to log files, starts gateways again whose process
+    /// has ended, and records an end that no fault caused in own_ends().
     void look_after();
-    /// Everything is as at the start again; all gateways are there.
+    /// Ends all faults and starts all gateways that aren't running.
     void restore();
 
-    /// Runs something on the emulated parts' thread and returns its result.
+    /// Runs `function` on the thread of the emulated parts and returns its result.
     template <typename Function>
     auto on_emulator(Function function) -> std::invoke_result_t<Function> {
         std::packaged_task<std::invoke_result_t<Function>()> task(std::move(function));
@@ -82,23 +86,33 @@
     [[nodiscard]] timer_service& timers() noexcept { return m_timers; }
     [[nodiscard]] std::size_t gateway_count() const noexcept { return m_gateways.size(); }
     [[nodiscard]] std::size_t server_count() const noexcept { return m_server_proxies.size(); }
+    /// The addresses on which a gateway answers callers and readiness checks.
     [[nodiscard]] boost::asio::ip::tcp::endpoint callers(std::size_t gateway) const;
     [[nodiscard]] boost::asio::ip::tcp::endpoint readiness(std::size_t gateway) const;
-    /// Starts of a gateway so far; may be asked from any thread.
+    /// How often a gateway was started; may be called from any thread.
     [[nodiscard]] unsigned life(std::size_t gateway) const;
 
-    /// On the emulated parts' thread: routes that were added since the start, and the service that the moving
-    /// route leads to.
+    // The functions from here to leaving() may only be called on the thread of the emulated parts.
+
+    /// Number of routes that were added since the start; they are named "added-0", "added-1", ...
     [[nodiscard]] unsigned added_routes() const noexcept { return m_added_routes; }
+    /// The current service of the route "moving".
     [[nodiscard]] const std::string& moving_service() const noexcept { return m_moving_service; }
+    /// All changes of the service of the route "moving", in order of time; the first is its service at the
+    /// start.
     [[nodiscard]] const std::vector<route_move>& moves() const noexcept { return m_moves; }
+    /// All runs on all servers, including servers that have been stopped.
     [[nodiscard]] std::vector<server_run> collect_runs() const;
-    /// The run of this number at a server, present or former; nothing when there is none.
+    /// The run with this index on a server, which may have been stopped; nothing when there is none.
     [[nodiscard]] std::optional<server_run> find_run(const std::string& server, std::size_t number) const;
+    /// The servers that have announced that they drain.
     [[nodiscard]] const std::vector<leaving_server>& leaving() const noexcept { return m_leaving; }
 
-    // On the schedule's thread.
+    // These may only be called on the thread that plays the schedule.
+
+    /// The disturbances that the faults caused.
     [[nodiscard]] const disturbance_log& disturbances() const noexcept { return m_disturbances; }
+    /// One line for each gateway process that ended without a fault that ended it.
     [[nodiscard]] const broken_promises& own_ends() const noexcept { return m_own_ends; }
 
 private:
@@ -106,10 +120,10 @@
         std::unique_ptr<test::child_process> process;
         std::filesystem::path settings;
         std::unique_ptr<test::fault_proxy> store_path;
-        bool has_started = false; ///< it handles signals
+        bool has_started = false; ///< the process has reported its start, so it handles signals
         bool is_frozen = false;
         bool is_stopping = false;
-        std::size_t stopping_disturbance = 0;
+        std::size_t stopping_disturbance = 0; ///< number in the disturbance_log while `is_stopping`
     };
 
     void start_gateway(std::size_t index);
--- a/tests/soak/soak_main.cpp
+++ b/tests/soak/soak_main.cpp
@@ -1,6 +1,6 @@
-// Plays one soak: real gateways, emulated everything else, faults drawn from a seed, and the promises checked
-// against what callers and backend servers see. Exit code 0 when every promise held, 1 when one was broken,
-// 2 when the soak can't be played.
+// The program borageford_soak. It runs real gateways with an emulated store and emulated servers, sends
+// requests while it injects faults that are drawn from a seed, and checks the promises against the records of
+// callers and servers. Exit code 0: all promises were kept; 1: one was broken; 2: the soak couldn't be run.
 #include "soak/descriptor_need.hpp"
 #include "soak/fault_schedule.hpp"
 #include "soak/promise_checks.hpp"
@@ -25,16 +25,18 @@
 
 using std::chrono::milliseconds;
 
-/// How often processes are looked after between two faults.
+/// Time between two calls of soak_deployment::look_after().
 constexpr milliseconds look_period{50};
 constexpr int wrong_size_exit_code = 2;
+/// Prefix of the route whose service changes.
 constexpr std::string_view moving_prefix = "/moving/";
 
+/// The command line's settings.
 struct soak_options {
     schedule_size schedule;
     deployment_size deployment;
     std::size_t callers = 24;
-    std::filesystem::path folder;
+    std::filesystem::path folder; ///< for settings and logs; removed when all promises were kept
 };
 
 std::vector<fault_kind> read_kinds(const std::string& text) {
@@ -67,7 +69,7 @@
     return options;
 }
 
-/// Waits on the schedule's own clock; processes are looked after meanwhile.
+/// Waits on the calling thread until a time, and calls soak_deployment::look_after() meanwhile.
 void pass_time_until(soak_deployment& deployment, boost::asio::io_context& context, clock::time_point until) {
     while (clock::now() < until) {
         boost::asio::steady_timer timer(context, std::min(until, clock::now() + look_period));
@@ -76,7 +78,7 @@
     }
 }
 
-/// A fault's begin or end.
+/// The begin or the end of a fault, and its time.
 struct schedule_step {
     clock::time_point at;
     const planned_fault* fault = nullptr;
@@ -112,6 +114,7 @@
     pass_time_until(deployment, context, begin + options.schedule.length);
 }
 
+/// The routes that check_recovery() probes: those of every configuration and the newest added one.
 std::vector<std::string> routes_at_end(soak_deployment& deployment) {
     const auto added = deployment.on_emulator([&] { return deployment.added_routes(); });
     std::vector<std::string> routes{"plain", "once", "single", "stream", "moving"};
@@ -121,7 +124,8 @@
     return routes;
 }
 
-/// Sends a probe to each of the gateways at once and leaves those that didn't serve it.
+/// Sends a probe to each gateway in `waiting` and waits for the answers. Removes the gateways that served the
+/// probe from `waiting`.
 void probe_all(soak_deployment& deployment, soak_callers& callers, const std::string& route,
                std::set<std::size_t>& waiting) {
     deployment.look_after();
@@ -137,7 +141,7 @@
     });
 }
 
-/// Once nothing is wrong any more, every gateway serves every route of the newest configuration.
+/// Checks that every gateway serves the routes of the newest configuration while no fault is in effect.
 broken_promises check_recovery(soak_deployment& deployment, soak_callers& callers) {
     broken_promises broken;
     for (const auto& route : routes_at_end(deployment)) {
@@ -164,7 +168,8 @@
     std::ranges::move(from, std::back_inserter(to));
 }
 
-/// The runs of one kind over all gateways together.
+/// Checks the limits that hold over all gateways together: the rate of the limited workspace and the number
+/// of retries at each service.
 broken_promises check_limits(const std::vector<sent_request>& requests, const std::vector<server_run>& runs) {
     std::vector<clock::time_point> of_limited;
     std::map<std::string, std::vector<clock::time_point>> repeats;
@@ -177,7 +182,7 @@
             repeats[run.service].push_back(run.begun);
         }
     }
-    constexpr double tolerance = 1.1;
+    constexpr double tolerance = 1.1; // factor on the configured rate
     const double seconds = std::chrono::duration<double>(allowance_window).count();
     auto broken = check_window(
         "runs of the limited workspace", of_limited,
@@ -255,7 +260,8 @@
     }
 }
 
-/// Callers live and end on the emulated parts' thread, also when the soak itself fails.
+/// Owns the callers and destroys them on the thread of the emulated parts, also when the soak ends with an
+/// exception.
 class callers_owner {
 public:
     callers_owner(soak_deployment& deployment, std::uint64_t seed)
