--- a/tests/catch_main.cpp
+++ b/tests/catch_main.cpp
@@ -1,3 +1,3 @@
-// The one translation unit that compiles Catch2's main.
+// Compiles the main function of Catch2 once for all test programs.
 #define CATCH_CONFIG_MAIN
 #include <catch2/catch.hpp>
--- a/tests/fuzz/mutator.cpp
+++ b/tests/fuzz/mutator.cpp
@@ -1,4 +1,5 @@
-// The kinds of damage: bits, bytes, lengths, cuts, repeats and splices.
+// Implements the kinds of damage: flipped bits, replaced bytes, truncation, removed and repeated ranges, and
+// ranges copied from another sample.
 #include "fuzz/mutator.hpp"
 
 #include <algorithm>
@@ -7,9 +8,11 @@
 namespace borageford::test {
 namespace {
 
+/// A mutation consists of one to six damages.
 constexpr std::size_t most_damages = 6;
+/// Removed, repeated and copied ranges are shorter than this, in bytes.
 constexpr std::size_t longest_part = 64;
-/// Values that lengths and offsets break at.
+/// Byte values at which mistakes in the handling of lengths and offsets show.
 constexpr std::array<unsigned char, 8> edge_bytes{0x00, 0x01, 0x7f, 0x80, 0xff, 0xfe, 0x10, 0x20};
 
 } // namespace
--- a/tests/fuzz/mutator.hpp
+++ b/tests/fuzz/mutator.hpp
@@ -1,4 +1,4 @@
-// Damages bytes at random, the same way for the same seed.
+// Damages samples of input at random for the fuzz tests. Equal seeds give equal results.
 #pragma once
 
 #include <cstddef>
@@ -10,14 +10,16 @@
 
 namespace borageford::test {
 
+/// A random generator and the damages that it chooses.
 class mutator {
 public:
     explicit mutator(std::uint64_t seed) : m_engine(seed) {}
 
-    /// A few damages to one of the samples, with parts of the others mixed in.
+    /// Returns a copy of a random sample with one to six damages, among them ranges copied from other
+    /// samples.
     [[nodiscard]] std::string mutate(const std::vector<std::string>& samples);
 
-    /// A number below `limit`, or 0 where that is 0.
+    /// A random number below `limit`; 0 when `limit` is 0.
     [[nodiscard]] std::size_t below(std::size_t limit);
 
 private:
--- a/tests/fuzz/test_findings.cpp
+++ b/tests/fuzz/test_findings.cpp
@@ -1,4 +1,4 @@
-// What the mutation runs and the inputs tried beside them have found, one case each.
+// One test for each fault that fuzzing, or an input that was tried by hand, has found.
 #include "settings/ini_document.hpp"
 
 #include <catch2/catch.hpp>
@@ -8,10 +8,10 @@
 
 using namespace borageford;
 
-TEST_CASE("a file of very many sections is read in one go", "[fuzz]") {
-    // A generated intent has a section more for every line. The reader compared each title with all before
-    // it: ten seconds for a megabyte, in which an entry's thread served nobody. The CTest timeout is the
-    // guard; read as it was, this file takes minutes.
+TEST_CASE("a file of very many sections is parsed in linear time", "[fuzz]") {
+    // The parser compared each section's title with all earlier titles: a generated file of one megabyte took
+    // ten seconds, in which the entry's thread served no requests. With that parser this file would take
+    // minutes and exceed the CTest timeout.
     constexpr int sections = 200'000;
     std::string text;
     for (int index = 0; index < sections; ++index) {
@@ -22,7 +22,7 @@
     CHECK(problems.empty());
 }
 
-TEST_CASE("a section of very many keys is read in one go", "[fuzz]") {
+TEST_CASE("a section of very many keys is parsed in linear time", "[fuzz]") {
     constexpr int keys = 200'000;
     std::string text = "[s]\n";
     for (int index = 0; index < keys; ++index) {
@@ -35,7 +35,7 @@
     CHECK(problems.empty());
 }
 
-TEST_CASE("titles and keys that stand twice are still complained about", "[fuzz]") {
+TEST_CASE("duplicate titles and keys are reported as problems", "[fuzz]") {
     std::vector<settings::problem> problems;
     std::ignore = settings::parse_ini("[a b]\nk = 1\nk = 2\n[c]\nk = 1\n[a  b]\nk = 3\n", "fuzz", problems);
     REQUIRE(problems.size() == 2);
--- a/tests/fuzz/test_frame_decoder.cpp
+++ b/tests/fuzz/test_frame_decoder.cpp
@@ -1,4 +1,5 @@
-// Frames that no peer would send: each is refused as a whole or decoded into a message that can be sent on.
+// Fuzz tests of wire::decode and wire::decode_length: a damaged frame is either rejected with frame_error or
+// decoded into a message that can be encoded again.
 #include "fuzz/mutator.hpp"
 #include "wire/message.hpp"
 
@@ -30,7 +31,7 @@
     return {frame_of(std::variant_alternative_t<Index, wire::message>())...};
 }
 
-/// One empty frame of each message, and filled ones where there is something to get wrong.
+/// One empty frame of each message type, and filled frames of the types with vectors or nested tables.
 std::vector<std::string> make_samples() {
     auto samples = empty_messages(std::make_index_sequence<std::variant_size_v<wire::message>>());
     wire::offer_message offer;
@@ -66,9 +67,10 @@
     return out;
 }
 
-/// True when the frame was decoded, false when it was refused; anything else leaves as an exception.
+/// True when the frame was decoded, false when it was rejected with frame_error. Throws any other exception
+/// of the decoder.
 bool is_decoded(const std::string& frame) {
-    // A copy of just this length, so that a sanitizer sees a read past its end.
+    // A copy of exactly this length, so that a sanitizer reports a read past its end.
     const std::vector<std::byte> exact(reinterpret_cast<const std::byte*>(frame.data()),
                                        reinterpret_cast<const std::byte*>(frame.data()) + frame.size());
     try {
@@ -82,9 +84,9 @@
 
 } // namespace
 
-TEST_CASE("damaged frames are refused or decoded, never more", "[fuzz]") {
-    // A network device or a peer of a broken build damages frames. A decoder that reads past its buffer or
-    // lets an exception through takes the process down, with every request in it.
+TEST_CASE("damaged frames are rejected or decoded and cause no other error", "[fuzz]") {
+    // A network device or a faulty peer may damage frames. A decoder that reads past its buffer, or throws an
+    // exception that its callers don't expect, ends the process and with it all its requests.
     const auto samples = make_samples();
     test::mutator mutator(first_seed);
     int decoded = 0;
@@ -96,12 +98,12 @@
             FAIL("iteration " << iteration << ", " << error.what() << ": " << hexadecimal(frame));
         }
     }
-    // The run must reach both ways, or it tests nothing.
+    // Both outcomes must occur; otherwise the samples or the mutations are useless.
     CHECK(decoded > 0);
     CHECK(decoded < iterations);
 }
 
-TEST_CASE("frame lengths outside the limits are refused", "[fuzz]") {
+TEST_CASE("frame lengths outside the limits are rejected", "[fuzz]") {
     test::mutator mutator(first_seed);
     for (int iteration = 0; iteration < iterations; ++iteration) {
         std::array<std::byte, wire::frame_header_size> header{};
--- a/tests/fuzz/test_gateway_decoders.cpp
+++ b/tests/fuzz/test_gateway_decoders.cpp
@@ -1,6 +1,6 @@
-// What a gateway reads of other programs' writing: registrations, configurations, and datagrams. Damaged
-// input is refused with an exception that the callers know, or decoded into something that can be written
-// again.
+// Fuzz tests of the decoders for what other programs write and a gateway reads: rows of servers,
+// configurations and datagrams of other gateways. Damaged input is either rejected with an exception or
+// decoded into a value that can be encoded again.
 #include "coordination/message.hpp"
 #include "fuzz/mutator.hpp"
 #include "platform/backend_codec.hpp"
@@ -39,7 +39,7 @@
     R"({"version":-1,"routes":{},"services":[{"name":7,"max_connections":1e308}],"limits":[],"tenants":[[]]})",
 };
 
-/// A datagram with one item of each kind.
+/// An encoded datagram with one item of each kind.
 std::string full_datagram() {
     coordination::datagram message;
     message.sender.incarnation = 7;
@@ -57,6 +57,7 @@
     return {reinterpret_cast<const char*>(bytes.data()), bytes.size()};
 }
 
+/// Decodes mutations of the samples and counts those for which `decode` throws no exception.
 template <typename Decode>
 int count_accepted(const std::vector<std::string>& samples, Decode decode) {
     test::mutator mutations(first_seed);
@@ -67,7 +68,7 @@
             decode(input);
             ++accepted;
         } catch (const std::exception&) {
-            continue; // refused, as the callers expect it
+            continue; // rejected
         }
     }
     return accepted;
@@ -85,7 +86,7 @@
     CHECK(accepted > 0);
 }
 
-TEST_CASE("damaged ids never reach a header field", "[fuzz][registration]") {
+TEST_CASE("server ids that would break a header field are rejected", "[fuzz][registration]") {
     const std::vector<std::string> ids{"i-7f3a91c2", "i\r\nX: y", std::string("\0\t ", 3)};
     const auto accepted = count_accepted(ids, [](const std::string& id) {
         const auto record = platform::decode_backend(id, registrations.front());
@@ -94,7 +95,7 @@
     CHECK(accepted > 0);
 }
 
-TEST_CASE("damaged configurations are refused or can be put in force", "[fuzz][configuration]") {
+TEST_CASE("damaged configurations are rejected or can be applied", "[fuzz][configuration]") {
     const auto accepted = count_accepted(configurations, [](const std::string& input) {
         const auto document = platform::decode_configuration(input);
         const routing::routing_table table(document);
@@ -104,7 +105,7 @@
     CHECK(accepted > 0);
 }
 
-TEST_CASE("damaged datagrams are dropped or can be sent on", "[fuzz][coordination]") {
+TEST_CASE("damaged datagrams are dropped or can be encoded again", "[fuzz][coordination]") {
     const auto accepted = count_accepted({full_datagram()}, [](const std::string& input) {
         const auto now = policy::time_point(std::chrono::hours(1));
         const auto bytes = std::as_bytes(std::span(input));
--- a/tests/fuzz/test_ini_reader.cpp
+++ b/tests/fuzz/test_ini_reader.cpp
@@ -1,5 +1,5 @@
-// Files that no operator meant to write: every complaint is a problem with its line, nothing is thrown, and
-// what is accepted once is accepted again.
+// Fuzz tests of the parsers for settings files and configuration texts: each error is reported as a problem
+// with its line, nothing is thrown, and the normalized text of an accepted configuration is accepted again.
 #include "configuration/intent_parser.hpp"
 #include "fuzz/mutator.hpp"
 #include "settings/ini_document.hpp"
@@ -21,7 +21,7 @@
 constexpr std::uint64_t first_seed = 20261203;
 constexpr int iterations = 60'000;
 
-/// The example files, and small ones that reach every section within a few mutations.
+/// The example files, and small texts in which a few mutations reach every kind of section.
 std::vector<std::string> make_samples() {
     std::vector<std::string> samples{"[tier a]\nrank = 0\n", "[model m]\nversion = 1\n[service s]\n",
                                      "[route r]\nworkspace = *\nmodel = *\nidempotent = no\n",
@@ -34,13 +34,14 @@
     return samples;
 }
 
+/// Parses the text as an INI document. Returns what is wrong with the parser's result; empty when nothing is.
 std::string check_document(const std::string& text) {
     std::vector<settings::problem> problems;
     const auto document = settings::parse_ini(text, "fuzz", problems);
     const auto lines = static_cast<unsigned>(std::ranges::count(text, '\n')) + 1;
     for (const auto& problem : problems) {
         if (problem.expected.empty() || problem.line > lines) {
-            return "a complaint without words or past the end: " + problem.to_string();
+            return "a problem without an expectation or with a line past the end: " + problem.to_string();
         }
     }
     for (const auto& section : document.sections) {
@@ -56,6 +57,8 @@
     return {};
 }
 
+/// Parses the text as a configuration and, if it is valid, its normalized text again. Returns what is wrong;
+/// empty when nothing is.
 std::string check_intent(const std::string& text) {
     std::vector<settings::problem> problems;
     const auto first = configuration::parse_intent(text, "fuzz", problems);
@@ -68,9 +71,10 @@
 
 } // namespace
 
-TEST_CASE("damaged files give complaints, never more", "[fuzz]") {
-    // An operator's editor or a copy over a bad line damages an intent. A reader that throws would take an
-    // entry down on "plan"; one that accepts what it can't read back would leave nodes without configuration.
+TEST_CASE("damaged files give reported problems and cause no other error", "[fuzz]") {
+    // An editor or a faulty transfer may damage an operator's configuration text. A parser that throws would
+    // end the entry on a plan; a parser that accepts a text whose normalized form it rejects would leave
+    // nodes without a configuration.
     const auto samples = make_samples();
     test::mutator mutator(first_seed);
     for (int iteration = 0; iteration < iterations; ++iteration) {
--- a/tests/soak/fault_schedule.hpp
+++ b/tests/soak/fault_schedule.hpp
@@ -13,15 +13,15 @@
 
 using std::chrono::milliseconds;
 
-/// The kinds of faults. Unless a comment says otherwise, a kind is in effect from the fault's begin to its
-/// end.
+/// The kinds of faults. A kind that causes a single event, such as a reload or a reset, causes it at the
+/// fault's begin.
 enum class fault_kind : std::uint8_t {
     // Faults of gateways, by signals.
-    gateway_killed,   ///< SIGKILL; the gateway is started again at the fault's end
-    gateway_frozen,   ///< SIGSTOP; SIGCONT at the fault's end
-    gateway_stopped,  ///< SIGTERM; the gateway is started again when its process has ended
-    gateway_reloaded, ///< SIGHUP
-    all_gateways_killed,
+    gateway_killed,      ///< SIGKILL; the gateway is started again at the fault's end
+    gateway_frozen,      ///< SIGSTOP; SIGCONT at the fault's end
+    gateway_stopped,     ///< SIGTERM; the gateway is started again when its process has ended
+    gateway_reloaded,    ///< SIGHUP
+    all_gateways_killed, ///< SIGKILL; all are started again at the fault's end
     // Faults of the store.
     store_busy,
     store_over_rate,
@@ -52,7 +52,7 @@
     // Changes by the operator.
     configuration_grows,       ///< a route is added
     configuration_moves_route, ///< the route "moving" leads to another service
-    // Further faults; in this order, because seeds depend on the position of each kind.
+    // Further faults, of backend servers, of the rows in their table, and of the store.
     server_restarts_in_place, ///< answers on open connections are dropped; the server is back at once under
                               ///< its previous id
     foreign_entries,          ///< unreadable rows in the table of servers; one replaces a server's own row
--- a/tests/soak/promise_checks.hpp
+++ b/tests/soak/promise_checks.hpp
@@ -33,8 +33,9 @@
 [[nodiscard]] broken_promises check_runs(const sent_request& request, std::size_t runs);
 
 /// Promise: a request that the gateway received gets a final answer in time, unless the gateway was killed or
-/// frozen. A request without a run is excused when it was sent on a reused connection, or to a stopping
-/// gateway: it may have been sent while the gateway was closing the connection.
+/// frozen, the caller disconnected, or the caller couldn't connect. A request without a run is excused when
+/// it was sent on a reused connection, or to a stopping gateway: it may have been sent while the gateway was
+/// closing the connection.
 [[nodiscard]] broken_promises check_final_answer(const sent_request& request, std::size_t runs,
                                                  const disturbance_log& disturbances);
 
--- a/tests/unit/in_process_platform.hpp
+++ b/tests/unit/in_process_platform.hpp
@@ -1,5 +1,5 @@
-// A platform on a thread of the test's own process, for tests of what is built directly on it. The processes'
-// tests use the stand-in program.
+// A fake platform on a thread of the test's process, for unit tests of the classes that call the platform.
+// Tests of whole processes use the program fake_platform.
 #pragma once
 
 #include "fakes/platform_table.hpp"
@@ -19,7 +19,8 @@
 
 namespace borageford::test {
 
-/// Invariant: the members below the mutex are touched only while it is held.
+/// Serves the table, the objects and the list of VMs over HTTP. Its functions may be called from any thread.
+/// Invariant: the members declared after m_mutex, except m_thread, are accessed only while it is locked.
 class in_process_platform {
 public:
     in_process_platform()
@@ -40,26 +41,29 @@
 
     [[nodiscard]] boost::asio::ip::tcp::endpoint address() const { return m_address; }
 
-    /// Every call is answered with this status; 0: as usual.
+    /// Answers every call with this status and does nothing else; 0 ends that.
     void answer_with(unsigned status) {
         const std::scoped_lock lock(m_mutex);
         m_status = status;
     }
-    /// The next transactions take effect and their connection is cut.
+    /// The next `count` transactions take effect, but their connections are closed without an answer.
     void lose_answers(unsigned count) {
         const std::scoped_lock lock(m_mutex);
         m_lose_answers = count;
     }
+    /// While true, reads return the rows as they were at this call.
     void set_stale_reads(bool stale) {
         const std::scoped_lock lock(m_mutex);
         m_table.set_stale_reads(stale);
     }
+    /// Replaces the list of VMs; see vm_list::replace().
     void replace_vms(const boost::json::array& vms) {
         const std::scoped_lock lock(m_mutex);
         m_vms.replace(vms);
     }
 
 private:
+    /// The answer to a call, and whether to close the connection instead of sending it.
     struct decision {
         http::response response;
         bool is_lost = false;
@@ -124,7 +128,7 @@
     std::jthread m_thread;
 };
 
-/// The threads on which the code under test runs.
+/// An event loop on two threads, on which the code under test runs.
 class test_runtime {
 public:
     test_runtime() {
@@ -140,7 +144,8 @@
 
     [[nodiscard]] boost::asio::any_io_executor executor() { return m_context.get_executor(); }
 
-    /// Returns once nothing runs any more; what runs on the threads may be destroyed after it.
+    /// Stops the event loop and waits for its threads; afterwards, objects that its handlers use may be
+    /// destroyed.
     void stop() {
         m_context.stop();
         for (auto& thread : m_threads) {
@@ -150,7 +155,7 @@
         }
     }
 
-    /// Runs a coroutine to its end on the threads and gives its result or its exception.
+    /// Runs a coroutine on the event loop, waits for its end and returns its result or throws its exception.
     template <typename Result>
     Result wait_for(boost::asio::awaitable<Result> work) {
         return boost::asio::co_spawn(m_context, std::move(work), boost::asio::use_future).get();
@@ -164,6 +169,7 @@
     std::array<std::jthread, thread_count> m_threads;
 };
 
+/// The timeout that tests give to clients of the platform.
 inline constexpr std::chrono::milliseconds platform_timeout{5000};
 
 } // namespace borageford::test
--- a/tests/unit/test_soak_checks.cpp
+++ b/tests/unit/test_soak_checks.cpp
@@ -1,4 +1,5 @@
-// The soak's own checks: each finds what breaks its promise, and lets pass what the promise allows.
+// Tests of the soak's checks: each check reports a violation of its promise and accepts what the promise
+// allows.
 #include "soak/descriptor_need.hpp"
 #include "soak/disturbance_log.hpp"
 #include "soak/fault_schedule.hpp"
@@ -13,6 +14,8 @@
 
 const clock::time_point start = clock::time_point(std::chrono::hours(1));
 
+/// A request to a route that may run only once, which was sent at `start` and answered with this status after
+/// 50 ms.
 sent_request make_request(unsigned status) {
     sent_request request;
     request.id = "one";
@@ -28,10 +31,12 @@
     return request;
 }
 
+/// A run of this request that begins `after` the time `start`.
 server_run make_run(const sent_request& request, milliseconds after) {
     return {"plain-1000", "plain", request.id, request.target, request.body, "open", start + after};
 }
 
+/// A streamed request for two events whose caller received this number of events and this text.
 sent_request make_stream(std::uint64_t events, std::string text) {
     auto request = make_request(200);
     request.is_stream = true;
@@ -43,7 +48,7 @@
 
 } // namespace
 
-TEST_CASE("soak: a success has to be the whole answer to its own request", "[soak]") {
+TEST_CASE("soak: a successful answer must come from a run of the same request", "[soak]") {
     const auto request = make_request(200);
     const auto own = make_run(request, milliseconds(5));
     auto foreign = own;
@@ -54,7 +59,7 @@
     CHECK(check_answer(make_request(503), nullptr).empty());
 }
 
-TEST_CASE("soak: a stream's events come in order, each once, to its last", "[soak]") {
+TEST_CASE("soak: a stream's events must be complete, in order and without repetition", "[soak]") {
     const std::string first = "id: 1\ndata: token 1\n\n";
     const std::string second = "id: 2\ndata: token 2\n\n";
     const auto check = [](const sent_request& request) {
@@ -63,14 +68,15 @@
     };
     CHECK(check(make_stream(2, first + second)) == 0);
     CHECK(check(make_stream(2, first + first)) == 1);
-    CHECK(check(make_stream(1, second)) == 2); // and it ends as complete
+    CHECK(check(make_stream(1, second)) ==
+          2); // wrong event, and the stream ends as complete after one of two
     auto broken_off = make_stream(1, first);
     CHECK(check(broken_off) == 1);
     broken_off.result.is_whole = false;
     CHECK(check(broken_off) == 0);
 }
 
-TEST_CASE("soak: what may run once ran once, and a refusal is true", "[soak]") {
+TEST_CASE("soak: a non-idempotent request runs once, and a refused one doesn't run", "[soak]") {
     CHECK(check_runs(make_request(200), 1).empty());
     CHECK(check_runs(make_request(200), 2).size() == 1);
     CHECK(check_runs(make_request(503), 0).empty());
@@ -81,13 +87,13 @@
     CHECK(check_runs(repeatable, 2).empty());
 }
 
-TEST_CASE("soak: a request gets its final answer unless its process was killed", "[soak]") {
+TEST_CASE("soak: a request gets a final answer unless its gateway was killed", "[soak]") {
     auto cut = make_request(0);
     disturbance_log calm;
     CHECK(check_final_answer(cut, 1, calm).size() == 1);
     CHECK(check_final_answer(cut, 0, calm).size() == 1);
     cut.result.was_kept = true;
-    CHECK(check_final_answer(cut, 0, calm).empty()); // it crossed the connection's close
+    CHECK(check_final_answer(cut, 0, calm).empty()); // sent while the gateway was closing the connection
     CHECK(check_final_answer(cut, 1, calm).size() == 1);
     disturbance_log killed;
     killed.begin(disturbance_kind::gateway_down, cut.gateway, start + milliseconds(20));
@@ -100,7 +106,7 @@
     CHECK(check_final_answer(unanswered, 1, calm).size() == 1);
 }
 
-TEST_CASE("soak: a process stays with the configuration that it has served", "[soak]") {
+TEST_CASE("soak: a gateway process doesn't go back to an older configuration", "[soak]") {
     auto served = make_request(200);
     auto unknown = make_request(404);
     unknown.sent = start + milliseconds(400);
@@ -112,11 +118,12 @@
     CHECK(check_allowed(unknown).empty());
 }
 
-TEST_CASE("soak: a route that has moved leads elsewhere in time, unless nobody could hear of it", "[soak]") {
+TEST_CASE("soak: a moved route is applied in time unless a disturbance kept the change from gateways",
+          "[soak]") {
     auto request = make_request(200);
     request.service.clear();
     request.sent = start + milliseconds(9000);
-    const auto run = make_run(request, milliseconds(9005)); // at "plain"
+    const auto run = make_run(request, milliseconds(9005)); // at a server of "plain"
     const std::vector<route_move> left_late{{start, "plain"}, {start + milliseconds(7000), "other"}};
     const std::vector<route_move> left_early{{start, "plain"}, {start + milliseconds(1000), "other"}};
     const disturbance_log calm;
@@ -130,7 +137,7 @@
     CHECK(check_moves_in_time(request, run, left_early, outage).empty());
 }
 
-TEST_CASE("soak: what runs is what a caller sent", "[soak]") {
+TEST_CASE("soak: every run is of a request that a caller sent, unchanged", "[soak]") {
     const auto request = make_request(200);
     const std::map<std::string, const sent_request*> sent{{request.id, &request}};
     const auto run = make_run(request, milliseconds(5));
@@ -147,7 +154,7 @@
     CHECK(check_origin(mistaken, sent).size() == 1);
 }
 
-TEST_CASE("soak: nothing reaches a server after its caller or the server has left", "[soak]") {
+TEST_CASE("soak: no request reaches a server after its caller disconnected or the server drained", "[soak]") {
     auto request = make_request(0);
     request.end = caller_end::left;
     disturbance_log calm;
@@ -160,7 +167,7 @@
     CHECK(check_leaving(leaving, runs, outage).empty());
 }
 
-TEST_CASE("soak: a window over its limit is found wherever it begins", "[soak]") {
+TEST_CASE("soak: a window with more events than its limit is found wherever it begins", "[soak]") {
     const window_limit limit{milliseconds(100), 2};
     const auto at = [](int time) {
         return start + milliseconds(time);
@@ -169,7 +176,7 @@
     CHECK(check_window("runs", {at(0), at(250), at(200), at(290)}, limit).size() == 1);
 }
 
-TEST_CASE("soak: a seed draws the same faults each time, within its length", "[soak]") {
+TEST_CASE("soak: a seed draws the same faults each time, and they end within the soak's length", "[soak]") {
     schedule_size size;
     size.seed = 7;
     const auto faults = draw_faults(size);
@@ -185,9 +192,10 @@
     CHECK_THROWS_AS(parse_fault_kind("no_such_fault"), std::invalid_argument);
 }
 
-TEST_CASE("a soak that can't have the descriptors that it needs is refused with the figure", "[soak]") {
-    // Two hundred and fifty gateways before sixty servers: the program ended after two seconds with "Too many
-    // open files" and no verdict. A hundred before twenty passed, and a hundred before sixty did not.
+TEST_CASE("soak: a size that needs more descriptors than allowed is refused, and the message names the need",
+          "[soak]") {
+    // A soak of 250 gateways and 60 servers ended after two seconds with "Too many open files" and without a
+    // verdict. 100 gateways with 20 servers worked; 100 gateways with 60 servers didn't.
     constexpr std::size_t limit = 20000;
     const auto refused = refuse_size({250, 61, 300}, limit);
     REQUIRE(refused.has_value());
