--- a/tests/fakes/engine_batch.cpp
+++ b/tests/fakes/engine_batch.cpp
@@ -108,7 +108,7 @@
     stream.prefilled_tokens = stream.request.prompt_tokens - stream.cached_tokens;
     const auto repeated = m_cache.store(stream.request.blocks, stream.cached_tokens);
     stream.repeated_tokens = std::min(repeated, stream.prefilled_tokens);
-    stream.token_progress = 1; // prefill ends with the first token
+    stream.token_progress = 1; // prefill also computes the first output token
 }
 
 void engine_batch::decode(double seconds) {
--- a/tests/fakes/engine_stream.hpp
+++ b/tests/fakes/engine_stream.hpp
@@ -32,7 +32,7 @@
 
     std::string id;
     engine_request request;
-    std::string bytes;                  ///< of the answer so far
+    std::string bytes;                  ///< the answer so far
     std::uint32_t cached_tokens = 0;    ///< prompt tokens that were in the prefix cache
     double prefill_left = 0;            ///< prompt tokens still to be computed
     double token_progress = 0;          ///< fraction of the next output token that is computed
--- a/tests/fakes/run_counter.hpp
+++ b/tests/fakes/run_counter.hpp
@@ -13,7 +13,7 @@
 
 namespace borageford::test {
 
-/// Counts since the start of the process.
+/// Invariant: counts only grow while the process runs.
 class run_counter {
 public:
     /// Counts a request under its X-Request-Id, its body's fingerprint and its path. Returns its
--- a/tests/soak/promise_checks.hpp
+++ b/tests/soak/promise_checks.hpp
@@ -52,7 +52,7 @@
     std::string service;
 };
 
-/// Promise: a request on the route "moving" runs at a server of the service that the route had shortly before
+/// Promise: a request on the route "moving" runs at a server of a service that the route had shortly before
 /// the request was sent, or later. Excused when a disturbance kept a gateway from receiving the change.
 /// `moves` are in order of time; the first one is the route's service at the soak's begin.
 [[nodiscard]] broken_promises check_moves_in_time(const sent_request& request, const server_run& run,
--- a/tests/soak/soak_deployment.hpp
+++ b/tests/soak/soak_deployment.hpp
@@ -112,7 +112,8 @@
 
     /// The disturbances that the faults caused.
     [[nodiscard]] const disturbance_log& disturbances() const noexcept { return m_disturbances; }
-    /// One line for each gateway process that ended without a fault that ended it.
+    /// One line for each gateway process that ended although no fault had killed or stopped it, or that
+    /// didn't end with exit code 0 after SIGTERM.
     [[nodiscard]] const broken_promises& own_ends() const noexcept { return m_own_ends; }
 
 private:
--- a/tests/support/operator_client.hpp
+++ b/tests/support/operator_client.hpp
@@ -30,8 +30,8 @@
     std::uint64_t revision = 0; ///< 0 when the node wasn't reached
 };
 
-/// Functions that return a value from the answer throw std::runtime_error unless its status is 200;
-/// confirm(), drain() and read_confirm() return errors in confirm_answer.
+/// plan(), text_of(), count_revisions(), status() and held_revision() throw std::runtime_error unless its
+/// status is 200; confirm(), drain() and read_confirm() return errors in confirm_answer.
 class operator_client {
 public:
     operator_client(http::endpoint entry, std::string name);
