--- a/tests/fakes/engine_batch.hpp
+++ b/tests/fakes/engine_batch.hpp
@@ -17,8 +17,8 @@
 struct engine_speed {
     double prefill_tokens_per_second = 8000;
     double output_tokens_per_second = 60; ///< speed of a sequence that runs alone
-    double batch_knee =
-        16; ///< with n sequences running, a token takes 1 + (n - 1) / batch_knee times as long
+    /// With n sequences running, a token takes 1 + (n - 1) / batch_knee times as long as with one.
+    double batch_knee = 16;
     std::size_t slots = 256; ///< sequences in the batch; further ones wait in their order of arrival
 };
 
--- a/tests/soak/fault_schedule.hpp
+++ b/tests/soak/fault_schedule.hpp
@@ -70,8 +70,9 @@
     fault_kind kind = fault_kind::gateway_killed;
     milliseconds at{0}; ///< begin, counted from the soak's begin
     milliseconds length{0};
-    std::size_t target =
-        0; ///< index of a gateway or server, modulo their number; unused by kinds that affect all
+    /// Index of a gateway or server, modulo their number. Kinds that affect all gateways or the store don't
+    /// use it, with one exception: store_returns takes from it who writes lost rows first.
+    std::size_t target = 0;
 };
 
 /// What a schedule is drawn for.
--- a/tests/support/cluster.hpp
+++ b/tests/support/cluster.hpp
@@ -39,8 +39,8 @@
     std::string entry_silence = "2s";
     std::string sidecar_silence = "2s";
     std::string intent = {}; ///< additional sections of the configuration's text
-    std::string poll_period =
-        "100ms"; ///< how often processes read the configuration's head row and the list of VMs
+    /// How often processes read the configuration's head row and the list of VMs.
+    std::string poll_period = "100ms";
     std::vector<std::string> platform_arguments = {};
 };
 
--- a/tests/support/gateway_site.hpp
+++ b/tests/support/gateway_site.hpp
@@ -147,8 +147,7 @@
     std::map<std::size_t, backend_unit> m_backends;
     std::vector<std::unique_ptr<emulator::emulated_backend>> m_former_backends;
     std::vector<gateway_unit> m_gateways;
-    std::uint16_t m_port =
-        0; ///< the first of `ports_of_a_gateway` consecutive ports, the same for all gateways
+    std::uint16_t m_port = 0; ///< first of the `ports_of_a_gateway` ports of every gateway
     std::jthread m_thread;
 };
 
--- a/tests/support/object_store_stub.hpp
+++ b/tests/support/object_store_stub.hpp
@@ -23,8 +23,8 @@
 
     std::map<std::string, std::string> objects;
     bool is_out = false; ///< answers every call with status 503
-    std::size_t lost_answers =
-        0; ///< number of next writes that take effect but whose connection is broken before the answer
+    /// The number of next writes that take effect but whose connection is closed without an answer.
+    std::size_t lost_answers = 0;
     std::size_t puts = 0;
     std::size_t gets = 0;
     std::size_t lists = 0;
