--- a/tests/soak/descriptor_need.cpp
+++ b/tests/soak/descriptor_need.cpp
@@ -25,7 +25,7 @@
            size.gateways * size.servers * descriptors_per_connection + size.callers * descriptors_per_caller;
 }
 
-std::optional<std::string> refuse_size(const soak_size& size, std::size_t limit) {
+std::optional<std::string> check_size(const soak_size& size, std::size_t limit) {
     const auto need = count_descriptors(size);
     if (need <= limit) {
         return std::nullopt;
--- a/tests/soak/descriptor_need.hpp
+++ b/tests/soak/descriptor_need.hpp
@@ -22,7 +22,7 @@
 ///
 /// Without this check, a soak that is too large would end after a while with "Too many open files" and
 /// without a verdict on the promises.
-[[nodiscard]] std::optional<std::string> refuse_size(const soak_size& size, std::size_t limit);
+[[nodiscard]] std::optional<std::string> check_size(const soak_size& size, std::size_t limit);
 
 /// The soft limit of open descriptors of this process.
 [[nodiscard]] std::size_t descriptor_limit();
--- a/tests/soak/fault_schedule.cpp
+++ b/tests/soak/fault_schedule.cpp
@@ -57,11 +57,11 @@
 /// Average time between the begins of two faults, so that two or three are in effect most of the time.
 constexpr milliseconds mean_gap{500};
 /// Shortest and longest duration of a fault.
-constexpr milliseconds least_length{300};
-constexpr milliseconds most_length{3000};
-/// Duration of server_drains: much longer than gateways need to learn of it, so that check_leaving() sees
+constexpr milliseconds min_length{300};
+constexpr milliseconds max_length{3000};
+/// Duration of server_drains: much longer than gateways need to learn of it, so that check_draining() sees
 /// requests that reach the server too late.
-constexpr milliseconds leaving_length{6500};
+constexpr milliseconds draining_length{6500};
 /// No fault begins in this time before the soak's end, so that the last faults end before it.
 constexpr milliseconds calm_end{1000};
 /// Share of the faults that are repeated at the next gateway or server while they are still in effect.
@@ -78,11 +78,11 @@
     fault.kind = kinds[draw<std::size_t>(random, 0, kinds.size() - 1)];
     fault.at = at;
     const auto left = size.length - calm_end - at;
-    fault.length = milliseconds(draw<std::int64_t>(random, least_length.count(), most_length.count()));
+    fault.length = milliseconds(draw<std::int64_t>(random, min_length.count(), max_length.count()));
     if (fault.kind == fault_kind::server_drains) {
-        fault.length = leaving_length;
+        fault.length = draining_length;
     }
-    fault.length = std::min(fault.length, std::max(left, least_length));
+    fault.length = std::min(fault.length, std::max(left, min_length));
     const bool is_of_gateway = fault.kind <= fault_kind::gateway_reloaded ||
                                fault.kind == fault_kind::store_path_cut ||
                                fault.kind == fault_kind::store_path_silenced;
--- a/tests/soak/promise_checks.cpp
+++ b/tests/soak/promise_checks.cpp
@@ -197,8 +197,8 @@
     return {};
 }
 
-broken_promises check_left(const sent_request& request, std::span<const server_run> runs,
-                           const disturbance_log& disturbances) {
+broken_promises check_disconnected(const sent_request& request, std::span<const server_run> runs,
+                                   const disturbance_log& disturbances) {
     if (request.end == caller_end::answered) {
         return {};
     }
@@ -213,8 +213,8 @@
     return broken;
 }
 
-broken_promises check_leaving(const leaving_server& leaving, std::span<const server_run> runs,
-                              const disturbance_log& disturbances) {
+broken_promises check_draining(const draining_server& leaving, std::span<const server_run> runs,
+                               const disturbance_log& disturbances) {
     broken_promises broken;
     for (const auto& run : runs) {
         if (run.server != leaving.id || run.begun <= leaving.announced + drain_limit) {
--- a/tests/soak/promise_checks.hpp
+++ b/tests/soak/promise_checks.hpp
@@ -66,19 +66,20 @@
 
 /// Promise: a request doesn't begin to run after its caller has disconnected, except shortly afterwards, when
 /// it was already being granted or sent.
-[[nodiscard]] broken_promises check_left(const sent_request& request, std::span<const server_run> runs,
-                                         const disturbance_log& disturbances);
+[[nodiscard]] broken_promises check_disconnected(const sent_request& request,
+                                                 std::span<const server_run> runs,
+                                                 const disturbance_log& disturbances);
 
 /// A server that has announced that it drains, and when.
-struct leaving_server {
+struct draining_server {
     std::string id;
     clock::time_point announced;
 };
 
 /// Promise: a draining server gets no new requests once the gateways have had time to read its row from the
 /// store. Excused when a disturbance of the store, a gateway or the connections to a server could delay that.
-[[nodiscard]] broken_promises check_leaving(const leaving_server& leaving, std::span<const server_run> runs,
-                                            const disturbance_log& disturbances);
+[[nodiscard]] broken_promises check_draining(const draining_server& leaving, std::span<const server_run> runs,
+                                             const disturbance_log& disturbances);
 
 /// A limit on the number of events in any window of time, over all gateways together.
 struct window_limit {
--- a/tests/soak/soak_callers.cpp
+++ b/tests/soak/soak_callers.cpp
@@ -18,13 +18,13 @@
 /// will.
 constexpr milliseconds unanswered_after{9000};
 /// A caller pauses between 10 and 60 ms before its next request.
-constexpr milliseconds least_pause{10};
-constexpr milliseconds most_pause{60};
-constexpr unsigned most_output_tokens = 60;
+constexpr milliseconds min_pause{10};
+constexpr milliseconds max_pause{60};
+constexpr unsigned max_output_tokens = 60;
 constexpr std::size_t prompt_tokens = 200;
 /// Share of the requests whose caller disconnects early, after 1 to 300 ms.
-constexpr double leaving_share = 0.04;
-constexpr milliseconds most_leaving_time{300};
+constexpr double disconnect_share = 0.04;
+constexpr milliseconds max_time_to_disconnect{300};
 /// Share of the requests that are sent by the limited workspace.
 constexpr double limited_share = 0.2;
 constexpr unsigned first_success = 200;
@@ -100,7 +100,7 @@
     request.may_repeat = known->may_repeat;
     request.is_stream = known->is_stream;
     request.output_tokens =
-        std::uniform_int_distribution<unsigned>(1, request.is_stream ? most_output_tokens : 1)(m_random);
+        std::uniform_int_distribution<unsigned>(1, request.is_stream ? max_output_tokens : 1)(m_random);
     return request;
 }
 
@@ -152,14 +152,15 @@
                 finish(self, caller_end::answered, result);
             }
         });
-    const bool leaves = !by->is_probe && std::bernoulli_distribution(leaving_share)(m_random);
+    const bool disconnects_early = !by->is_probe && std::bernoulli_distribution(disconnect_share)(m_random);
     const auto limit =
-        leaves ? milliseconds(std::uniform_int_distribution<long>(1, most_leaving_time.count())(m_random))
-               : unanswered_after;
-    by->limit = m_deployment.timers().after(m_deployment.executor(), limit, [this, weak, leaves] {
+        disconnects_early
+            ? milliseconds(std::uniform_int_distribution<long>(1, max_time_to_disconnect.count())(m_random))
+            : unanswered_after;
+    by->limit = m_deployment.timers().after(m_deployment.executor(), limit, [this, weak, disconnects_early] {
         if (const auto self = weak.lock()) {
             self->call->give_up();
-            finish(self, leaves ? caller_end::left : caller_end::unanswered, {});
+            finish(self, disconnects_early ? caller_end::left : caller_end::unanswered, {});
         }
     });
     by->call->start();
@@ -188,7 +189,7 @@
         return;
     }
     const milliseconds pause(
-        std::uniform_int_distribution<long>(least_pause.count(), most_pause.count())(m_random));
+        std::uniform_int_distribution<long>(min_pause.count(), max_pause.count())(m_random));
     const std::weak_ptr<caller> weak = by;
     by->pause = m_deployment.timers().after(m_deployment.executor(), pause, [this, weak] {
         if (const auto self = weak.lock()) {
--- a/tests/soak/soak_deployment.cpp
+++ b/tests/soak/soak_deployment.cpp
@@ -26,7 +26,7 @@
 constexpr unsigned engine_slots = 4;
 constexpr unsigned plain_slots = 8;
 constexpr unsigned server_connections = 96;
-constexpr unsigned most_attempts = 3;
+constexpr unsigned max_attempts = 3;
 constexpr milliseconds route_timeout{4000};
 constexpr milliseconds slow_store_answer{400};
 constexpr milliseconds path_delay{150};
@@ -40,7 +40,7 @@
 /// connection between a gateway and a server takes three descriptors of this process. 250 gateways that kept
 /// their connections for some seconds used up its 20,000 descriptors within 2 s; after that, no server could
 /// be started and no connection accepted.
-constexpr std::size_t most_gateways_that_keep = 100;
+constexpr std::size_t max_gateways_with_long_keep_alive = 100;
 constexpr std::chrono::seconds short_keep_alive{1};
 /// A gateway that has printed this event handles signals.
 constexpr std::string_view started_event = R"("event":"started")";
@@ -54,7 +54,7 @@
     route.host = soak_host;
     route.kind = kind;
     route.services.push_back({service, 1});
-    route.attempts = most_attempts;
+    route.attempts = max_attempts;
     route.timeout = route_timeout;
     return route;
 }
@@ -187,7 +187,7 @@
     m_plan.store = {asio::ip::make_address("127.0.0.1"), 0};
     m_plan.servers = {make_group("plain", size.plain_servers, false),
                       make_group("engines", size.engines, true), make_group("other", 1, false)};
-    if (size.gateways > most_gateways_that_keep) {
+    if (size.gateways > max_gateways_with_long_keep_alive) {
         std::ranges::for_each(m_plan.servers, [](auto& group) { group.keep_alive = short_keep_alive; });
     }
     m_thread = std::jthread([this] { m_context.run(); });
@@ -286,7 +286,7 @@
     }
 }
 
-void soak_deployment::look_after() {
+void soak_deployment::supervise_gateways() {
     for (std::size_t index = 0; index < m_gateways.size(); ++index) {
         auto& unit = m_gateways[index];
         if (unit.process == nullptr) {
@@ -298,8 +298,8 @@
         }
         const auto code = unit.process->wait_for_exit();
         if (!unit.is_stopping || code != 0) {
-            m_own_ends.push_back("gateway " + std::to_string(index) + " ended by itself with code " +
-                                 std::to_string(code));
+            m_unexpected_exits.push_back("gateway " + std::to_string(index) + " ended by itself with code " +
+                                         std::to_string(code));
         }
         keep_log(index);
         if (unit.is_stopping) {
--- a/tests/soak/soak_deployment.hpp
+++ b/tests/soak/soak_deployment.hpp
@@ -68,8 +68,8 @@
     void end(const planned_fault& fault);
 
     /// To be called regularly: writes the gateways' output to log files, starts gateways again whose process
-    /// has ended, and records an end that no fault caused in own_ends().
-    void look_after();
+    /// has ended, and records an end that no fault caused in unexpected_exits().
+    void supervise_gateways();
     /// Ends all faults and starts all gateways that aren't running.
     void restore();
 
@@ -106,7 +106,7 @@
     /// The run with this index on a server, which may have been stopped; nothing when there is none.
     [[nodiscard]] std::optional<server_run> find_run(const std::string& server, std::size_t number) const;
     /// The servers that have announced that they drain.
-    [[nodiscard]] const std::vector<leaving_server>& leaving() const noexcept { return m_leaving; }
+    [[nodiscard]] const std::vector<draining_server>& leaving() const noexcept { return m_leaving; }
 
     // These may only be called on the thread that plays the schedule.
 
@@ -114,7 +114,7 @@
     [[nodiscard]] const disturbance_log& disturbances() const noexcept { return m_disturbances; }
     /// One line for each gateway process that ended although no fault had killed or stopped it, or that
     /// didn't end with exit code 0 after SIGTERM.
-    [[nodiscard]] const broken_promises& own_ends() const noexcept { return m_own_ends; }
+    [[nodiscard]] const broken_promises& unexpected_exits() const noexcept { return m_unexpected_exits; }
 
 private:
     struct gateway_unit {
@@ -156,10 +156,10 @@
     unsigned m_added_routes = 0;
     std::string m_moving_service;
     std::vector<route_move> m_moves;
-    std::vector<leaving_server> m_leaving;
+    std::vector<draining_server> m_leaving;
     disturbance_log m_disturbances;
     std::map<const planned_fault*, std::size_t> m_open_disturbances;
-    broken_promises m_own_ends;
+    broken_promises m_unexpected_exits;
     mutable std::mutex m_lives_mutex;
     std::vector<unsigned> m_lives; ///< guarded by m_lives_mutex
     std::jthread m_thread;
--- a/tests/soak/soak_main.cpp
+++ b/tests/soak/soak_main.cpp
@@ -25,8 +25,8 @@
 
 using std::chrono::milliseconds;
 
-/// Time between two calls of soak_deployment::look_after().
-constexpr milliseconds look_period{50};
+/// Time between two calls of soak_deployment::supervise_gateways().
+constexpr milliseconds supervision_period{50};
 constexpr int wrong_size_exit_code = 2;
 /// Prefix of the route whose service changes.
 constexpr std::string_view moving_prefix = "/moving/";
@@ -69,12 +69,12 @@
     return options;
 }
 
-/// Waits on the calling thread until a time, and calls soak_deployment::look_after() meanwhile.
+/// Waits on the calling thread until a time, and calls soak_deployment::supervise_gateways() meanwhile.
 void pass_time_until(soak_deployment& deployment, boost::asio::io_context& context, clock::time_point until) {
     while (clock::now() < until) {
-        boost::asio::steady_timer timer(context, std::min(until, clock::now() + look_period));
+        boost::asio::steady_timer timer(context, std::min(until, clock::now() + supervision_period));
         timer.wait();
-        deployment.look_after();
+        deployment.supervise_gateways();
     }
 }
 
@@ -128,7 +128,7 @@
 /// probe from `waiting`.
 void probe_all(soak_deployment& deployment, soak_callers& callers, const std::string& route,
                std::set<std::size_t>& waiting) {
-    deployment.look_after();
+    deployment.supervise_gateways();
     deployment.on_emulator([&] {
         for (const auto gateway : waiting) {
             callers.send_probe(gateway, route);
@@ -227,15 +227,15 @@
         append(broken, check_runs(request, own_runs.size()));
         append(broken, check_final_answer(request, own_runs.size(), disturbances));
         append(broken, check_allowed(request));
-        append(broken, check_left(request, own_runs, disturbances));
+        append(broken, check_disconnected(request, own_runs, disturbances));
     }
     append(broken, check_configuration_order(requests));
     append(broken, check_all_moves(deployment, runs, sent));
     for (const auto& leaving : deployment.leaving()) {
-        append(broken, check_leaving(leaving, runs, disturbances));
+        append(broken, check_draining(leaving, runs, disturbances));
     }
     append(broken, check_limits(requests, runs));
-    append(broken, deployment.own_ends());
+    append(broken, deployment.unexpected_exits());
     return broken;
 }
 
@@ -284,7 +284,7 @@
 
 int play(const soak_options& options) {
     const soak_size size{options.schedule.gateways, options.schedule.servers, options.callers};
-    if (const auto reason = refuse_size(size, descriptor_limit())) {
+    if (const auto reason = check_size(size, descriptor_limit())) {
         std::cerr << "soak: " << *reason << '\n';
         return wrong_size_exit_code;
     }
@@ -299,7 +299,7 @@
         deployment.restore();
         deployment.on_emulator([&] { callers->stop(); });
         test::wait_until("the last requests' ends", [&] {
-            deployment.look_after();
+            deployment.supervise_gateways();
             return deployment.on_emulator([&] { return callers->under_way(); }) == 0;
         });
         append(broken, check_recovery(deployment, *callers));
--- a/tests/unit/test_soak_checks.cpp
+++ b/tests/unit/test_soak_checks.cpp
@@ -159,12 +159,12 @@
     request.end = caller_end::left;
     disturbance_log calm;
     const std::vector runs{make_run(request, milliseconds(40)), make_run(request, milliseconds(9000))};
-    CHECK(check_left(request, runs, calm).size() == 1);
-    const leaving_server leaving{"plain-1000", start};
-    CHECK(check_leaving(leaving, runs, calm).size() == 1);
+    CHECK(check_disconnected(request, runs, calm).size() == 1);
+    const draining_server leaving{"plain-1000", start};
+    CHECK(check_draining(leaving, runs, calm).size() == 1);
     disturbance_log outage;
     outage.begin(disturbance_kind::store, std::nullopt, start);
-    CHECK(check_leaving(leaving, runs, outage).empty());
+    CHECK(check_draining(leaving, runs, outage).empty());
 }
 
 TEST_CASE("soak: a window with more events than its limit is found wherever it begins", "[soak]") {
@@ -197,11 +197,11 @@
     // A soak of 250 gateways and 60 servers ended after two seconds with "Too many open files" and without a
     // verdict. 100 gateways with 20 servers worked; 100 gateways with 60 servers didn't.
     constexpr std::size_t limit = 20000;
-    const auto refused = refuse_size({250, 61, 300}, limit);
+    const auto refused = check_size({250, 61, 300}, limit);
     REQUIRE(refused.has_value());
     CHECK(refused->find(std::to_string(count_descriptors({250, 61, 300}))) != std::string::npos);
-    CHECK(refuse_size({100, 61, 120}, limit).has_value());
-    CHECK_FALSE(refuse_size({100, 21, 120}, limit).has_value());
-    CHECK_FALSE(refuse_size({40, 31, 120}, limit).has_value());
-    CHECK_FALSE(refuse_size({3, 7, 24}, limit).has_value());
+    CHECK(check_size({100, 61, 120}, limit).has_value());
+    CHECK_FALSE(check_size({100, 21, 120}, limit).has_value());
+    CHECK_FALSE(check_size({40, 31, 120}, limit).has_value());
+    CHECK_FALSE(check_size({3, 7, 24}, limit).has_value());
 }
