--- a/tests/soak/promise_checks.cpp
+++ b/tests/soak/promise_checks.cpp
@@ -91,7 +91,7 @@
 
 broken_promises check_runs(const sent_request& request, std::size_t runs) {
     broken_promises broken;
-    if (!request.may_repeat && runs > 1) {
+    if (!request.is_idempotent && runs > 1) {
         broken.push_back(describe(request) + ": may run once and ran " + std::to_string(runs) + " times");
     }
     if (says_not_run(request.result.status) && runs > 0) {
@@ -126,7 +126,7 @@
     const auto status = request.result.status;
     const bool is_denied =
         status == bad_request || status == unauthorized || status == forbidden || status == not_found;
-    if (!is_denied || !request.is_always_there) {
+    if (!is_denied || !request.is_in_every_configuration) {
         return {};
     }
     return {describe(request) + ": denied though every configuration allows it"};
@@ -135,24 +135,25 @@
 broken_promises check_configuration_order(std::span<const sent_request> requests) {
     struct place {
         std::size_t gateway;
-        unsigned life;
+        unsigned start_count;
         std::string target;
         auto operator<=>(const place&) const = default;
     };
     std::map<place, clock::time_point> served;
     for (const auto& request : requests) {
-        if (is_success(request.result.status) && request.is_of_one_life) {
-            auto& since =
-                served.try_emplace({request.gateway, request.gateway_life, request.target}, request.ended)
-                    .first->second;
+        if (is_success(request.result.status) && request.is_same_process) {
+            auto& since = served
+                              .try_emplace({request.gateway, request.gateway_start_count, request.target},
+                                           request.ended)
+                              .first->second;
             since = std::min(since, request.ended);
         }
     }
     broken_promises broken;
     for (const auto& request : requests) {
-        const auto found = served.find({request.gateway, request.gateway_life, request.target});
+        const auto found = served.find({request.gateway, request.gateway_start_count, request.target});
         const bool is_later = found != served.end() && request.sent > found->second + order_slack;
-        if (is_later && request.is_of_one_life && request.result.status == not_found) {
+        if (is_later && request.is_same_process && request.result.status == not_found) {
             broken.push_back(describe(request) + ": unknown to a process that had served it before");
         }
     }
@@ -213,14 +214,14 @@
     return broken;
 }
 
-broken_promises check_draining(const draining_server& leaving, std::span<const server_run> runs,
+broken_promises check_draining(const draining_server& server, std::span<const server_run> runs,
                                const disturbance_log& disturbances) {
     broken_promises broken;
     for (const auto& run : runs) {
-        if (run.server != leaving.id || run.begun <= leaving.announced + drain_limit) {
+        if (run.server != server.id || run.begun <= server.announced + drain_limit) {
             continue;
         }
-        const auto from = leaving.announced - catch_up;
+        const auto from = server.announced - catch_up;
         const bool is_excused =
             disturbances.has(disturbance_kind::store, std::nullopt, from, run.begun) ||
             disturbances.has(disturbance_kind::gateway_down, std::nullopt, from, run.begun) ||
--- a/tests/soak/promise_checks.hpp
+++ b/tests/soak/promise_checks.hpp
@@ -78,7 +78,7 @@
 
 /// Promise: a draining server gets no new requests once the gateways have had time to read its row from the
 /// store. Excused when a disturbance of the store, a gateway or the connections to a server could delay that.
-[[nodiscard]] broken_promises check_draining(const draining_server& leaving, std::span<const server_run> runs,
+[[nodiscard]] broken_promises check_draining(const draining_server& server, std::span<const server_run> runs,
                                              const disturbance_log& disturbances);
 
 /// A limit on the number of events in any window of time, over all gateways together.
--- a/tests/soak/sent_request.hpp
+++ b/tests/soak/sent_request.hpp
@@ -27,13 +27,13 @@
     std::string body;
     std::string key;
     std::string service; ///< the service of the request's route; empty for the route whose service changes
-    bool may_repeat = false; ///< the route is idempotent: the request may run more than once
+    bool is_idempotent = false; ///< the route is idempotent: the request may run more than once
     bool is_stream = false;
-    bool is_always_there = true; ///< every configuration has the request's route
-    unsigned output_tokens = 0;  ///< events of the complete stream
+    bool is_in_every_configuration = true; ///< every configuration has the request's route
+    unsigned output_tokens = 0;            ///< events of the complete stream
     std::size_t gateway = 0;
-    unsigned gateway_life = 0;  ///< how often the gateway had been started when the request was sent
-    bool is_of_one_life = true; ///< the gateway wasn't started again before the request ended
+    unsigned gateway_start_count = 0; ///< how often the gateway had been started when the request was sent
+    bool is_same_process = true;      ///< the gateway wasn't started again before the request ended
     clock::time_point sent;
     clock::time_point ended;
     caller_end end = caller_end::answered;
--- a/tests/soak/soak_callers.cpp
+++ b/tests/soak/soak_callers.cpp
@@ -34,7 +34,7 @@
 struct route_row {
     std::string_view name;
     std::string_view service; ///< empty for the route whose service changes
-    bool may_repeat;
+    bool is_idempotent;
     bool is_stream;
 };
 
@@ -92,12 +92,12 @@
     if (known == routes.end()) {
         request.target = "/" + route + "/x";
         request.service = "plain";
-        request.may_repeat = true;
-        request.is_always_there = false;
+        request.is_idempotent = true;
+        request.is_in_every_configuration = false;
         return request;
     }
     request.service = known->service;
-    request.may_repeat = known->may_repeat;
+    request.is_idempotent = known->is_idempotent;
     request.is_stream = known->is_stream;
     request.output_tokens =
         std::uniform_int_distribution<unsigned>(1, request.is_stream ? max_output_tokens : 1)(m_random);
@@ -123,14 +123,14 @@
     return request;
 }
 
-void soak_callers::send_next(const std::shared_ptr<caller>& by) {
+void soak_callers::send_next(const std::shared_ptr<caller>& sender) {
     if (!m_is_stopping) {
-        send(by, draw_request());
+        send(sender, draw_request());
     }
 }
 
-void soak_callers::send(const std::shared_ptr<caller>& by, sent_request request) {
-    ++m_under_way;
+void soak_callers::send(const std::shared_ptr<caller>& sender, sent_request request) {
+    ++m_requests_in_progress;
     experiment::call_description call;
     call.host = soak_host;
     call.target = request.target;
@@ -141,57 +141,59 @@
     }
     call.key = request.key;
     call.body = request.body;
-    by->request = std::move(request);
-    by->request.sent = clock::now();
-    by->request.gateway_life = m_deployment.life(by->request.gateway);
-    const std::weak_ptr<caller> weak = by;
-    by->call = std::make_shared<experiment::load_call>(
-        m_deployment.executor(), m_kept, m_deployment.callers(by->request.gateway),
+    sender->request = std::move(request);
+    sender->request.sent = clock::now();
+    sender->request.gateway_start_count = m_deployment.start_count(sender->request.gateway);
+    const std::weak_ptr<caller> weak = sender;
+    sender->call = std::make_shared<experiment::load_call>(
+        m_deployment.executor(), m_kept, m_deployment.callers(sender->request.gateway),
         experiment::compose_call(call), [this, weak](const experiment::call_result& result) {
             if (const auto self = weak.lock()) {
                 finish(self, caller_end::answered, result);
             }
         });
-    const bool disconnects_early = !by->is_probe && std::bernoulli_distribution(disconnect_share)(m_random);
+    const bool disconnects_early =
+        !sender->is_probe && std::bernoulli_distribution(disconnect_share)(m_random);
     const auto limit =
         disconnects_early
             ? milliseconds(std::uniform_int_distribution<long>(1, max_time_to_disconnect.count())(m_random))
             : unanswered_after;
-    by->limit = m_deployment.timers().after(m_deployment.executor(), limit, [this, weak, disconnects_early] {
-        if (const auto self = weak.lock()) {
-            self->call->give_up();
-            finish(self, disconnects_early ? caller_end::left : caller_end::unanswered, {});
-        }
-    });
-    by->call->start();
+    sender->limit =
+        m_deployment.timers().after(m_deployment.executor(), limit, [this, weak, disconnects_early] {
+            if (const auto self = weak.lock()) {
+                self->call->give_up();
+                finish(self, disconnects_early ? caller_end::left : caller_end::unanswered, {});
+            }
+        });
+    sender->call->start();
 }
 
-void soak_callers::finish(const std::shared_ptr<caller>& by, caller_end end,
+void soak_callers::finish(const std::shared_ptr<caller>& sender, caller_end end,
                           const experiment::call_result& result) {
-    --m_under_way;
-    by->limit.cancel();
-    by->call.reset();
-    auto& request = by->request;
+    --m_requests_in_progress;
+    sender->limit.cancel();
+    sender->call.reset();
+    auto& request = sender->request;
     request.ended = clock::now();
     request.end = end;
     request.result = result;
-    request.is_of_one_life = request.gateway_life == m_deployment.life(request.gateway);
+    request.is_same_process = request.gateway_start_count == m_deployment.start_count(request.gateway);
     check(request);
-    if (by->is_probe) {
+    if (sender->is_probe) {
         const auto route = request.target.substr(1, request.target.find('/', 1) - 1);
         m_probes[{request.gateway, route}] =
             result.is_whole && result.status >= first_success && result.status < first_redirect;
     }
     m_requests.push_back(std::move(request));
     m_requests.back().result.event_text.clear(); // checked already, and large
-    if (by->is_probe) {
-        std::erase(m_callers, by);
+    if (sender->is_probe) {
+        std::erase(m_callers, sender);
         return;
     }
     const milliseconds pause(
         std::uniform_int_distribution<long>(min_pause.count(), max_pause.count())(m_random));
-    const std::weak_ptr<caller> weak = by;
-    by->pause = m_deployment.timers().after(m_deployment.executor(), pause, [this, weak] {
+    const std::weak_ptr<caller> weak = sender;
+    sender->pause = m_deployment.timers().after(m_deployment.executor(), pause, [this, weak] {
         if (const auto self = weak.lock()) {
             send_next(self);
         }
@@ -208,11 +210,11 @@
 }
 
 void soak_callers::send_probe(std::size_t gateway, const std::string& route) {
-    auto by = std::make_shared<caller>();
-    by->is_probe = true;
+    auto sender = std::make_shared<caller>();
+    sender->is_probe = true;
     m_probes[{gateway, route}] = false;
-    m_callers.push_back(by);
-    send(by, make_request(route, gateway));
+    m_callers.push_back(sender);
+    send(sender, make_request(route, gateway));
 }
 
 bool soak_callers::has_served_probe(std::size_t gateway, const std::string& route) const {
--- a/tests/soak/soak_callers.hpp
+++ b/tests/soak/soak_callers.hpp
@@ -34,7 +34,7 @@
     /// Sends no further requests; requests in progress are continued.
     void stop() noexcept { m_is_stopping = true; }
     /// Requests in progress.
-    [[nodiscard]] std::size_t under_way() const noexcept { return m_under_way; }
+    [[nodiscard]] std::size_t requests_in_progress() const noexcept { return m_requests_in_progress; }
 
     /// Sends one request on a route to a gateway. It is recorded and checked like the callers' own requests.
     void send_probe(std::size_t gateway, const std::string& route);
@@ -49,9 +49,9 @@
 private:
     struct caller;
 
-    void send_next(const std::shared_ptr<caller>& by);
-    void send(const std::shared_ptr<caller>& by, sent_request request);
-    void finish(const std::shared_ptr<caller>& by, caller_end end, const experiment::call_result& result);
+    void send_next(const std::shared_ptr<caller>& sender);
+    void send(const std::shared_ptr<caller>& sender, sent_request request);
+    void finish(const std::shared_ptr<caller>& sender, caller_end end, const experiment::call_result& result);
     void check(const sent_request& request);
     [[nodiscard]] sent_request draw_request();
     [[nodiscard]] sent_request make_request(const std::string& route, std::size_t gateway);
@@ -64,7 +64,7 @@
     broken_promises m_broken;
     std::map<std::pair<std::size_t, std::string>, bool> m_probes;
     std::uint64_t m_last_number = 0;
-    std::size_t m_under_way = 0;
+    std::size_t m_requests_in_progress = 0;
     bool m_is_stopping = false;
 };
 
--- a/tests/soak/soak_deployment.cpp
+++ b/tests/soak/soak_deployment.cpp
@@ -181,7 +181,7 @@
       m_port(test::find_gateway_ports(size.gateways)),
       m_moving_service("plain"),
       m_moves{{clock::now(), m_moving_service}},
-      m_lives(size.gateways) {
+      m_start_counts(size.gateways) {
     std::filesystem::create_directories(m_folder);
     m_plan.configuration = first_configuration();
     m_plan.store = {asio::ip::make_address("127.0.0.1"), 0};
@@ -238,22 +238,22 @@
     return {asio::ip::make_address(test::gateway_address(gateway)), static_cast<std::uint16_t>(m_port + 1)};
 }
 
-unsigned soak_deployment::life(std::size_t gateway) const {
-    const std::scoped_lock lock(m_lives_mutex);
-    return m_lives.at(gateway);
+unsigned soak_deployment::start_count(std::size_t gateway) const {
+    const std::scoped_lock lock(m_start_counts_mutex);
+    return m_start_counts.at(gateway);
 }
 
 // Gateways: processes and their faults.
 
 void soak_deployment::start_gateway(std::size_t index) {
     auto& unit = m_gateways.at(index);
-    unsigned life = 0;
+    unsigned start_count = 0;
     {
-        const std::scoped_lock lock(m_lives_mutex);
-        life = ++m_lives.at(index);
+        const std::scoped_lock lock(m_start_counts_mutex);
+        start_count = ++m_start_counts.at(index);
     }
     const auto log =
-        m_folder / ("gateway-" + std::to_string(index) + "-" + std::to_string(life) + "-errors.log");
+        m_folder / ("gateway-" + std::to_string(index) + "-" + std::to_string(start_count) + "-errors.log");
     const std::filesystem::path program = std::string(BORAGEFORD_PROGRAM_FOLDER) + "/borageford";
     unit.process = std::make_unique<test::child_process>(
         program, std::vector<std::string>{"gateway", "--settings=" + unit.settings.string()}, log);
@@ -267,7 +267,7 @@
     if (unit.process == nullptr) {
         return;
     }
-    const auto name = "gateway-" + std::to_string(index) + "-" + std::to_string(life(index)) + ".log";
+    const auto name = "gateway-" + std::to_string(index) + "-" + std::to_string(start_count(index)) + ".log";
     const auto text = unit.process->take_output();
     unit.has_started = unit.has_started || text.find(started_event) != std::string::npos;
     std::ofstream(m_folder / name, std::ios::app) << text;
@@ -309,8 +309,8 @@
     }
 }
 
-void soak_deployment::note(const planned_fault& fault, disturbance_kind kind,
-                           std::optional<std::size_t> gateway) {
+void soak_deployment::record_disturbance(const planned_fault& fault, disturbance_kind kind,
+                                         std::optional<std::size_t> gateway) {
     m_open_disturbances[&fault] = m_disturbances.begin(kind, gateway, clock::now());
 }
 
@@ -319,17 +319,17 @@
     auto& unit = m_gateways[index];
     switch (fault.kind) {
     case fault_kind::gateway_killed:
-        note(fault, disturbance_kind::gateway_down, index);
+        record_disturbance(fault, disturbance_kind::gateway_down, index);
         kill_gateway(index);
         break;
     case fault_kind::all_gateways_killed:
-        note(fault, disturbance_kind::gateway_down, std::nullopt);
+        record_disturbance(fault, disturbance_kind::gateway_down, std::nullopt);
         for (std::size_t each = 0; each < m_gateways.size(); ++each) {
             kill_gateway(each);
         }
         break;
     case fault_kind::gateway_frozen:
-        note(fault, disturbance_kind::gateway_down, index);
+        record_disturbance(fault, disturbance_kind::gateway_down, index);
         if (unit.process != nullptr) {
             unit.process->freeze();
             unit.is_frozen = true;
@@ -354,7 +354,7 @@
 // The store and the configuration in it.
 
 void soak_deployment::begin_store_fault(const planned_fault& fault) {
-    note(fault, disturbance_kind::store, std::nullopt);
+    record_disturbance(fault, disturbance_kind::store, std::nullopt);
     on_emulator([&] {
         auto& store = m_site->store();
         switch (fault.kind) {
@@ -415,7 +415,7 @@
             const auto name = m_site->server_name(server);
             m_site->drain(server);
             if (!name.empty()) {
-                m_leaving.push_back({name, clock::now()});
+                m_draining_servers.push_back({name, clock::now()});
             }
         } else {
             m_site->set_fault(server, fault_of(fault.kind));
@@ -438,7 +438,7 @@
 /// Drops the answers on all open connections before the restart. These connections hang, so gateways can
 /// learn of the new start from the server's registration only.
 void soak_deployment::restart_in_place(const planned_fault& fault) {
-    note(fault, disturbance_kind::server_path, std::nullopt);
+    record_disturbance(fault, disturbance_kind::server_path, std::nullopt);
     const auto server = fault.target % m_server_proxies.size();
     m_server_proxies.at(server)->drop(test::direction::down);
     on_emulator([&] { m_site->restart_in_place(server); });
@@ -466,7 +466,7 @@
 }
 
 void soak_deployment::begin_server_path_fault(const planned_fault& fault) {
-    note(fault, disturbance_kind::server_path, std::nullopt);
+    record_disturbance(fault, disturbance_kind::server_path, std::nullopt);
     auto& proxy = *m_server_proxies.at(fault.target % m_server_proxies.size());
     switch (fault.kind) {
     case fault_kind::server_path_reset:
@@ -501,7 +501,7 @@
         write_foreign_entries(fault);
     } else if (fault.kind == fault_kind::store_path_cut || fault.kind == fault_kind::store_path_silenced) {
         const auto index = fault.target % m_gateways.size();
-        note(fault, disturbance_kind::store, index);
+        record_disturbance(fault, disturbance_kind::store, index);
         auto& path = *m_gateways[index].store_path;
         if (fault.kind == fault_kind::store_path_cut) {
             path.set_refusing(true);
--- a/tests/soak/soak_deployment.hpp
+++ b/tests/soak/soak_deployment.hpp
@@ -90,9 +90,9 @@
     [[nodiscard]] boost::asio::ip::tcp::endpoint callers(std::size_t gateway) const;
     [[nodiscard]] boost::asio::ip::tcp::endpoint readiness(std::size_t gateway) const;
     /// How often a gateway was started; may be called from any thread.
-    [[nodiscard]] unsigned life(std::size_t gateway) const;
+    [[nodiscard]] unsigned start_count(std::size_t gateway) const;
 
-    // The functions from here to leaving() may only be called on the thread of the emulated parts.
+    // The functions from here to draining_servers() may only be called on the thread of the emulated parts.
 
     /// Number of routes that were added since the start; they are named "added-0", "added-1", ...
     [[nodiscard]] unsigned added_routes() const noexcept { return m_added_routes; }
@@ -106,7 +106,9 @@
     /// The run with this index on a server, which may have been stopped; nothing when there is none.
     [[nodiscard]] std::optional<server_run> find_run(const std::string& server, std::size_t number) const;
     /// The servers that have announced that they drain.
-    [[nodiscard]] const std::vector<draining_server>& leaving() const noexcept { return m_leaving; }
+    [[nodiscard]] const std::vector<draining_server>& draining_servers() const noexcept {
+        return m_draining_servers;
+    }
 
     // These may only be called on the thread that plays the schedule.
 
@@ -140,7 +142,8 @@
     void begin_store_fault(const planned_fault& fault);
     void change_configuration(fault_kind kind);
     void write_configuration();
-    void note(const planned_fault& fault, disturbance_kind kind, std::optional<std::size_t> gateway);
+    void record_disturbance(const planned_fault& fault, disturbance_kind kind,
+                            std::optional<std::size_t> gateway);
     boost::asio::ip::tcp::endpoint publish(std::size_t server,
                                            const boost::asio::ip::tcp::endpoint& listening);
 
@@ -156,12 +159,12 @@
     unsigned m_added_routes = 0;
     std::string m_moving_service;
     std::vector<route_move> m_moves;
-    std::vector<draining_server> m_leaving;
+    std::vector<draining_server> m_draining_servers;
     disturbance_log m_disturbances;
     std::map<const planned_fault*, std::size_t> m_open_disturbances;
     broken_promises m_unexpected_exits;
-    mutable std::mutex m_lives_mutex;
-    std::vector<unsigned> m_lives; ///< guarded by m_lives_mutex
+    mutable std::mutex m_start_counts_mutex;
+    std::vector<unsigned> m_start_counts; ///< guarded by m_start_counts_mutex
     std::jthread m_thread;
 };
 
--- a/tests/soak/soak_main.cpp
+++ b/tests/soak/soak_main.cpp
@@ -134,8 +134,9 @@
             callers.send_probe(gateway, route);
         }
     });
-    test::wait_until("the probes' end",
-                     [&] { return deployment.on_emulator([&] { return callers.under_way(); }) == 0; });
+    test::wait_until("the probes' end", [&] {
+        return deployment.on_emulator([&] { return callers.requests_in_progress(); }) == 0;
+    });
     deployment.on_emulator([&] {
         std::erase_if(waiting, [&](auto gateway) { return callers.has_served_probe(gateway, route); });
     });
@@ -172,14 +173,14 @@
 /// of retries at each service.
 broken_promises check_limits(const std::vector<sent_request>& requests, const std::vector<server_run>& runs) {
     std::vector<clock::time_point> of_limited;
-    std::map<std::string, std::vector<clock::time_point>> repeats;
+    std::map<std::string, std::vector<clock::time_point>> retries;
     std::map<std::string, std::size_t> seen;
     for (const auto& run : runs) {
         if (run.workspace == limited_workspace) {
             of_limited.push_back(run.begun);
         }
         if (++seen[run.request_id] > 1) {
-            repeats[run.service].push_back(run.begun);
+            retries[run.service].push_back(run.begun);
         }
     }
     constexpr double tolerance = 1.1; // factor on the configured rate
@@ -187,7 +188,7 @@
     auto broken = check_window(
         "runs of the limited workspace", of_limited,
         {allowance_window, (limited_rate * seconds + limited_burst) * tolerance + allowance_slack});
-    for (const auto& [service, times] : repeats) {
+    for (const auto& [service, times] : retries) {
         append(broken, check_window("repeats at " + service, times,
                                     {retry_window,
                                      retry_ratio * static_cast<double>(requests.size()) + retry_reserve}));
@@ -231,8 +232,8 @@
     }
     append(broken, check_configuration_order(requests));
     append(broken, check_all_moves(deployment, runs, sent));
-    for (const auto& leaving : deployment.leaving()) {
-        append(broken, check_draining(leaving, runs, disturbances));
+    for (const auto& server : deployment.draining_servers()) {
+        append(broken, check_draining(server, runs, disturbances));
     }
     append(broken, check_limits(requests, runs));
     append(broken, deployment.unexpected_exits());
@@ -300,7 +301,7 @@
         deployment.on_emulator([&] { callers->stop(); });
         test::wait_until("the last requests' ends", [&] {
             deployment.supervise_gateways();
-            return deployment.on_emulator([&] { return callers->under_way(); }) == 0;
+            return deployment.on_emulator([&] { return callers->requests_in_progress(); }) == 0;
         });
         append(broken, check_recovery(deployment, *callers));
     }
--- a/tests/unit/test_soak_checks.cpp
+++ b/tests/unit/test_soak_checks.cpp
@@ -70,10 +70,10 @@
     CHECK(check(make_stream(2, first + first)) == 1);
     CHECK(check(make_stream(1, second)) ==
           2); // wrong event, and the stream ends as complete after one of two
-    auto broken_off = make_stream(1, first);
-    CHECK(check(broken_off) == 1);
-    broken_off.result.is_whole = false;
-    CHECK(check(broken_off) == 0);
+    auto truncated = make_stream(1, first);
+    CHECK(check(truncated) == 1);
+    truncated.result.is_whole = false;
+    CHECK(check(truncated) == 0);
 }
 
 TEST_CASE("soak: a non-idempotent request runs once, and a refused one doesn't run", "[soak]") {
@@ -82,19 +82,20 @@
     CHECK(check_runs(make_request(503), 0).empty());
     CHECK(check_runs(make_request(503), 1).size() == 1);
     CHECK(check_runs(make_request(502), 1).empty());
-    auto repeatable = make_request(200);
-    repeatable.may_repeat = true;
-    CHECK(check_runs(repeatable, 2).empty());
+    auto idempotent = make_request(200);
+    idempotent.is_idempotent = true;
+    CHECK(check_runs(idempotent, 2).empty());
 }
 
 TEST_CASE("soak: a request gets a final answer unless its gateway was killed", "[soak]") {
     auto cut = make_request(0);
-    disturbance_log calm;
-    CHECK(check_final_answer(cut, 1, calm).size() == 1);
-    CHECK(check_final_answer(cut, 0, calm).size() == 1);
+    disturbance_log no_disturbances;
+    CHECK(check_final_answer(cut, 1, no_disturbances).size() == 1);
+    CHECK(check_final_answer(cut, 0, no_disturbances).size() == 1);
     cut.result.was_kept = true;
-    CHECK(check_final_answer(cut, 0, calm).empty()); // sent while the gateway was closing the connection
-    CHECK(check_final_answer(cut, 1, calm).size() == 1);
+    CHECK(check_final_answer(cut, 0, no_disturbances)
+              .empty()); // sent while the gateway was closing the connection
+    CHECK(check_final_answer(cut, 1, no_disturbances).size() == 1);
     disturbance_log killed;
     killed.begin(disturbance_kind::gateway_down, cut.gateway, start + milliseconds(20));
     CHECK(check_final_answer(cut, 1, killed).empty());
@@ -103,7 +104,7 @@
     CHECK(check_final_answer(cut, 1, other).size() == 1);
     auto unanswered = make_request(0);
     unanswered.end = caller_end::unanswered;
-    CHECK(check_final_answer(unanswered, 1, calm).size() == 1);
+    CHECK(check_final_answer(unanswered, 1, no_disturbances).size() == 1);
 }
 
 TEST_CASE("soak: a gateway process doesn't go back to an older configuration", "[soak]") {
@@ -111,10 +112,10 @@
     auto unknown = make_request(404);
     unknown.sent = start + milliseconds(400);
     CHECK(check_configuration_order(std::vector{served, unknown}).size() == 1);
-    unknown.gateway_life = served.gateway_life + 1;
+    unknown.gateway_start_count = served.gateway_start_count + 1;
     CHECK(check_configuration_order(std::vector{served, unknown}).empty());
     CHECK(check_allowed(unknown).size() == 1);
-    unknown.is_always_there = false;
+    unknown.is_in_every_configuration = false;
     CHECK(check_allowed(unknown).empty());
 }
 
@@ -124,17 +125,17 @@
     request.service.clear();
     request.sent = start + milliseconds(9000);
     const auto run = make_run(request, milliseconds(9005)); // at a server of "plain"
-    const std::vector<route_move> left_late{{start, "plain"}, {start + milliseconds(7000), "other"}};
-    const std::vector<route_move> left_early{{start, "plain"}, {start + milliseconds(1000), "other"}};
-    const disturbance_log calm;
-    CHECK(check_moves_in_time(request, run, left_late, calm).empty());
-    CHECK(check_moves_in_time(request, run, left_early, calm).size() == 1);
+    const std::vector<route_move> moved_late{{start, "plain"}, {start + milliseconds(7000), "other"}};
+    const std::vector<route_move> moved_early{{start, "plain"}, {start + milliseconds(1000), "other"}};
+    const disturbance_log no_disturbances;
+    CHECK(check_moves_in_time(request, run, moved_late, no_disturbances).empty());
+    CHECK(check_moves_in_time(request, run, moved_early, no_disturbances).size() == 1);
     disturbance_log outage;
     outage.begin(disturbance_kind::store, std::nullopt, start + milliseconds(1000));
     outage.end(0, start + milliseconds(4000));
-    CHECK(check_moves_in_time(request, run, left_early, outage).size() == 1);
+    CHECK(check_moves_in_time(request, run, moved_early, outage).size() == 1);
     outage.begin(disturbance_kind::store, request.gateway, start + milliseconds(6000));
-    CHECK(check_moves_in_time(request, run, left_early, outage).empty());
+    CHECK(check_moves_in_time(request, run, moved_early, outage).empty());
 }
 
 TEST_CASE("soak: every run is of a request that a caller sent, unchanged", "[soak]") {
@@ -146,25 +147,25 @@
     auto changed = run;
     changed.body = "other";
     CHECK(check_origin(changed, sent).size() == 1);
-    auto misled = run;
-    misled.service = "engines";
-    CHECK(check_origin(misled, sent).size() == 1);
-    auto mistaken = run;
-    mistaken.workspace = "limited";
-    CHECK(check_origin(mistaken, sent).size() == 1);
+    auto wrong_service = run;
+    wrong_service.service = "engines";
+    CHECK(check_origin(wrong_service, sent).size() == 1);
+    auto wrong_workspace = run;
+    wrong_workspace.workspace = "limited";
+    CHECK(check_origin(wrong_workspace, sent).size() == 1);
 }
 
 TEST_CASE("soak: no request reaches a server after its caller disconnected or the server drained", "[soak]") {
     auto request = make_request(0);
     request.end = caller_end::left;
-    disturbance_log calm;
+    disturbance_log no_disturbances;
     const std::vector runs{make_run(request, milliseconds(40)), make_run(request, milliseconds(9000))};
-    CHECK(check_disconnected(request, runs, calm).size() == 1);
-    const draining_server leaving{"plain-1000", start};
-    CHECK(check_draining(leaving, runs, calm).size() == 1);
+    CHECK(check_disconnected(request, runs, no_disturbances).size() == 1);
+    const draining_server draining{"plain-1000", start};
+    CHECK(check_draining(draining, runs, no_disturbances).size() == 1);
     disturbance_log outage;
     outage.begin(disturbance_kind::store, std::nullopt, start);
-    CHECK(check_draining(leaving, runs, outage).empty());
+    CHECK(check_draining(draining, runs, outage).empty());
 }
 
 TEST_CASE("soak: a window with more events than its limit is found wherever it begins", "[soak]") {
