--- a/tests/fakes/engine_batch.cpp
+++ b/tests/fakes/engine_batch.cpp
@@ -81,10 +81,10 @@
 }
 
 double engine_batch::prefill(double seconds) {
-    const bool others_decode = std::any_of(m_running.begin(), m_running.end(), [](const auto& stream) {
-        return !stream->is_finished && stream->prefill_left <= 0;
-    });
-    double left = seconds * (others_decode ? prefill_share : 1.0);
+    const bool has_decoding_sequence =
+        std::any_of(m_running.begin(), m_running.end(),
+                    [](const auto& stream) { return !stream->is_finished && stream->prefill_left <= 0; });
+    double left = seconds * (has_decoding_sequence ? prefill_share : 1.0);
     const double share = left;
     for (const auto& stream : m_running) {
         if (left <= 0) {
--- a/tests/fakes/engine_orders.cpp
+++ b/tests/fakes/engine_orders.cpp
@@ -39,7 +39,7 @@
     }
 }
 
-http::response engine_orders::obey(std::string_view text) {
+http::response engine_orders::execute(std::string_view text) {
     const auto parsed = json::parse(json::string_view(text.data(), text.size()));
     auto order = parsed.as_object();
     const auto number = order.at("fencing").to_number<std::uint64_t>();
--- a/tests/fakes/engine_orders.hpp
+++ b/tests/fakes/engine_orders.hpp
@@ -23,7 +23,7 @@
 
     /// Executes an order. Answers 409 with the highest known fencing number for a stale order and 400 for an
     /// unknown kind; throws for malformed JSON.
-    [[nodiscard]] http::response obey(std::string_view json);
+    [[nodiscard]] http::response execute(std::string_view json);
     /// Models, adapters, role and fencing number as JSON.
     [[nodiscard]] std::string describe_state() const;
     /// All orders received so far, each with the added field "obeyed".
--- a/tests/fakes/engine_request.hpp
+++ b/tests/fakes/engine_request.hpp
@@ -13,7 +13,7 @@
 struct prompt_block {
     std::uint64_t hash = 0;
     std::uint32_t tokens = 0;
-    bool is_whole = true; ///< false for a shorter last block, which is never cached
+    bool is_complete = true; ///< false for a shorter last block, which is never cached
 };
 
 /// A parsed completion request.
--- a/tests/fakes/engine_stream.cpp
+++ b/tests/fakes/engine_stream.cpp
@@ -65,7 +65,7 @@
         bytes += R"(data: {"id":")" + id + R"(","model":)" + m_quoted_model + R"(,"choices":[],"usage":)" +
                  usage() + "}\n\ndata: [DONE]\n\n";
     } else {
-        bytes += whole_answer();
+        bytes += complete_answer();
     }
     is_finished = true;
     ended_at = std::chrono::steady_clock::now();
@@ -89,7 +89,7 @@
            R"(,"prompt_tokens_details":{"cached_tokens":)" + std::to_string(cached_tokens) + "}}";
 }
 
-std::string engine_stream::whole_answer() const {
+std::string engine_stream::complete_answer() const {
     const auto text = answer_text(request.fingerprint, tokens_done);
     const auto choice = request.is_chat ? R"({"index":0,"message":{"role":"assistant","content":")" + text +
                                               R"("},"finish_reason":"stop"})"
--- a/tests/fakes/engine_stream.hpp
+++ b/tests/fakes/engine_stream.hpp
@@ -48,7 +48,7 @@
     void finish();
     void append_event(std::string_view choice);
     [[nodiscard]] std::string usage() const;
-    [[nodiscard]] std::string whole_answer() const;
+    [[nodiscard]] std::string complete_answer() const;
 
     std::string m_quoted_model;
     boost::asio::steady_timer m_changed; ///< never expires; cancelled to wake waiting readers
--- a/tests/fakes/fake_engine.cpp
+++ b/tests/fakes/fake_engine.cpp
@@ -20,7 +20,7 @@
 namespace {
 
 /// A finished answer can be read for at least this time.
-constexpr std::chrono::seconds kept_for{60};
+constexpr std::chrono::seconds answer_retention{60};
 /// Old answers are removed after this many new ones.
 constexpr std::size_t prune_period = 256;
 constexpr std::string_view stream_path = "/v1/streams/";
@@ -98,7 +98,7 @@
             return json_response(200, m_orders.describe_state());
         }
         if (path == "/orders") {
-            return m_orders.obey(call.body);
+            return m_orders.execute(call.body);
         }
         if (path == "/control/runs") {
             return json_response(200, describe_runs());
@@ -135,7 +135,7 @@
         }
         const auto id = m_runs.count(call);
         auto stream = std::make_shared<engine_stream>(m_executor, id, std::move(*request));
-        keep(stream);
+        store_stream(stream);
         m_batch.add(stream);
         co_await deliver(std::move(stream), 0, writer);
     }
@@ -188,7 +188,7 @@
     }
 
     /// Stores a run under its id, so that its answer can be read again.
-    void keep(const stream_pointer& stream) {
+    void store_stream(const stream_pointer& stream) {
         auto& slot = m_streams[stream->id];
         if (slot != nullptr) {
             m_replaced.push_back(slot); // a second run with the same id: the counts include both
@@ -201,7 +201,7 @@
     }
 
     void prune() {
-        const auto oldest = std::chrono::steady_clock::now() - kept_for;
+        const auto oldest = std::chrono::steady_clock::now() - answer_retention;
         for (auto item = m_streams.begin(); item != m_streams.end();) {
             const auto& stream = *item->second;
             if (stream.is_finished && stream.ended_at < oldest) {
--- a/tests/fakes/prefix_cache.cpp
+++ b/tests/fakes/prefix_cache.cpp
@@ -25,7 +25,7 @@
     std::uint32_t tokens = 0;
     for (const auto& block : blocks) {
         const auto found = m_blocks.find(block.hash);
-        if (!block.is_whole || found == m_blocks.end()) {
+        if (!block.is_complete || found == m_blocks.end()) {
             break;
         }
         m_recent.splice(m_recent.begin(), m_recent, found->second);
@@ -47,7 +47,7 @@
         repeated += count.times > 0 ? block.tokens : 0;
         ++count.times;
         count.tokens = block.tokens;
-        if (block.is_whole) {
+        if (block.is_complete) {
             put(block);
         }
     }
--- a/tests/fakes/stand_in.cpp
+++ b/tests/fakes/stand_in.cpp
@@ -14,14 +14,14 @@
 
 constexpr std::size_t body_limit = 64U * 1024 * 1024;
 constexpr std::size_t connection_limit = 100000;
-constexpr std::chrono::hours patience{1};
+constexpr std::chrono::hours idle_time{1};
 
 /// Limits that tests don't reach.
 http::server_limits generous_limits() {
     http::server_limits limits;
     limits.body_bytes = body_limit;
     limits.connections = connection_limit;
-    limits.idle_time = patience;
+    limits.idle_time = idle_time;
     return limits;
 }
 
--- a/tests/fuzz/mutator.cpp
+++ b/tests/fuzz/mutator.cpp
@@ -9,9 +9,9 @@
 namespace {
 
 /// A mutation consists of one to six damages.
-constexpr std::size_t most_damages = 6;
+constexpr std::size_t max_damages = 6;
 /// Removed, repeated and copied ranges are shorter than this, in bytes.
-constexpr std::size_t longest_part = 64;
+constexpr std::size_t max_range_length = 64;
 /// Byte values at which mistakes in the handling of lengths and offsets show.
 constexpr std::array<unsigned char, 8> edge_bytes{0x00, 0x01, 0x7f, 0x80, 0xff, 0xfe, 0x10, 0x20};
 
@@ -23,7 +23,7 @@
 
 std::string mutator::mutate(const std::vector<std::string>& samples) {
     std::string bytes = samples.at(below(samples.size()));
-    const auto damages = 1 + below(most_damages);
+    const auto damages = 1 + below(max_damages);
     for (std::size_t count = 0; count < damages; ++count) {
         damage(bytes, samples);
     }
@@ -33,7 +33,7 @@
 void mutator::damage(std::string& bytes, const std::vector<std::string>& samples) {
     constexpr std::size_t kinds = 6;
     const auto place = below(bytes.size());
-    const auto length = std::min(below(longest_part), bytes.size() - place);
+    const auto length = std::min(below(max_range_length), bytes.size() - place);
     switch (below(kinds)) {
     case 0:
         if (!bytes.empty()) {
@@ -57,7 +57,7 @@
     default:
         const auto& other = samples.at(below(samples.size()));
         const auto from = below(other.size());
-        bytes.insert(place, other.substr(from, below(longest_part)));
+        bytes.insert(place, other.substr(from, below(max_range_length)));
         break;
     }
 }
--- a/tests/fuzz/test_frame_decoder.cpp
+++ b/tests/fuzz/test_frame_decoder.cpp
@@ -112,13 +112,13 @@
             byte = static_cast<std::byte>(mutator.below(256) * mutator.below(2));
             expected = (expected << 8U) | std::to_integer<std::uint32_t>(byte);
         }
-        bool is_taken = true;
+        bool is_accepted = true;
         try {
-            is_taken = wire::decode_length(header) == expected;
+            is_accepted = wire::decode_length(header) == expected;
         } catch (const wire::frame_error&) {
-            is_taken = false;
+            is_accepted = false;
         }
-        if (is_taken != (expected > 0 && expected <= wire::frame_size_limit)) {
+        if (is_accepted != (expected > 0 && expected <= wire::frame_size_limit)) {
             FAIL("length " << expected);
         }
     }
--- a/tests/soak/promise_checks.cpp
+++ b/tests/soak/promise_checks.cpp
@@ -106,7 +106,7 @@
                                            request.ended + catch_up);
     const bool was_stopping =
         disturbances.has(disturbance_kind::gateway_stopping, request.gateway, request.sent, request.ended);
-    if (was_down || request.end == caller_end::left) {
+    if (was_down || request.end == caller_end::disconnected) {
         return {};
     }
     if (request.end == caller_end::unanswered) {
--- a/tests/soak/sent_request.hpp
+++ b/tests/soak/sent_request.hpp
@@ -15,9 +15,9 @@
 
 /// How a caller's wait ended.
 enum class caller_end : std::uint8_t {
-    answered,   ///< an answer was received, or the connection ended
-    left,       ///< the caller disconnected on purpose
-    unanswered, ///< no final answer was received until long after the request's deadline
+    answered,     ///< an answer was received, or the connection ended
+    disconnected, ///< the caller disconnected on purpose
+    unanswered,   ///< no final answer was received until long after the request's deadline
 };
 
 /// A request and its outcome, recorded by its caller.
--- a/tests/soak/soak_callers.cpp
+++ b/tests/soak/soak_callers.cpp
@@ -162,7 +162,7 @@
         m_deployment.timers().after(m_deployment.executor(), limit, [this, weak, disconnects_early] {
             if (const auto self = weak.lock()) {
                 self->call->give_up();
-                finish(self, disconnects_early ? caller_end::left : caller_end::unanswered, {});
+                finish(self, disconnects_early ? caller_end::disconnected : caller_end::unanswered, {});
             }
         });
     sender->call->start();
--- a/tests/support/child_process.cpp
+++ b/tests/support/child_process.cpp
@@ -158,11 +158,11 @@
     std::ifstream file(m_log);
     std::stringstream text;
     text << file.rdbuf();
-    auto whole = text.str();
-    if (whole.size() > shown_log_bytes) {
-        whole.erase(0, whole.size() - shown_log_bytes);
+    auto content = text.str();
+    if (content.size() > shown_log_bytes) {
+        content.erase(0, content.size() - shown_log_bytes);
     }
-    return whole;
+    return content;
 }
 
 void child_process::signal_child(int signal) const {
@@ -171,9 +171,9 @@
     }
 }
 
-bool child_process::read_more(std::chrono::milliseconds patience) {
+bool child_process::read_more(std::chrono::milliseconds timeout) {
     pollfd wanted{m_output, POLLIN, 0};
-    if (poll(&wanted, 1, static_cast<int>(patience.count())) <= 0) {
+    if (poll(&wanted, 1, static_cast<int>(timeout.count())) <= 0) {
         return false;
     }
     std::array<char, read_size> piece{};
--- a/tests/support/child_process.hpp
+++ b/tests/support/child_process.hpp
@@ -55,7 +55,7 @@
 
 private:
     void signal_child(int signal) const;
-    bool read_more(std::chrono::milliseconds patience);
+    bool read_more(std::chrono::milliseconds timeout);
     void collect(bool wait);
 
     pid_t m_id = -1;
--- a/tests/support/fault_proxy.cpp
+++ b/tests/support/fault_proxy.cpp
@@ -208,7 +208,7 @@
             if (action == fault::drop_both || action == fault::isolate) {
                 link.at(back).state = lane_state::dropping;
             }
-            note_fired();
+            update_waiting();
             while (link.at(way).state == lane_state::holding) {
                 co_await wait_for_change(link);
             }
@@ -273,7 +273,7 @@
 
     /// Updates the set that wait_for_fault() checks. Called only after the fault's lane states are set, so
     /// that they are in effect when wait_for_fault() returns.
-    void note_fired() {
+    void update_waiting() {
         const std::scoped_lock lock(waiting_mutex);
         waiting.clear();
         for (const auto& item : armed) {
@@ -384,7 +384,7 @@
     return m_state->on_thread([&] {
         const auto number = m_state->next_number++;
         m_state->armed.push_back({number, way, std::move(matches), what});
-        m_state->note_fired();
+        m_state->update_waiting();
         return number;
     });
 }
--- a/tests/support/free_ports.cpp
+++ b/tests/support/free_ports.cpp
@@ -17,7 +17,7 @@
 namespace {
 
 /// Gateways per 127.0.N.0/24 block: addresses 127.0.N.2 to 127.0.N.251.
-constexpr std::size_t addresses_of_a_block = 250;
+constexpr std::size_t gateways_per_subnet = 250;
 
 /// True when the ports from `first` on are free for TCP and UDP at the addresses of all gateways.
 bool are_free(std::uint16_t first, std::size_t gateways) {
@@ -25,7 +25,7 @@
     try {
         for (std::size_t gateway = 0; gateway < gateways; ++gateway) {
             const auto address = asio::ip::make_address(gateway_address(gateway));
-            for (unsigned offset = 0; offset < ports_of_a_gateway; ++offset) {
+            for (unsigned offset = 0; offset < ports_per_gateway; ++offset) {
                 const auto port = static_cast<std::uint16_t>(first + offset);
                 tcp::acceptor listener(context, tcp::endpoint(address, port), true);
                 udp::socket socket(context, udp::endpoint(address, port));
@@ -40,8 +40,8 @@
 } // namespace
 
 std::string gateway_address(std::size_t gateway) {
-    return "127.0." + std::to_string(gateway / addresses_of_a_block) + "." +
-           std::to_string(2 + gateway % addresses_of_a_block);
+    return "127.0." + std::to_string(gateway / gateways_per_subnet) + "." +
+           std::to_string(2 + gateway % gateways_per_subnet);
 }
 
 std::uint16_t find_gateway_ports(std::size_t gateways) {
@@ -49,7 +49,7 @@
     for (;;) {
         tcp::acceptor proposal(context, tcp::endpoint(asio::ip::make_address("127.0.0.1"), 0));
         const auto port = proposal.local_endpoint().port();
-        const bool has_successors = port < std::numeric_limits<std::uint16_t>::max() - ports_of_a_gateway;
+        const bool has_successors = port < std::numeric_limits<std::uint16_t>::max() - ports_per_gateway;
         if (has_successors && are_free(port, gateways)) {
             return port;
         }
--- a/tests/support/gateway_site.cpp
+++ b/tests/support/gateway_site.cpp
@@ -198,8 +198,8 @@
 }
 
 bool gateway_site::is_ready(std::size_t gateway) const {
-    http::request question{"GET", "/borageford/readyz", {}, ""};
-    return call(readiness(gateway), question).status == status_ok;
+    http::request request{"GET", "/borageford/readyz", {}, ""};
+    return call(readiness(gateway), request).status == status_ok;
 }
 
 void gateway_site::wait_until_ready(std::size_t gateway) const {
@@ -231,8 +231,8 @@
         auto server = std::make_unique<emulator::emulated_backend>(m_context.get_executor(), m_timers,
                                                                    platform::call_names(), options);
         const auto address = server->listen({asio::ip::make_address("127.0.0.1"), 0});
-        if (const auto former = m_backends.find(index); former != m_backends.end()) {
-            m_former_backends.push_back(std::move(former->second.server));
+        if (const auto previous = m_backends.find(index); previous != m_backends.end()) {
+            m_previous_backends.push_back(std::move(previous->second.server));
         }
         m_backends[index] = {std::move(server), address};
     });
@@ -285,12 +285,12 @@
         total += runs_of(request_id, index);
     }
     return total + on_emulator([&] {
-               std::size_t former = 0;
-               for (const auto& server : m_former_backends) {
-                   former += static_cast<std::size_t>(
+               std::size_t previous = 0;
+               for (const auto& server : m_previous_backends) {
+                   previous += static_cast<std::size_t>(
                        std::ranges::count(server->runs(), request_id, &emulator::recorded_run::request_id));
                }
-               return former;
+               return previous;
            });
 }
 
--- a/tests/support/gateway_site.hpp
+++ b/tests/support/gateway_site.hpp
@@ -145,9 +145,9 @@
     std::unique_ptr<emulator::emulated_store> m_store;
     http::endpoint m_store_address;
     std::map<std::size_t, backend_unit> m_backends;
-    std::vector<std::unique_ptr<emulator::emulated_backend>> m_former_backends;
+    std::vector<std::unique_ptr<emulator::emulated_backend>> m_previous_backends;
     std::vector<gateway_unit> m_gateways;
-    std::uint16_t m_port = 0; ///< first of the `ports_of_a_gateway` ports of every gateway
+    std::uint16_t m_port = 0; ///< first of the `ports_per_gateway` ports of every gateway
     std::jthread m_thread;
 };
 
--- a/tests/support/http_caller.cpp
+++ b/tests/support/http_caller.cpp
@@ -49,7 +49,7 @@
 };
 
 /// Limits that only end a call that would hang.
-http::exchange_limits patient_limits() {
+http::exchange_limits hang_limits() {
     http::exchange_limits limits;
     limits.connect = hang_guard;
     limits.head = 3 * hang_guard;
@@ -67,7 +67,7 @@
     state(const http::endpoint& address, http::request request)
         : server(address),
           sent(std::move(request)),
-          exchange(caller_thread::context().get_executor(), patient_limits()) {}
+          exchange(caller_thread::context().get_executor(), hang_limits()) {}
 
     asio::awaitable<void> run() {
         try {
--- a/tests/support/peer_client.cpp
+++ b/tests/support/peer_client.cpp
@@ -61,9 +61,9 @@
 }
 
 void peer_client::synchronize() {
-    wire::heartbeat_message question;
-    question.sequence = ++m_heartbeats;
-    send(std::move(question));
+    wire::heartbeat_message heartbeat;
+    heartbeat.sequence = ++m_heartbeats;
+    send(std::move(heartbeat));
     // The replies are numbered by the sidecar, so a reply can't be matched to its heartbeat; any reply will
     // do.
     wait_for<wire::heartbeat_message>([](const wire::heartbeat_message& held) { return held.is_reply; });
--- a/tests/support/peer_client.hpp
+++ b/tests/support/peer_client.hpp
@@ -39,13 +39,13 @@
     template <typename Message>
     Message wait_for(const std::function<bool(const Message&)>& matches = {}) {
         const auto until = std::chrono::steady_clock::now() + hang_guard;
-        std::size_t looked_at = 0;
+        std::size_t checked_count = 0;
         for (;;) {
-            for (; looked_at < m_received.size(); ++looked_at) {
-                auto* held = std::get_if<Message>(&m_received[looked_at]);
+            for (; checked_count < m_received.size(); ++checked_count) {
+                auto* held = std::get_if<Message>(&m_received[checked_count]);
                 if (held != nullptr && (!matches || matches(*held))) {
                     auto found = std::move(*held);
-                    m_received.erase(m_received.begin() + static_cast<std::ptrdiff_t>(looked_at));
+                    m_received.erase(m_received.begin() + static_cast<std::ptrdiff_t>(checked_count));
                     return found;
                 }
             }
--- a/tests/support/wait_until.cpp
+++ b/tests/support/wait_until.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-constexpr std::chrono::milliseconds look_period{10};
+constexpr std::chrono::milliseconds poll_period{10};
 
 } // namespace
 
@@ -25,7 +25,7 @@
         } catch (const std::exception& problem) {
             last_error = problem.what();
         }
-        std::this_thread::sleep_for(look_period);
+        std::this_thread::sleep_for(poll_period);
     }
     throw std::runtime_error("never happened: " + what + (last_error.empty() ? "" : " (" + last_error + ")"));
 }
--- a/tests/unit/test_soak_checks.cpp
+++ b/tests/unit/test_soak_checks.cpp
@@ -157,7 +157,7 @@
 
 TEST_CASE("soak: no request reaches a server after its caller disconnected or the server drained", "[soak]") {
     auto request = make_request(0);
-    request.end = caller_end::left;
+    request.end = caller_end::disconnected;
     disturbance_log no_disturbances;
     const std::vector runs{make_run(request, milliseconds(40)), make_run(request, milliseconds(9000))};
     CHECK(check_disconnected(request, runs, no_disturbances).size() == 1);
