--- a/tests/soak/promise_checks.cpp
+++ b/tests/soak/promise_checks.cpp
@@ -24,7 +24,7 @@
 /// granted or sent. A run that begins later than this is a fault.
 constexpr milliseconds leave_limit{2000};
 /// How long after its announcement a draining server may still get new requests. The gateways' settings allow
-/// two seconds; the other two allow for a busy machine.
+/// two seconds, which are doubled here to allow for a busy machine.
 constexpr milliseconds drain_limit{4000};
 /// How long a gateway that was frozen or disconnected from the store needs to receive the changes that it
 /// missed.
