--- a/tests/fakes/prefix_cache.cpp
+++ b/tests/fakes/prefix_cache.cpp
@@ -1,4 +1,4 @@
-// See the header.
+// Implements the cache of prompt blocks with a list in order of use, and the log of its events.
 #include "fakes/prefix_cache.hpp"
 
 #include "support/answer_text.hpp"
@@ -13,9 +13,10 @@
 
 namespace {
 
+/// Older events are discarded.
 constexpr std::size_t kept_events = 20000;
 constexpr std::size_t events_a_page = 1000;
-/// One event in so many is never published.
+/// Every 17th event is never published, so that readers see gaps.
 constexpr std::uint64_t gap_period = 17;
 
 } // namespace
@@ -24,7 +25,7 @@
     std::uint32_t tokens = 0;
     for (const auto& block : blocks) {
         const auto found = m_blocks.find(block.hash);
-        if (!block.is_whole || found == m_blocks.end()) {
+        if (!block.is_complete || found == m_blocks.end()) {
             break;
         }
         m_recent.splice(m_recent.begin(), m_recent, found->second);
@@ -46,7 +47,7 @@
         repeated += count.times > 0 ? block.tokens : 0;
         ++count.times;
         count.tokens = block.tokens;
-        if (block.is_whole) {
+        if (block.is_complete) {
             put(block);
         }
     }
--- a/tests/soak/promise_checks.cpp
+++ b/tests/soak/promise_checks.cpp
@@ -1,4 +1,4 @@
-// One function a promise.
+// Implements the checks, one function for each promise.
 #include "soak/promise_checks.hpp"
 
 #include <algorithm>
@@ -20,15 +20,18 @@
 constexpr unsigned first_success = 200;
 constexpr unsigned first_redirect = 300;
 
-/// A grant or a send may be under way when its caller leaves. One that begins later than this wasn't.
+/// A request may still reach a server shortly after its caller disconnected, because it was already being
+/// granted or sent. A run that begins later than this is a fault.
 constexpr milliseconds leave_limit{2000};
-/// The bound of gateways' settings is two seconds; the rest is for a busy machine.
+/// How long after its announcement a draining server may still get new requests. The gateways' settings allow
+/// two seconds, which are doubled here to allow for a busy machine.
 constexpr milliseconds drain_limit{4000};
-/// A gateway that was frozen or cut off needs this long to hear what it missed.
+/// How long a gateway that was frozen or disconnected from the store needs to receive the changes that it
+/// missed.
 constexpr milliseconds catch_up{4000};
-/// Within which a route has moved at every gateway, and as much again, since the machine may be busy.
+/// The time in which every gateway applies a moved route, doubled to allow for a busy machine.
 constexpr milliseconds configuration_limit{4000};
-/// Answers of one process that were made side by side may arrive in another order.
+/// Answers that one gateway gives concurrently may reach the callers in another order within this time.
 constexpr milliseconds order_slack{250};
 
 bool is_success(unsigned status) {
@@ -40,6 +43,7 @@
            status == unavailable;
 }
 
+/// The text of the first `count` events of a stream of an emulated engine.
 std::string expected_events(std::uint64_t count) {
     std::string text;
     for (std::uint64_t number = 1; number <= count; ++number) {
@@ -87,7 +91,7 @@
 
 broken_promises check_runs(const sent_request& request, std::size_t runs) {
     broken_promises broken;
-    if (!request.may_repeat && runs > 1) {
+    if (!request.is_idempotent && runs > 1) {
         broken.push_back(describe(request) + ": may run once and ran " + std::to_string(runs) + " times");
     }
     if (says_not_run(request.result.status) && runs > 0) {
@@ -102,7 +106,7 @@
                                            request.ended + catch_up);
     const bool was_stopping =
         disturbances.has(disturbance_kind::gateway_stopping, request.gateway, request.sent, request.ended);
-    if (was_down || request.end == caller_end::left) {
+    if (was_down || request.end == caller_end::disconnected) {
         return {};
     }
     if (request.end == caller_end::unanswered) {
@@ -122,7 +126,7 @@
     const auto status = request.result.status;
     const bool is_denied =
         status == bad_request || status == unauthorized || status == forbidden || status == not_found;
-    if (!is_denied || !request.is_always_there) {
+    if (!is_denied || !request.is_in_every_configuration) {
         return {};
     }
     return {describe(request) + ": denied though every configuration allows it"};
@@ -131,24 +135,25 @@
 broken_promises check_configuration_order(std::span<const sent_request> requests) {
     struct place {
         std::size_t gateway;
-        unsigned life;
+        unsigned start_count;
         std::string target;
         auto operator<=>(const place&) const = default;
     };
     std::map<place, clock::time_point> served;
     for (const auto& request : requests) {
-        if (is_success(request.result.status) && request.is_of_one_life) {
-            auto& since =
-                served.try_emplace({request.gateway, request.gateway_life, request.target}, request.ended)
-                    .first->second;
+        if (is_success(request.result.status) && request.is_same_process) {
+            auto& since = served
+                              .try_emplace({request.gateway, request.gateway_start_count, request.target},
+                                           request.ended)
+                              .first->second;
             since = std::min(since, request.ended);
         }
     }
     broken_promises broken;
     for (const auto& request : requests) {
-        const auto found = served.find({request.gateway, request.gateway_life, request.target});
+        const auto found = served.find({request.gateway, request.gateway_start_count, request.target});
         const bool is_later = found != served.end() && request.sent > found->second + order_slack;
-        if (is_later && request.is_of_one_life && request.result.status == not_found) {
+        if (is_later && request.is_same_process && request.result.status == not_found) {
             broken.push_back(describe(request) + ": unknown to a process that had served it before");
         }
     }
@@ -193,8 +198,8 @@
     return {};
 }
 
-broken_promises check_left(const sent_request& request, std::span<const server_run> runs,
-                           const disturbance_log& disturbances) {
+broken_promises check_disconnected(const sent_request& request, std::span<const server_run> runs,
+                                   const disturbance_log& disturbances) {
     if (request.end == caller_end::answered) {
         return {};
     }
@@ -209,14 +214,14 @@
     return broken;
 }
 
-broken_promises check_leaving(const leaving_server& leaving, std::span<const server_run> runs,
-                              const disturbance_log& disturbances) {
+broken_promises check_draining(const draining_server& server, std::span<const server_run> runs,
+                               const disturbance_log& disturbances) {
     broken_promises broken;
     for (const auto& run : runs) {
-        if (run.server != leaving.id || run.begun <= leaving.announced + drain_limit) {
+        if (run.server != server.id || run.begun <= server.announced + drain_limit) {
             continue;
         }
-        const auto from = leaving.announced - catch_up;
+        const auto from = server.announced - catch_up;
         const bool is_excused =
             disturbances.has(disturbance_kind::store, std::nullopt, from, run.begun) ||
             disturbances.has(disturbance_kind::gateway_down, std::nullopt, from, run.begun) ||
--- a/tests/soak/soak_deployment.cpp
+++ b/tests/soak/soak_deployment.cpp
@@ -1,4 +1,5 @@
-// Each kind of fault is a few calls to a process, a proxy or an emulated part.
+// Starts and supervises the gateways, and turns each kind of fault into calls of a process, a proxy or an
+// emulated part.
 #include "soak/soak_deployment.hpp"
 
 #include "experiment/gateway_files.hpp"
@@ -25,24 +26,25 @@
 constexpr unsigned engine_slots = 4;
 constexpr unsigned plain_slots = 8;
 constexpr unsigned server_connections = 96;
-constexpr unsigned most_attempts = 3;
+constexpr unsigned max_attempts = 3;
 constexpr milliseconds route_timeout{4000};
 constexpr milliseconds slow_store_answer{400};
 constexpr milliseconds path_delay{150};
-/// What was written before the store went away, and while it was away, is lost.
+/// Age of the copy from which the store is restored: writes in this time before the restore are lost.
 constexpr milliseconds age_of_copy{4000};
+/// How long after a store restore the servers or the operator write their lost rows again.
 constexpr milliseconds early_rewrite{300};
 constexpr milliseconds late_rewrite{1200};
 constexpr double slow_factor = 6;
-/// Each connection between a gateway and a server takes three descriptors of this process. 250 gateways that
-/// keep theirs for some seconds took all of its 20,000 within 2 s; servers then couldn't be started, nor
-/// connections taken. Where there are more gateways than this, servers tell them to keep connections for a
-/// short time only.
-constexpr std::size_t most_gateways_that_keep = 100;
+/// With more gateways than this, servers ask them to keep idle connections for `short_keep_alive` only. Each
+/// connection between a gateway and a server takes three descriptors of this process. 250 gateways that kept
+/// their connections for some seconds used up its 20,000 descriptors within 2 s; after that, no server could
+/// be started and no connection accepted.
+constexpr std::size_t max_gateways_with_long_keep_alive = 100;
 constexpr std::chrono::seconds short_keep_alive{1};
-/// A process handles signals from then on.
+/// A gateway that has printed this event handles signals.
 constexpr std::string_view started_event = R"("event":"started")";
-/// Services by their place in the configuration.
+/// Indices of the services in the configuration.
 enum service_index : std::size_t { plain_service, engine_service, other_service };
 
 routing::route make_route(std::string name, routing::route_kind kind, service_index service) {
@@ -52,7 +54,7 @@
     route.host = soak_host;
     route.kind = kind;
     route.services.push_back({service, 1});
-    route.attempts = most_attempts;
+    route.attempts = max_attempts;
     route.timeout = route_timeout;
     return route;
 }
@@ -109,6 +111,7 @@
     return text.str();
 }
 
+/// The fault of an emulated server that this kind stands for; `none` for other kinds.
 backend_fault fault_of(fault_kind kind) {
     switch (kind) {
     case fault_kind::server_hangs:
@@ -142,7 +145,8 @@
            kind == fault_kind::store_returns;
 }
 
-/// Servers first, or operators first, as the target has it.
+/// How the store is restored. An even target lets the servers write their lost rows again before the operator
+/// does; an odd one lets the operator be first.
 emulator::store_return return_of(const planned_fault& fault) {
     const bool are_servers_first = fault.target % 2 == 0;
     return {age_of_copy, are_servers_first ? early_rewrite : late_rewrite,
@@ -157,7 +161,7 @@
     return kind == fault_kind::configuration_grows || kind == fault_kind::configuration_moves_route;
 }
 
-/// Entries that look like servers, each wrong in another way; nobody listens at their addresses.
+/// Rows that look like servers; each is invalid in a different way. Nothing listens at their addresses.
 constexpr std::array<std::string_view, 4> foreign_values{
     std::string_view("\xff\xfe\x00\x01{", 5),
     R"({"service":"plain","address":"127.0.0.1:9","zone":"a","slots":900,"state":"paused"})",
@@ -177,13 +181,13 @@
       m_port(test::find_gateway_ports(size.gateways)),
       m_moving_service("plain"),
       m_moves{{clock::now(), m_moving_service}},
-      m_lives(size.gateways) {
+      m_start_counts(size.gateways) {
     std::filesystem::create_directories(m_folder);
     m_plan.configuration = first_configuration();
     m_plan.store = {asio::ip::make_address("127.0.0.1"), 0};
     m_plan.servers = {make_group("plain", size.plain_servers, false),
                       make_group("engines", size.engines, true), make_group("other", 1, false)};
-    if (size.gateways > most_gateways_that_keep) {
+    if (size.gateways > max_gateways_with_long_keep_alive) {
         std::ranges::for_each(m_plan.servers, [](auto& group) { group.keep_alive = short_keep_alive; });
     }
     m_thread = std::jthread([this] { m_context.run(); });
@@ -234,22 +238,22 @@
     return {asio::ip::make_address(test::gateway_address(gateway)), static_cast<std::uint16_t>(m_port + 1)};
 }
 
-unsigned soak_deployment::life(std::size_t gateway) const {
-    const std::scoped_lock lock(m_lives_mutex);
-    return m_lives.at(gateway);
+unsigned soak_deployment::start_count(std::size_t gateway) const {
+    const std::scoped_lock lock(m_start_counts_mutex);
+    return m_start_counts.at(gateway);
 }
 
-// Gateways.
+// Gateways: processes and their faults.
 
 void soak_deployment::start_gateway(std::size_t index) {
     auto& unit = m_gateways.at(index);
-    unsigned life = 0;
+    unsigned start_count = 0;
     {
-        const std::scoped_lock lock(m_lives_mutex);
-        life = ++m_lives.at(index);
+        const std::scoped_lock lock(m_start_counts_mutex);
+        start_count = ++m_start_counts.at(index);
     }
     const auto log =
-        m_folder / ("gateway-" + std::to_string(index) + "-" + std::to_string(life) + "-errors.log");
+        m_folder / ("gateway-" + std::to_string(index) + "-" + std::to_string(start_count) + "-errors.log");
     const std::filesystem::path program = std::string(BORAGEFORD_PROGRAM_FOLDER) + "/borageford";
     unit.process = std::make_unique<test::child_process>(
         program, std::vector<std::string>{"gateway", "--settings=" + unit.settings.string()}, log);
@@ -263,7 +267,7 @@
     if (unit.process == nullptr) {
         return;
     }
-    const auto name = "gateway-" + std::to_string(index) + "-" + std::to_string(life(index)) + ".log";
+    const auto name = "gateway-" + std::to_string(index) + "-" + std::to_string(start_count(index)) + ".log";
     const auto text = unit.process->take_output();
     unit.has_started = unit.has_started || text.find(started_event) != std::string::npos;
     std::ofstream(m_folder / name, std::ios::app) << text;
@@ -282,7 +286,7 @@
     }
 }
 
-void soak_deployment::look_after() {
+void soak_deployment::supervise_gateways() {
     for (std::size_t index = 0; index < m_gateways.size(); ++index) {
         auto& unit = m_gateways[index];
         if (unit.process == nullptr) {
@@ -294,8 +298,8 @@
         }
         const auto code = unit.process->wait_for_exit();
         if (!unit.is_stopping || code != 0) {
-            m_own_ends.push_back("gateway " + std::to_string(index) + " ended by itself with code " +
-                                 std::to_string(code));
+            m_unexpected_exits.push_back("gateway " + std::to_string(index) + " ended by itself with code " +
+                                         std::to_string(code));
         }
         keep_log(index);
         if (unit.is_stopping) {
@@ -305,8 +309,8 @@
     }
 }
 
-void soak_deployment::note(const planned_fault& fault, disturbance_kind kind,
-                           std::optional<std::size_t> gateway) {
+void soak_deployment::record_disturbance(const planned_fault& fault, disturbance_kind kind,
+                                         std::optional<std::size_t> gateway) {
     m_open_disturbances[&fault] = m_disturbances.begin(kind, gateway, clock::now());
 }
 
@@ -315,17 +319,17 @@
     auto& unit = m_gateways[index];
     switch (fault.kind) {
     case fault_kind::gateway_killed:
-        note(fault, disturbance_kind::gateway_down, index);
+        record_disturbance(fault, disturbance_kind::gateway_down, index);
         kill_gateway(index);
         break;
     case fault_kind::all_gateways_killed:
-        note(fault, disturbance_kind::gateway_down, std::nullopt);
+        record_disturbance(fault, disturbance_kind::gateway_down, std::nullopt);
         for (std::size_t each = 0; each < m_gateways.size(); ++each) {
             kill_gateway(each);
         }
         break;
     case fault_kind::gateway_frozen:
-        note(fault, disturbance_kind::gateway_down, index);
+        record_disturbance(fault, disturbance_kind::gateway_down, index);
         if (unit.process != nullptr) {
             unit.process->freeze();
             unit.is_frozen = true;
@@ -339,7 +343,7 @@
             unit.process->terminate();
         }
         break;
-    default: // a reload
+    default: // gateway_reloaded
         if (unit.has_started) {
             unit.process->reload();
         }
@@ -347,10 +351,10 @@
     }
 }
 
-// The store.
+// The store and the configuration in it.
 
 void soak_deployment::begin_store_fault(const planned_fault& fault) {
-    note(fault, disturbance_kind::store, std::nullopt);
+    record_disturbance(fault, disturbance_kind::store, std::nullopt);
     on_emulator([&] {
         auto& store = m_site->store();
         switch (fault.kind) {
@@ -398,7 +402,7 @@
     });
 }
 
-// Backend servers.
+// Backend servers and the connections to them.
 
 void soak_deployment::begin_server_fault(const planned_fault& fault) {
     on_emulator([&] {
@@ -411,7 +415,7 @@
             const auto name = m_site->server_name(server);
             m_site->drain(server);
             if (!name.empty()) {
-                m_leaving.push_back({name, clock::now()});
+                m_draining_servers.push_back({name, clock::now()});
             }
         } else {
             m_site->set_fault(server, fault_of(fault.kind));
@@ -431,15 +435,17 @@
     });
 }
 
-/// Behind a cut: what was open hangs, and only the registration tells of the new start.
+/// Drops the answers on all open connections before the restart. These connections hang, so gateways can
+/// learn of the new start from the server's registration only.
 void soak_deployment::restart_in_place(const planned_fault& fault) {
-    note(fault, disturbance_kind::server_path, std::nullopt);
+    record_disturbance(fault, disturbance_kind::server_path, std::nullopt);
     const auto server = fault.target % m_server_proxies.size();
     m_server_proxies.at(server)->drop(test::direction::down);
     on_emulator([&] { m_site->restart_in_place(server); });
 }
 
-/// One of them stands over a server's own entry, until the server writes anew.
+/// Writes invalid rows into the table of servers. One of them replaces a server's own row until the server
+/// writes its row again.
 void soak_deployment::write_foreign_entries(const planned_fault& fault) {
     on_emulator([&] {
         for (std::size_t number = 0; number < foreign_values.size(); ++number) {
@@ -460,7 +466,7 @@
 }
 
 void soak_deployment::begin_server_path_fault(const planned_fault& fault) {
-    note(fault, disturbance_kind::server_path, std::nullopt);
+    record_disturbance(fault, disturbance_kind::server_path, std::nullopt);
     auto& proxy = *m_server_proxies.at(fault.target % m_server_proxies.size());
     switch (fault.kind) {
     case fault_kind::server_path_reset:
@@ -478,7 +484,7 @@
     }
 }
 
-// The schedule's two calls.
+// The functions that the schedule calls.
 
 void soak_deployment::begin(const planned_fault& fault) {
     if (fault.kind <= fault_kind::all_gateways_killed) {
@@ -495,7 +501,7 @@
         write_foreign_entries(fault);
     } else if (fault.kind == fault_kind::store_path_cut || fault.kind == fault_kind::store_path_silenced) {
         const auto index = fault.target % m_gateways.size();
-        note(fault, disturbance_kind::store, index);
+        record_disturbance(fault, disturbance_kind::store, index);
         auto& path = *m_gateways[index].store_path;
         if (fault.kind == fault_kind::store_path_cut) {
             path.set_refusing(true);
--- a/tests/soak/soak_main.cpp
+++ b/tests/soak/soak_main.cpp
@@ -1,6 +1,6 @@
-// Plays one soak: real gateways, emulated everything else, faults drawn from a seed, and the promises checked
-// against what callers and backend servers see. Exit code 0 when every promise held, 1 when one was broken,
-// 2 when the soak can't be played.
+// The program borageford_soak. It runs real gateways with an emulated store and emulated servers, sends
+// requests while it injects faults that are drawn from a seed, and checks the promises against the records of
+// callers and servers. Exit code 0: all promises were kept; 1: one was broken; 2: the soak couldn't be run.
 #include "soak/descriptor_need.hpp"
 #include "soak/fault_schedule.hpp"
 #include "soak/promise_checks.hpp"
@@ -25,16 +25,18 @@
 
 using std::chrono::milliseconds;
 
-/// How often processes are looked after between two faults.
-constexpr milliseconds look_period{50};
+/// Time between two calls of soak_deployment::supervise_gateways().
+constexpr milliseconds supervision_period{50};
 constexpr int wrong_size_exit_code = 2;
+/// Prefix of the route whose service changes.
 constexpr std::string_view moving_prefix = "/moving/";
 
+/// The command line's settings.
 struct soak_options {
     schedule_size schedule;
     deployment_size deployment;
     std::size_t callers = 24;
-    std::filesystem::path folder;
+    std::filesystem::path folder; ///< for settings and logs; removed when all promises were kept
 };
 
 std::vector<fault_kind> read_kinds(const std::string& text) {
@@ -67,16 +69,16 @@
     return options;
 }
 
-/// Waits on the schedule's own clock; processes are looked after meanwhile.
+/// Waits on the calling thread until a time, and calls soak_deployment::supervise_gateways() meanwhile.
 void pass_time_until(soak_deployment& deployment, boost::asio::io_context& context, clock::time_point until) {
     while (clock::now() < until) {
-        boost::asio::steady_timer timer(context, std::min(until, clock::now() + look_period));
+        boost::asio::steady_timer timer(context, std::min(until, clock::now() + supervision_period));
         timer.wait();
-        deployment.look_after();
+        deployment.supervise_gateways();
     }
 }
 
-/// A fault's begin or end.
+/// The begin or the end of a fault, and its time.
 struct schedule_step {
     clock::time_point at;
     const planned_fault* fault = nullptr;
@@ -112,6 +114,7 @@
     pass_time_until(deployment, context, begin + options.schedule.length);
 }
 
+/// The routes that check_recovery() probes: those of every configuration and the newest added one.
 std::vector<std::string> routes_at_end(soak_deployment& deployment) {
     const auto added = deployment.on_emulator([&] { return deployment.added_routes(); });
     std::vector<std::string> routes{"plain", "once", "single", "stream", "moving"};
@@ -121,23 +124,25 @@
     return routes;
 }
 
-/// Sends a probe to each of the gateways at once and leaves those that didn't serve it.
+/// Sends a probe to each gateway in `waiting` and waits for the answers. Removes the gateways that served the
+/// probe from `waiting`.
 void probe_all(soak_deployment& deployment, soak_callers& callers, const std::string& route,
                std::set<std::size_t>& waiting) {
-    deployment.look_after();
+    deployment.supervise_gateways();
     deployment.on_emulator([&] {
         for (const auto gateway : waiting) {
             callers.send_probe(gateway, route);
         }
     });
-    test::wait_until("the probes' end",
-                     [&] { return deployment.on_emulator([&] { return callers.under_way(); }) == 0; });
+    test::wait_until("the probes' end", [&] {
+        return deployment.on_emulator([&] { return callers.requests_in_progress(); }) == 0;
+    });
     deployment.on_emulator([&] {
         std::erase_if(waiting, [&](auto gateway) { return callers.has_served_probe(gateway, route); });
     });
 }
 
-/// Once nothing is wrong any more, every gateway serves every route of the newest configuration.
+/// Checks that every gateway serves the routes of the newest configuration while no fault is in effect.
 broken_promises check_recovery(soak_deployment& deployment, soak_callers& callers) {
     broken_promises broken;
     for (const auto& route : routes_at_end(deployment)) {
@@ -164,25 +169,26 @@
     std::ranges::move(from, std::back_inserter(to));
 }
 
-/// The runs of one kind over all gateways together.
+/// Checks the limits that hold over all gateways together: the rate of the limited workspace and the number
+/// of retries at each service.
 broken_promises check_limits(const std::vector<sent_request>& requests, const std::vector<server_run>& runs) {
     std::vector<clock::time_point> of_limited;
-    std::map<std::string, std::vector<clock::time_point>> repeats;
+    std::map<std::string, std::vector<clock::time_point>> retries;
     std::map<std::string, std::size_t> seen;
     for (const auto& run : runs) {
         if (run.workspace == limited_workspace) {
             of_limited.push_back(run.begun);
         }
         if (++seen[run.request_id] > 1) {
-            repeats[run.service].push_back(run.begun);
+            retries[run.service].push_back(run.begun);
         }
     }
-    constexpr double tolerance = 1.1;
+    constexpr double tolerance = 1.1; // factor on the configured rate
     const double seconds = std::chrono::duration<double>(allowance_window).count();
     auto broken = check_window(
         "runs of the limited workspace", of_limited,
         {allowance_window, (limited_rate * seconds + limited_burst) * tolerance + allowance_slack});
-    for (const auto& [service, times] : repeats) {
+    for (const auto& [service, times] : retries) {
         append(broken, check_window("repeats at " + service, times,
                                     {retry_window,
                                      retry_ratio * static_cast<double>(requests.size()) + retry_reserve}));
@@ -222,15 +228,15 @@
         append(broken, check_runs(request, own_runs.size()));
         append(broken, check_final_answer(request, own_runs.size(), disturbances));
         append(broken, check_allowed(request));
-        append(broken, check_left(request, own_runs, disturbances));
+        append(broken, check_disconnected(request, own_runs, disturbances));
     }
     append(broken, check_configuration_order(requests));
     append(broken, check_all_moves(deployment, runs, sent));
-    for (const auto& leaving : deployment.leaving()) {
-        append(broken, check_leaving(leaving, runs, disturbances));
+    for (const auto& server : deployment.draining_servers()) {
+        append(broken, check_draining(server, runs, disturbances));
     }
     append(broken, check_limits(requests, runs));
-    append(broken, deployment.own_ends());
+    append(broken, deployment.unexpected_exits());
     return broken;
 }
 
@@ -255,7 +261,8 @@
     }
 }
 
-/// Callers live and end on the emulated parts' thread, also when the soak itself fails.
+/// Owns the callers and destroys them on the thread of the emulated parts, also when the soak ends with an
+/// exception.
 class callers_owner {
 public:
     callers_owner(soak_deployment& deployment, std::uint64_t seed)
@@ -278,7 +285,7 @@
 
 int play(const soak_options& options) {
     const soak_size size{options.schedule.gateways, options.schedule.servers, options.callers};
-    if (const auto reason = refuse_size(size, descriptor_limit())) {
+    if (const auto reason = check_size(size, descriptor_limit())) {
         std::cerr << "soak: " << *reason << '\n';
         return wrong_size_exit_code;
     }
@@ -293,8 +300,8 @@
         deployment.restore();
         deployment.on_emulator([&] { callers->stop(); });
         test::wait_until("the last requests' ends", [&] {
-            deployment.look_after();
-            return deployment.on_emulator([&] { return callers->under_way(); }) == 0;
+            deployment.supervise_gateways();
+            return deployment.on_emulator([&] { return callers->requests_in_progress(); }) == 0;
         });
         append(broken, check_recovery(deployment, *callers));
     }
--- a/tests/support/free_ports.cpp
+++ b/tests/support/free_ports.cpp
@@ -1,4 +1,5 @@
-// See the header.
+// Finds ports that are free by asking the kernel for a port and binding it and its successors at each
+// address.
 #include "support/free_ports.hpp"
 
 #include <boost/asio/io_context.hpp>
@@ -15,22 +16,23 @@
 
 namespace {
 
-constexpr std::size_t addresses_of_a_block = 250;
+/// Gateways per 127.0.N.0/24 block: addresses 127.0.N.2 to 127.0.N.251.
+constexpr std::size_t gateways_per_subnet = 250;
 
-/// Whether these ports are free at all addresses, for TCP and UDP.
+/// True when the ports from `first` on are free for TCP and UDP at the addresses of all gateways.
 bool are_free(std::uint16_t first, std::size_t gateways) {
     asio::io_context context;
     try {
         for (std::size_t gateway = 0; gateway < gateways; ++gateway) {
             const auto address = asio::ip::make_address(gateway_address(gateway));
-            for (unsigned offset = 0; offset < ports_of_a_gateway; ++offset) {
+            for (unsigned offset = 0; offset < ports_per_gateway; ++offset) {
                 const auto port = static_cast<std::uint16_t>(first + offset);
                 tcp::acceptor listener(context, tcp::endpoint(address, port), true);
                 udp::socket socket(context, udp::endpoint(address, port));
             }
         }
     } catch (const boost::system::system_error&) {
-        return false; // taken by another test
+        return false; // a port is in use, probably by another test
     }
     return true;
 }
@@ -38,8 +40,8 @@
 } // namespace
 
 std::string gateway_address(std::size_t gateway) {
-    return "127.0." + std::to_string(gateway / addresses_of_a_block) + "." +
-           std::to_string(2 + gateway % addresses_of_a_block);
+    return "127.0." + std::to_string(gateway / gateways_per_subnet) + "." +
+           std::to_string(2 + gateway % gateways_per_subnet);
 }
 
 std::uint16_t find_gateway_ports(std::size_t gateways) {
@@ -47,7 +49,7 @@
     for (;;) {
         tcp::acceptor proposal(context, tcp::endpoint(asio::ip::make_address("127.0.0.1"), 0));
         const auto port = proposal.local_endpoint().port();
-        const bool has_successors = port < std::numeric_limits<std::uint16_t>::max() - ports_of_a_gateway;
+        const bool has_successors = port < std::numeric_limits<std::uint16_t>::max() - ports_per_gateway;
         if (has_successors && are_free(port, gateways)) {
             return port;
         }
