--- a/src/coordination/slot_broker.cpp
+++ b/src/coordination/slot_broker.cpp
@@ -325,7 +325,7 @@
 }
 
 void slot_broker::send_heartbeats(policy::time_point now) {
-    m_heartbeats.begin_tick(m_active_members.told());
+    m_heartbeats.begin_tick(m_active_members.reported_count());
     for (const auto member : m_election.candidates(now)) {
         if (m_heartbeats.is_due(receiver_kind_of(member))) {
             send_heartbeat(member);
--- a/src/coordination/slot_broker.hpp
+++ b/src/coordination/slot_broker.hpp
@@ -133,7 +133,7 @@
         return !m_settings.coordinates || m_election.is_candidate(clock::now());
     }
     /// Number of members that the coordinator last reported; 0: unknown.
-    [[nodiscard]] std::size_t reported_members() const noexcept { return m_active_members.told(); }
+    [[nodiscard]] std::size_t reported_members() const noexcept { return m_active_members.reported_count(); }
 
 private:
     using clock = std::chrono::steady_clock;
