--- a/src/configuration/intent_parser.cpp
+++ b/src/configuration/intent_parser.cpp
@@ -75,7 +75,7 @@
     }
 
 private:
-    void complain(unsigned line, std::string key, std::string expected) {
+    void report_problem(unsigned line, std::string key, std::string expected) {
         m_problems.push_back({m_document.file, line, std::move(key), std::move(expected)});
     }
 
@@ -85,12 +85,12 @@
             for (const auto& kind : section_kinds) {
                 expected.append(" [").append(kind).append(" NAME]");
             }
-            complain(section.line, section.title(), std::move(expected));
+            report_problem(section.line, section.title(), std::move(expected));
             return;
         }
         if (!is_name(section.name)) {
-            complain(section.line, section.title(),
-                     "a name of at most 64 letters, digits, '-', '_' or '.' after the kind");
+            report_problem(section.line, section.title(),
+                           "a name of at most 64 letters, digits, '-', '_' or '.' after the kind");
         }
     }
 
@@ -112,8 +112,8 @@
                      const std::vector<Item>& items, std::string_view kind) {
         for (const auto& name : names) {
             if (!has_item(items, name)) {
-                reader.complain(key, "names of [" + std::string(kind) + "] sections; there is no \"" + name +
-                                         "\"");
+                reader.report_problem(key, "names of [" + std::string(kind) + "] sections; there is no \"" +
+                                               name + "\"");
             }
         }
     }
@@ -122,7 +122,7 @@
         std::ranges::sort(names);
         const auto repeated = std::ranges::adjacent_find(names);
         if (repeated != names.end()) {
-            reader.complain(key, "each value once; \"" + *repeated + "\" is repeated");
+            reader.report_problem(key, "each value once; \"" + *repeated + "\" is repeated");
         }
     }
 
@@ -132,7 +132,8 @@
         item.name = section.name;
         const auto problems_before = m_problems.size();
         if (section.find("rank") == nullptr) {
-            reader.complain("rank", "a whole number from 0 (the highest tier) on (the key is required)");
+            reader.report_problem("rank",
+                                  "a whole number from 0 (the highest tier) on (the key is required)");
         }
         item.rank = static_cast<unsigned>(reader.number("rank", 0, 0, max_rank));
         const bool has_rank = m_problems.size() == problems_before;
@@ -143,7 +144,7 @@
         reader.finish();
         const auto same_rank = std::ranges::find(m_result.tiers, item.rank, &tier::rank);
         if (has_rank && same_rank != m_result.tiers.end()) {
-            reader.complain("rank", "a rank of its own; tier " + same_rank->name + " has the same");
+            reader.report_problem("rank", "a rank of its own; tier " + same_rank->name + " has the same");
         }
         m_result.tiers.push_back(std::move(item));
     }
@@ -160,7 +161,7 @@
         item.expected_output_tokens = static_cast<unsigned>(
             reader.number("expected_output_tokens", item.expected_output_tokens, 1, max_tokens));
         if (item.expected_output_tokens > item.context_tokens) {
-            reader.complain("expected_output_tokens", "no more than context_tokens");
+            reader.report_problem("expected_output_tokens", "no more than context_tokens");
         }
         reader.finish();
         m_result.models.push_back(std::move(item));
@@ -178,7 +179,7 @@
         item.name = section.name;
         item.key_hashes = reader.list("key_sha256");
         if (item.key_hashes.empty()) {
-            reader.complain("key_sha256", "the SHA-256 of at least one API key");
+            reader.report_problem("key_sha256", "the SHA-256 of at least one API key");
         }
         for (const auto& hash : item.key_hashes) {
             check_key_hash(reader, section, hash);
@@ -199,16 +200,17 @@
 
     void check_key_hash(section_reader& reader, const ini_section& section, const std::string& hash) {
         if (!is_key_hash(hash)) {
-            // The value may be the API key itself, pasted by mistake. reader.complain() would quote it, and
-            // the secret would end up in terminals and logs.
+            // The value may be the API key itself, pasted by mistake. reader.report_problem() would quote it,
+            // and the secret would end up in terminals and logs.
             const auto* entry = section.find("key_sha256");
-            complain(entry->line, section.title() + ".key_sha256",
-                     "64 lower-case hexadecimal digits each (the SHA-256 of a key, never the key)");
+            report_problem(entry->line, section.title() + ".key_sha256",
+                           "64 lower-case hexadecimal digits each (the SHA-256 of a key, never the key)");
             return;
         }
         const auto* owner = m_result.find_workspace_by_key_hash(hash);
         if (owner != nullptr) {
-            reader.complain("key_sha256", "a key of its own; workspace " + owner->name + " has the same");
+            reader.report_problem("key_sha256",
+                                  "a key of its own; workspace " + owner->name + " has the same");
         }
     }
 
@@ -238,22 +240,22 @@
     static void check_targets_match_kind(section_reader& reader, const backend_server& item) {
         const bool is_engine = item.kind == backend_kind::engine;
         if (is_engine && !item.services.empty()) {
-            reader.complain("services", "no services where kind = engine");
+            reader.report_problem("services", "no services where kind = engine");
         }
         if (is_engine && item.models.empty()) {
-            reader.complain("models", "at least one model where kind = engine");
+            reader.report_problem("models", "at least one model where kind = engine");
         }
         if (!is_engine && !item.models.empty()) {
-            reader.complain("models", "no models where kind = service");
+            reader.report_problem("models", "no models where kind = service");
         }
         if (!is_engine && item.services.empty()) {
-            reader.complain("services", "at least one service where kind = service");
+            reader.report_problem("services", "at least one service where kind = service");
         }
         if (!is_engine && !item.adapters.empty()) {
-            reader.complain("adapters", "no adapters where kind = service");
+            reader.report_problem("adapters", "no adapters where kind = service");
         }
         if (!is_engine && !item.role.empty()) {
-            reader.complain("role", "no role where kind = service");
+            reader.report_problem("role", "no role where kind = service");
         }
     }
 
@@ -264,7 +266,8 @@
                        std::ranges::find(candidate.adapters, adapter) != candidate.adapters.end();
             });
             if (!is_known) {
-                reader.complain("adapters", "adapters of this server's models; none has \"" + adapter + "\"");
+                reader.report_problem("adapters",
+                                      "adapters of this server's models; none has \"" + adapter + "\"");
             }
         }
     }
@@ -284,7 +287,7 @@
         check_pattern(reader, "model", item.model, m_result.models);
         check_pattern(reader, "service", item.service, m_result.services);
         if (item.model.empty() == item.service.empty()) {
-            reader.complain(item.model.empty() ? "model" : "service", "either a model or a service");
+            reader.report_problem(item.model.empty() ? "model" : "service", "either a model or a service");
         }
         m_result.routes.push_back(std::move(item));
     }
@@ -299,7 +302,7 @@
 
     void check_document() {
         if (m_result.tiers.empty()) {
-            complain(0, "tier", "at least one [tier NAME] section");
+            report_problem(0, "tier", "at least one [tier NAME] section");
         }
         check_shared_names();
     }
@@ -309,7 +312,7 @@
     void check_shared_names() {
         for (const auto& section : m_document.sections) {
             if (section.kind == "service" && has_item(m_result.models, section.name)) {
-                complain(section.line, section.title(), "a name that no model has");
+                report_problem(section.line, section.title(), "a name that no model has");
             }
         }
     }
--- a/src/entry/entry_settings.cpp
+++ b/src/entry/entry_settings.cpp
@@ -49,7 +49,7 @@
     result.peers_listen = reader.address("peers_listen");
     result.admin_token_hash = reader.text("admin_token_sha256");
     if (!result.admin_token_hash.empty() && !is_sha256(result.admin_token_hash)) {
-        reader.complain("admin_token_sha256", "64 hexadecimal digits");
+        reader.report_problem("admin_token_sha256", "64 hexadecimal digits");
     }
     read_caller_limits(reader, result.callers);
     const auto placement = placements.at(reader.choice("placement", placements, 0));
--- a/src/experiment/experiment_reader.cpp
+++ b/src/experiment/experiment_reader.cpp
@@ -122,13 +122,13 @@
             const auto address = boost::asio::ip::make_address(text.substr(0, colon), error);
             const int port = colon == std::string::npos ? 0 : std::atoi(text.c_str() + colon + 1);
             if (error || port <= 0 || port > UINT16_MAX - ports_of_a_gateway) {
-                reader.complain("gateways", std::string(expected));
+                reader.report_problem("gateways", std::string(expected));
                 return;
             }
             m_plan.gateways.push_back({address, static_cast<std::uint16_t>(port)});
         }
         if (texts.empty()) {
-            reader.complain("gateways", std::string(expected) + " (the key is required)");
+            reader.report_problem("gateways", std::string(expected) + " (the key is required)");
         }
     }
 
@@ -166,7 +166,7 @@
         for (const auto& text : reader.list("speeds")) {
             const double speed = std::atof(text.c_str());
             if (speed <= 0) {
-                reader.complain("speeds", "time factors over 0, separated by commas");
+                reader.report_problem("speeds", "time factors over 0, separated by commas");
                 return {1};
             }
             result.push_back(speed);
@@ -206,7 +206,7 @@
         if (index) {
             route.services.push_back({*index, 1});
         } else {
-            reader.complain("service", "the name of a [service] section");
+            reader.report_problem("service", "the name of a [service] section");
         }
         reader.finish();
         m_plan.configuration.routes.push_back(std::move(route));
@@ -232,7 +232,7 @@
         if (route) {
             sizes.target = m_plan.configuration.routes[*route].latency_target;
         } else {
-            reader.complain("route", "the name of a [route] section");
+            reader.report_problem("route", "the name of a [route] section");
         }
         reader.finish();
         m_plan.callers.push_back(std::move(group));
@@ -247,7 +247,7 @@
         }
         const auto index = find_named(m_plan.configuration.workspaces, name);
         if (!index) {
-            reader.complain("workspace", "the name of a [workspace] section");
+            reader.report_problem("workspace", "the name of a [workspace] section");
             return {};
         }
         return m_plan.configuration.workspaces[*index].keys.front();
@@ -261,7 +261,7 @@
         burst.factor = reader.real("factor", 2, 0, 1000);
         burst.request_class = reader.text("callers", "");
         if (!burst.request_class.empty() && !find_named(m_plan.callers, burst.request_class)) {
-            reader.complain("callers", "the name of a [callers] section, or left out for all");
+            reader.report_problem("callers", "the name of a [callers] section, or left out for all");
         }
         reader.finish();
         m_plan.load.bursts.push_back(std::move(burst));
@@ -282,7 +282,7 @@
         const bool is_server_fault = fault.kind < fault_kind::store_refuses;
         const bool has_service = find_named(m_plan.configuration.services, fault.service).has_value();
         if (is_server_fault && !has_service) {
-            reader.complain("service", "the name of a [service] section");
+            reader.report_problem("service", "the name of a [service] section");
         }
         reader.finish();
         m_plan.faults.push_back(std::move(fault));
--- a/src/gateway/gateway_settings.cpp
+++ b/src/gateway/gateway_settings.cpp
@@ -19,7 +19,7 @@
         boost::system::error_code error;
         const auto address = boost::asio::ip::make_address(text.substr(0, text.rfind(':')), error);
         if (error) {
-            reader.complain("seeds", "IP numbers, with or without a port, separated by commas");
+            reader.report_problem("seeds", "IP numbers, with or without a port, separated by commas");
             return;
         }
         result.seeds.push_back(address);
--- a/src/process/common_settings.cpp
+++ b/src/process/common_settings.cpp
@@ -29,7 +29,7 @@
         reader.duration("heartbeat_period", common.heartbeat_period, min_period, max_period);
     common.silence_limit = reader.duration("silence_limit", common.silence_limit, min_period, max_period);
     if (common.silence_limit <= common.heartbeat_period) {
-        reader.complain("silence_limit", "a duration longer than heartbeat_period");
+        reader.report_problem("silence_limit", "a duration longer than heartbeat_period");
     }
     common.audit_period = reader.duration("audit_period", common.audit_period, min_period, max_period);
     reader.finish();
--- a/src/settings/ini_document.cpp
+++ b/src/settings/ini_document.cpp
@@ -42,7 +42,7 @@
             return;
         }
         if (has_control_character(line)) {
-            complain("", "text without control characters");
+            report_problem("", "text without control characters");
         } else if (line.front() == '[') {
             read_section(line);
         } else {
@@ -51,19 +51,19 @@
     }
 
 private:
-    void complain(std::string key, std::string expected) {
+    void report_problem(std::string key, std::string expected) {
         m_problems.push_back({m_document.file, m_line, std::move(key), std::move(expected)});
     }
 
     void read_section(std::string_view line) {
         m_section_is_usable = false;
         if (line.back() != ']') {
-            complain(std::string(line), "a section header closed by ]");
+            report_problem(std::string(line), "a section header closed by ]");
             return;
         }
         const auto title = trim(line.substr(1, line.size() - 2));
         if (title.empty()) {
-            complain("[]", "a section kind between [ and ]");
+            report_problem("[]", "a section kind between [ and ]");
             return;
         }
         const auto space = title.find_first_of(whitespace);
@@ -72,7 +72,7 @@
             section.name = trim(title.substr(space));
         }
         if (!m_titles.insert(section.title()).second) {
-            complain(section.title(), "each section once");
+            report_problem(section.title(), "each section once");
             return;
         }
         m_keys.clear();
@@ -84,11 +84,11 @@
         const auto equals = line.find('=');
         const auto key = trim(line.substr(0, equals));
         if (equals == std::string_view::npos || key.empty()) {
-            complain(std::string(line), "key = value");
+            report_problem(std::string(line), "key = value");
             return;
         }
         if (m_document.sections.empty()) {
-            complain(std::string(key), "a [section] before the first key");
+            report_problem(std::string(key), "a [section] before the first key");
             return;
         }
         if (!m_section_is_usable) {
@@ -96,7 +96,7 @@
         }
         auto& section = m_document.sections.back();
         if (!m_keys.emplace(key).second) {
-            complain(section.title() + "." + std::string(key), "each key once in its section");
+            report_problem(section.title() + "." + std::string(key), "each key once in its section");
             return;
         }
         section.entries.push_back({std::string(key), std::string(trim(line.substr(equals + 1))), m_line});
--- a/src/settings/section_reader.cpp
+++ b/src/settings/section_reader.cpp
@@ -124,12 +124,12 @@
 const ini_entry* section_reader::require(std::string_view key, std::string_view expected) {
     const auto* entry = find_and_mark_known(key);
     if (entry == nullptr) {
-        complain(key, std::string(expected) + " (the key is required)");
+        report_problem(key, std::string(expected) + " (the key is required)");
     }
     return entry;
 }
 
-void section_reader::complain(std::string_view key, std::string expected) {
+void section_reader::report_problem(std::string_view key, std::string expected) {
     const auto* entry = m_section == nullptr ? nullptr : m_section->find(key);
     unsigned line = m_section == nullptr ? 0 : m_section->line;
     if (entry != nullptr) {
@@ -142,7 +142,7 @@
 std::string section_reader::text(std::string_view key) {
     const auto* entry = require(key, "a value");
     if (entry != nullptr && entry->value.empty()) {
-        complain(key, "a value that isn't empty");
+        report_problem(key, "a value that isn't empty");
     }
     return entry == nullptr ? std::string() : entry->value;
 }
@@ -170,7 +170,7 @@
     }
     const auto value = parse_number<std::int64_t>(entry->value);
     if (!value || *value < lowest || *value > highest) {
-        complain(key, range_text("a whole number", std::to_string(lowest), std::to_string(highest)));
+        report_problem(key, range_text("a whole number", std::to_string(lowest), std::to_string(highest)));
         return fallback;
     }
     return *value;
@@ -183,7 +183,7 @@
     }
     const auto value = parse_number<double>(entry->value);
     if (!value || !(*value >= lowest && *value <= highest)) {
-        complain(key, range_text("a number", std::to_string(lowest), std::to_string(highest)));
+        report_problem(key, range_text("a number", std::to_string(lowest), std::to_string(highest)));
         return fallback;
     }
     return *value;
@@ -198,9 +198,9 @@
     }
     const auto value = parse_duration(entry->value);
     if (!value || *value < lowest || *value > highest) {
-        complain(key,
-                 range_text("a duration with its unit (ms, s, m, h)", std::to_string(lowest.count()) + "ms",
-                            std::to_string(highest.count()) + "ms"));
+        report_problem(key, range_text("a duration with its unit (ms, s, m, h)",
+                                       std::to_string(lowest.count()) + "ms",
+                                       std::to_string(highest.count()) + "ms"));
         return fallback;
     }
     return *value;
@@ -214,8 +214,8 @@
     }
     const auto value = parse_size(entry->value);
     if (!value || *value < lowest || *value > highest) {
-        complain(key, range_text("a size with its unit (B, KiB, MiB, GiB)", size_text(lowest),
-                                 size_text(highest)));
+        report_problem(key, range_text("a size with its unit (B, KiB, MiB, GiB)", size_text(lowest),
+                                       size_text(highest)));
         return fallback;
     }
     return *value;
@@ -228,7 +228,7 @@
     }
     const auto value = parse_address(entry->value);
     if (!value) {
-        complain(key, std::string(address_expected));
+        report_problem(key, std::string(address_expected));
     }
     return value.value_or(boost::asio::ip::tcp::endpoint());
 }
@@ -255,7 +255,7 @@
     for (const auto& choice : choices) {
         expected.append(" ").append(choice);
     }
-    complain(key, std::move(expected));
+    report_problem(key, std::move(expected));
     return fallback;
 }
 
--- a/src/settings/section_reader.hpp
+++ b/src/settings/section_reader.hpp
@@ -60,7 +60,7 @@
                                      std::size_t fallback);
 
     /// Appends a problem with this key. `expected` describes a valid value; the value found is added to it.
-    void complain(std::string_view key, std::string expected);
+    void report_problem(std::string_view key, std::string expected);
 
     /// Reports every key of the section that no call has asked for. Called after all known keys were read.
     void finish();
--- a/src/sidecar/sidecar_settings.cpp
+++ b/src/sidecar/sidecar_settings.cpp
@@ -56,7 +56,7 @@
     out.mark_limit = reader.duration("mark_limit", out.mark_limit, shortest, longest);
     out.mark_lifetime = reader.duration("mark_lifetime", out.mark_lifetime, shortest, longest_lifetime);
     if (out.order_timeout >= out.order_lease) {
-        reader.complain("order_timeout", "a duration shorter than order_lease");
+        reader.report_problem("order_timeout", "a duration shorter than order_lease");
     }
 }
 
