--- a/src/configuration/intent_parser.cpp
+++ b/src/configuration/intent_parser.cpp
@@ -141,7 +141,7 @@
             reader.duration("first_token", item.first_token_target, min_target, max_target);
         item.between_tokens_target =
             reader.duration("between_tokens", item.between_tokens_target, min_target, max_target);
-        reader.finish();
+        reader.report_unknown_keys();
         const auto same_rank = std::ranges::find(m_result.tiers, item.rank, &tier::rank);
         if (has_rank && same_rank != m_result.tiers.end()) {
             reader.report_problem("rank", "a rank of its own; tier " + same_rank->name + " has the same");
@@ -163,13 +163,13 @@
         if (item.expected_output_tokens > item.context_tokens) {
             reader.report_problem("expected_output_tokens", "no more than context_tokens");
         }
-        reader.finish();
+        reader.report_unknown_keys();
         m_result.models.push_back(std::move(item));
     }
 
     void read_service(const ini_section& section) {
         auto reader = reader_for(section);
-        reader.finish();
+        reader.report_unknown_keys();
         m_result.services.push_back({section.name});
     }
 
@@ -194,7 +194,7 @@
         item.tokens_per_second = reader.real("tokens_per_second", 0, 0, max_rate);
         item.concurrent_requests =
             static_cast<unsigned>(reader.number("concurrent_requests", 0, 0, max_concurrent_requests));
-        reader.finish();
+        reader.report_unknown_keys();
         m_result.workspaces.push_back(std::move(item));
     }
 
@@ -227,7 +227,7 @@
         item.slots = static_cast<unsigned>(reader.number("slots", item.slots, 1, max_slots));
         item.checks_fencing = reader.flag("checks_fencing", item.checks_fencing);
         item.drained = reader.flag("drained", item.drained);
-        reader.finish();
+        reader.report_unknown_keys();
         check_names(reader, "models", item.models, m_result.models, "model");
         check_names(reader, "services", item.services, m_result.services, "service");
         check_distinct(reader, "models", item.models);
@@ -281,7 +281,7 @@
         item.model = reader.text("model", "");
         item.service = reader.text("service", "");
         item.idempotent = reader.flag("idempotent", item.idempotent);
-        reader.finish();
+        reader.report_unknown_keys();
         check_names(reader, "tiers", item.tiers, m_result.tiers, "tier");
         check_pattern(reader, "workspace", item.workspace, m_result.workspaces);
         check_pattern(reader, "model", item.model, m_result.models);
--- a/src/entry/entry_settings.cpp
+++ b/src/entry/entry_settings.cpp
@@ -68,7 +68,7 @@
         reader.duration("claim_sweep_period", result.claim_sweep_period, min_duration, max_duration);
     result.stop_limit = reader.duration("stop_limit", result.stop_limit, min_duration, max_duration);
     result.answer_limit = reader.size("answer_limit", result.answer_limit, min_size, max_size);
-    reader.finish();
+    reader.report_unknown_keys();
     return result;
 }
 
--- a/src/experiment/experiment_reader.cpp
+++ b/src/experiment/experiment_reader.cpp
@@ -101,7 +101,7 @@
         m_plan.store = reader.address("store");
         m_plan.gateway_settings = read_gateway_settings(reader);
         read_gateways(reader);
-        reader.finish();
+        reader.report_unknown_keys();
     }
 
     /// Turns a comma-separated list of "key = value" pairs into lines of the gateways' settings files.
@@ -156,7 +156,7 @@
             engine.tokens_per_event = static_cast<unsigned>(reader.number("tokens_per_event", 4, 1, 10'000));
             service.engine = routing::engine_profile{group.slots, 0, engine.tokens_per_event};
         }
-        reader.finish();
+        reader.report_unknown_keys();
         m_plan.configuration.services.push_back(std::move(service));
         m_plan.servers.push_back(std::move(group));
     }
@@ -183,7 +183,7 @@
         workspace.rate = reader.real("tokens_per_second", 0, 0, most);
         workspace.burst = reader.real("token_burst", 0, 0, most);
         workspace.unit = routing::quota_unit::tokens;
-        reader.finish();
+        reader.report_unknown_keys();
         m_plan.configuration.workspaces.push_back(std::move(workspace));
     }
 
@@ -208,7 +208,7 @@
         } else {
             reader.report_problem("service", "the name of a [service] section");
         }
-        reader.finish();
+        reader.report_unknown_keys();
         m_plan.configuration.routes.push_back(std::move(route));
     }
 
@@ -234,7 +234,7 @@
         } else {
             reader.report_problem("route", "the name of a [route] section");
         }
-        reader.finish();
+        reader.report_unknown_keys();
         m_plan.callers.push_back(std::move(group));
         m_plan.load.classes.push_back(std::move(sizes));
     }
@@ -263,7 +263,7 @@
         if (!burst.request_class.empty() && !find_named(m_plan.callers, burst.request_class)) {
             reader.report_problem("callers", "the name of a [callers] section, or left out for all");
         }
-        reader.finish();
+        reader.report_unknown_keys();
         m_plan.load.bursts.push_back(std::move(burst));
     }
 
@@ -284,7 +284,7 @@
         if (is_server_fault && !has_service) {
             reader.report_problem("service", "the name of a [service] section");
         }
-        reader.finish();
+        reader.report_unknown_keys();
         m_plan.faults.push_back(std::move(fault));
     }
 
--- a/src/gateway/gateway_settings.cpp
+++ b/src/gateway/gateway_settings.cpp
@@ -78,7 +78,7 @@
     result.backend_heartbeat =
         reader.duration("backend_heartbeat", result.backend_heartbeat, shortest, longest);
     read_slots(reader, result.slots);
-    reader.finish();
+    reader.report_unknown_keys();
     return result;
 }
 
--- a/src/process/common_settings.cpp
+++ b/src/process/common_settings.cpp
@@ -32,14 +32,14 @@
         reader.report_problem("silence_limit", "a duration longer than heartbeat_period");
     }
     common.audit_period = reader.duration("audit_period", common.audit_period, min_period, max_period);
-    reader.finish();
+    reader.report_unknown_keys();
 }
 
 void read_platform(settings::section_reader reader, common_settings& common) {
     common.platform = reader.address("address");
     common.poll_period = reader.duration("poll_period", common.poll_period, min_period, max_period);
     common.platform_timeout = reader.duration("timeout", common.platform_timeout, min_period, max_period);
-    reader.finish();
+    reader.report_unknown_keys();
 }
 
 } // namespace
--- a/src/settings/section_reader.cpp
+++ b/src/settings/section_reader.cpp
@@ -259,7 +259,7 @@
     return fallback;
 }
 
-void section_reader::finish() {
+void section_reader::report_unknown_keys() {
     if (m_section == nullptr) {
         return;
     }
--- a/src/settings/section_reader.hpp
+++ b/src/settings/section_reader.hpp
@@ -23,9 +23,9 @@
 /// Splits a comma-separated list such as "a, b, c". Spaces around the parts and empty parts are dropped.
 [[nodiscard]] std::vector<std::string> split_list(std::string_view text);
 
-/// Reads one section. Each member function that reads a value marks its key as known; finish() reports the
-/// keys that are not known. A value that is invalid or out of range is reported as a problem and replaced by
-/// the fallback.
+/// Reads one section. Each member function that reads a value marks its key as known; report_unknown_keys()
+/// reports the keys that are not known. A value that is invalid or out of range is reported as a problem and
+/// replaced by the fallback.
 class section_reader {
 public:
     /// `section` may be null if the file doesn't have the section: every key then has its fallback value, and
@@ -63,7 +63,7 @@
     void report_problem(std::string_view key, std::string expected);
 
     /// Reports every key of the section that no call has asked for. Called after all known keys were read.
-    void finish();
+    void report_unknown_keys();
 
 private:
     /// Marks the key as known and returns its entry; null if the section doesn't have it.
--- a/src/sidecar/sidecar_settings.cpp
+++ b/src/sidecar/sidecar_settings.cpp
@@ -84,7 +84,7 @@
     read_queue(reader, out);
     read_answers(reader, out);
     read_backend(reader, out);
-    reader.finish();
+    reader.report_unknown_keys();
     return out;
 }
 
