--- a/src/admin/planner.cpp
+++ b/src/admin/planner.cpp
@@ -57,7 +57,7 @@
     if (head > m_follower.revision()) {
         const auto row = co_await m_store.read_revision(head);
         if (row) {
-            m_follower.take_committed(row->revision, row->text);
+            m_follower.apply_committed(row->revision, row->text);
         }
     }
     co_return m_follower.current();
@@ -113,7 +113,7 @@
         }
         // The revision that was committed in between may also change this server. The operator's order is
         // applied on top of that revision.
-        m_follower.take_committed(result.commit.revision.revision, result.commit.revision.text);
+        m_follower.apply_committed(result.commit.revision.revision, result.commit.revision.text);
     }
     co_return result;
 }
@@ -126,7 +126,7 @@
     const auto accepted = steady_clock::now();
     const auto& revision = result.commit.revision;
     // From here on peers get the revision from this process, even if the platform fails now.
-    m_follower.take_committed(revision.revision, revision.text);
+    m_follower.apply_committed(revision.revision, revision.text);
     if (result.commit.verdict == commit_verdict::conflict) {
         co_return result;
     }
--- a/src/configuration/configuration_follower.cpp
+++ b/src/configuration/configuration_follower.cpp
@@ -269,7 +269,7 @@
     return m_state->freezes;
 }
 
-bool configuration_follower::take_committed(revision_number revision, std::string_view text) {
+bool configuration_follower::apply_committed(revision_number revision, std::string_view text) {
     return m_state->apply(revision, text, "operator");
 }
 
--- a/src/configuration/configuration_follower.hpp
+++ b/src/configuration/configuration_follower.hpp
@@ -48,7 +48,7 @@
 
     /// Puts a revision in force that this process has committed to the table or read from it. Ignored unless
     /// it is newer and valid. Returns whether it was put in force.
-    bool take_committed(revision_number revision, std::string_view text);
+    bool apply_committed(revision_number revision, std::string_view text);
 
     /// Puts a revision in force that a peer sent. Ignored unless it is newer and valid. Returns whether it
     /// was put in force.
