--- a/src/admin/configuration_exchange.cpp
+++ b/src/admin/configuration_exchange.cpp
@@ -20,7 +20,7 @@
 void exchange_configuration(configuration::configuration_follower& follower, const wire::envelope& received,
                             wire::peer_connection& connection) {
     if (const auto* reply = std::get_if<wire::configuration_reply_message>(&received.content)) {
-        follower.take_from_peer(reply->revision, reply->deflated_text);
+        follower.apply_from_peer(reply->revision, reply->deflated_text);
         return;
     }
     if (std::holds_alternative<wire::configuration_request_message>(received.content)) {
--- a/src/configuration/configuration_follower.cpp
+++ b/src/configuration/configuration_follower.cpp
@@ -273,8 +273,8 @@
     return m_state->apply(revision, text, "operator");
 }
 
-bool configuration_follower::take_from_peer(revision_number revision,
-                                            std::span<const std::uint8_t> deflated_text) {
+bool configuration_follower::apply_from_peer(revision_number revision,
+                                             std::span<const std::uint8_t> deflated_text) {
     if (revision <= m_state->current.load()->revision) {
         return false;
     }
--- a/src/configuration/configuration_follower.hpp
+++ b/src/configuration/configuration_follower.hpp
@@ -52,7 +52,7 @@
 
     /// Puts a revision in force that a peer sent. Ignored unless it is newer and valid. Returns whether it
     /// was put in force.
-    bool take_from_peer(revision_number revision, std::span<const std::uint8_t> deflated_text);
+    bool apply_from_peer(revision_number revision, std::span<const std::uint8_t> deflated_text);
 
     /// Waits until a revision above `revision` is in force in this process, at most for `limit`. Returns
     /// whether one is. For callers whose request a peer refused because the two processes had different
--- a/src/sidecar/sidecar_core.cpp
+++ b/src/sidecar/sidecar_core.cpp
@@ -75,7 +75,7 @@
             } else if constexpr (std::is_same_v<type, wire::configuration_request_message>) {
                 send_configuration(connection);
             } else if constexpr (std::is_same_v<type, wire::configuration_reply_message>) {
-                m_context.configuration.take_from_peer(message.revision, message.deflated_text);
+                m_context.configuration.apply_from_peer(message.revision, message.deflated_text);
                 finish_verification(m_verification);
             } else if constexpr (std::is_same_v<type, wire::crash_mark_message>) {
                 m_context.marks.add_received(message.fingerprint,
--- a/tests/unit/test_configuration_follower.cpp
+++ b/tests/unit/test_configuration_follower.cpp
@@ -99,7 +99,7 @@
     system.commit(0);
     system.service.set_stale_reads(true);
     system.commit(1);
-    REQUIRE(system.follower.take_from_peer(2, deflate_text(intent(2))));
+    REQUIRE(system.follower.apply_from_peer(2, deflate_text(intent(2))));
     system.start();
     system.changes.wait_for(2);
     system.follower.poll_soon();
@@ -113,10 +113,10 @@
     // The peer has an older revision, or the text in its message was damaged. In neither case may it replace
     // the configuration in force.
     fixture system;
-    CHECK(system.follower.take_from_peer(5, deflate_text(intent(5))));
-    CHECK_FALSE(system.follower.take_from_peer(5, deflate_text(intent(6))));
-    CHECK_FALSE(system.follower.take_from_peer(4, deflate_text(intent(4))));
-    CHECK_FALSE(system.follower.take_from_peer(6, deflate_text("[tier high\nrank = zero\n")));
+    CHECK(system.follower.apply_from_peer(5, deflate_text(intent(5))));
+    CHECK_FALSE(system.follower.apply_from_peer(5, deflate_text(intent(6))));
+    CHECK_FALSE(system.follower.apply_from_peer(4, deflate_text(intent(4))));
+    CHECK_FALSE(system.follower.apply_from_peer(6, deflate_text("[tier high\nrank = zero\n")));
     CHECK(system.follower.revision() == 5);
     CHECK(system.follower.current()->find_model("m")->version == "5");
 }
@@ -125,7 +125,7 @@
     fixture system;
     system.service.answer_with(503);
     system.start();
-    REQUIRE(system.follower.take_from_peer(7, deflate_text(intent(7))));
+    REQUIRE(system.follower.apply_from_peer(7, deflate_text(intent(7))));
     system.changes.wait_for(7);
     CHECK(system.follower.revision() == 7);
 }
@@ -134,13 +134,13 @@
           "[configuration]") {
     fixture system;
     system.start();
-    REQUIRE(system.follower.take_from_peer(1, deflate_text(intent(1))));
+    REQUIRE(system.follower.apply_from_peer(1, deflate_text(intent(1))));
     CHECK(system.runtime.wait_for(system.follower.wait_past(0, std::chrono::hours(1))));
     CHECK_FALSE(system.runtime.wait_for(system.follower.wait_past(1, std::chrono::milliseconds(1))));
     auto waiting = std::async(std::launch::async, [&system] {
         return system.runtime.wait_for(system.follower.wait_past(1, std::chrono::hours(1)));
     });
-    REQUIRE(system.follower.take_from_peer(2, deflate_text(intent(2))));
+    REQUIRE(system.follower.apply_from_peer(2, deflate_text(intent(2))));
     CHECK(waiting.get());
 }
 
@@ -155,7 +155,7 @@
             peers.emplace_back([&system, peer] {
                 for (revision_number step = 0; step < 50; ++step) {
                     static_cast<void>(
-                        system.follower.take_from_peer(step * peer_count + peer, deflate_text(intent(1))));
+                        system.follower.apply_from_peer(step * peer_count + peer, deflate_text(intent(1))));
                 }
             });
         }
