--- a/src/configuration/configuration_follower.cpp
+++ b/src/configuration/configuration_follower.cpp
@@ -37,7 +37,8 @@
 /// that is merely busy is late by less.
 constexpr std::chrono::milliseconds freeze_threshold{750};
 
-/// A coroutine in wait_past(). It is resumed once: by a revision higher than `above` or by its time limit.
+/// A coroutine in wait_for_newer(). It is resumed once: by a revision higher than `above` or by its time
+/// limit.
 struct revision_waiter {
     revision_number above = 0;
     std::shared_ptr<std::atomic<bool>> is_woken;
@@ -286,8 +287,8 @@
     }
 }
 
-asio::awaitable<bool> configuration_follower::wait_past(revision_number revision,
-                                                        std::chrono::milliseconds limit) {
+asio::awaitable<bool> configuration_follower::wait_for_newer(revision_number revision,
+                                                             std::chrono::milliseconds limit) {
     const auto shared = m_state;
     const auto executor = co_await asio::this_coro::executor;
     timer_subscription timeout;
--- a/src/configuration/configuration_follower.hpp
+++ b/src/configuration/configuration_follower.hpp
@@ -57,7 +57,7 @@
     /// Waits until a revision above `revision` is in force in this process, at most for `limit`. Returns
     /// whether one is. For callers whose request a peer refused because the two processes had different
     /// revisions.
-    boost::asio::awaitable<bool> wait_past(revision_number revision, std::chrono::milliseconds limit);
+    boost::asio::awaitable<bool> wait_for_newer(revision_number revision, std::chrono::milliseconds limit);
 
     /// Polls the table now instead of at the next period, for example when a peer is known to have a newer
     /// revision but can't be asked for it.
--- a/src/entry/request_run.cpp
+++ b/src/entry/request_run.cpp
@@ -92,7 +92,7 @@
         }
         if (m_not_begun && m_not_begun->kind() == error_kind::stale_revision) {
             // Either this entry or the sidecar has an older revision and is fetching the newer one now.
-            co_await m_context.configuration.wait_past(m_call.configuration->revision, revision_wait);
+            co_await m_context.configuration.wait_for_newer(m_call.configuration->revision, revision_wait);
         }
     }
 }
--- a/tests/unit/test_configuration_follower.cpp
+++ b/tests/unit/test_configuration_follower.cpp
@@ -135,10 +135,10 @@
     fixture system;
     system.start();
     REQUIRE(system.follower.apply_from_peer(1, deflate_text(intent(1))));
-    CHECK(system.runtime.wait_for(system.follower.wait_past(0, std::chrono::hours(1))));
-    CHECK_FALSE(system.runtime.wait_for(system.follower.wait_past(1, std::chrono::milliseconds(1))));
+    CHECK(system.runtime.wait_for(system.follower.wait_for_newer(0, std::chrono::hours(1))));
+    CHECK_FALSE(system.runtime.wait_for(system.follower.wait_for_newer(1, std::chrono::milliseconds(1))));
     auto waiting = std::async(std::launch::async, [&system] {
-        return system.runtime.wait_for(system.follower.wait_past(1, std::chrono::hours(1)));
+        return system.runtime.wait_for(system.follower.wait_for_newer(1, std::chrono::hours(1)));
     });
     REQUIRE(system.follower.apply_from_peer(2, deflate_text(intent(2))));
     CHECK(waiting.get());
