--- a/src/admin/administration.cpp
+++ b/src/admin/administration.cpp
@@ -199,7 +199,7 @@
 asio::awaitable<http::response> administration::make_plan(const admin_call& call) {
     const auto file = http::query_value(call.request.target, "file").value_or("intent");
     const auto result =
-        co_await m_planner.make_plan(call.request.body, file, call.operator_name, limits_in_use());
+        co_await m_planner.make_plan(call.request.body, file, call.operator_name, workspace_usage());
     if (!result.problems.empty()) {
         co_return problems_answer(result.problems);
     }
@@ -242,7 +242,7 @@
 
 asio::awaitable<http::response> administration::revert_revision(const admin_call& call) {
     const auto number = parse_count(call.arguments.front(), "the revision");
-    const auto result = co_await m_planner.make_revert_plan(number, call.operator_name, limits_in_use());
+    const auto result = co_await m_planner.make_revert_plan(number, call.operator_name, workspace_usage());
     if (!result.problems.empty()) {
         co_return problems_answer(result.problems);
     }
@@ -295,7 +295,7 @@
 }
 
 asio::awaitable<http::response> administration::show_limits(const admin_call& /*call*/) {
-    co_return limits_answer(*m_context.follower.current(), limits_in_use());
+    co_return limits_answer(*m_context.follower.current(), workspace_usage());
 }
 
 asio::awaitable<http::response> administration::explain_request(const admin_call& call) {
@@ -327,8 +327,8 @@
     co_return explanation_answer(co_await m_view.find_requests(query));
 }
 
-std::vector<configuration::workspace_use> administration::limits_in_use() const {
-    return m_view.limits_in_use ? m_view.limits_in_use() : std::vector<configuration::workspace_use>();
+std::vector<configuration::workspace_use> administration::workspace_usage() const {
+    return m_view.workspace_usage ? m_view.workspace_usage() : std::vector<configuration::workspace_use>();
 }
 
 /// Returns nothing if the table doesn't answer: `status` must still work during an outage of the platform and
--- a/src/admin/administration.hpp
+++ b/src/admin/administration.hpp
@@ -84,7 +84,7 @@
     boost::asio::awaitable<http::response> find_requests(const admin_call& call);
 
     /// What each workspace uses at this entry; empty if the entry doesn't measure it.
-    [[nodiscard]] std::vector<configuration::workspace_use> limits_in_use() const;
+    [[nodiscard]] std::vector<configuration::workspace_use> workspace_usage() const;
     boost::asio::awaitable<std::optional<configuration::revision_number>> read_head();
     boost::asio::awaitable<std::optional<configuration::spread_row>>
     read_spread(configuration::revision_number revision);
--- a/src/admin/node_view.hpp
+++ b/src/admin/node_view.hpp
@@ -50,7 +50,7 @@
 struct node_view {
     std::function<std::vector<backend_server_state>()> backend_servers;
     /// What each workspace uses at this entry.
-    std::function<std::vector<configuration::workspace_use>()> limits_in_use;
+    std::function<std::vector<configuration::workspace_use>()> workspace_usage;
     /// Explains one request; nothing if no audit record of it was found.
     std::function<boost::asio::awaitable<std::optional<explanation>>(request_id)> explain;
     std::function<boost::asio::awaitable<explanation>(request_query)> find_requests;
--- a/src/entry/entry_process.cpp
+++ b/src/entry/entry_process.cpp
@@ -168,7 +168,7 @@
     view.backend_servers = [this] {
         return describe_servers();
     };
-    view.limits_in_use = [this] {
+    view.workspace_usage = [this] {
         return m_admissions.use();
     };
     view.explain = [this](request_id request) {
