--- a/src/audit/explainer.cpp
+++ b/src/audit/explainer.cpp
@@ -66,16 +66,16 @@
 
     [[nodiscard]] time_point last_record_time() const {
         time_point last;
-        for (const auto& witnessed : m_found.records) {
-            last = std::max(last, witnessed.audit_record.time);
+        for (const auto& attributed : m_found.records) {
+            last = std::max(last, attributed.audit_record.time);
         }
         return last;
     }
 
     findings finish() {
         add_missing_batch_remarks();
-        std::ranges::sort(m_found.records, {}, [](const witnessed_record& witnessed) {
-            return std::pair(witnessed.audit_record.time, witnessed.role);
+        std::ranges::sort(m_found.records, {}, [](const witnessed_record& attributed) {
+            return std::pair(attributed.audit_record.time, attributed.role);
         });
         return std::move(m_found);
     }
@@ -156,9 +156,9 @@
 /// The backend servers named in the records found so far.
 std::set<std::string> named_servers(const findings& found) {
     std::set<std::string> out;
-    for (const auto& witnessed : found.records) {
-        if (!witnessed.audit_record.backend_server.empty()) {
-            out.insert(witnessed.audit_record.backend_server);
+    for (const auto& attributed : found.records) {
+        if (!attributed.audit_record.backend_server.empty()) {
+            out.insert(attributed.audit_record.backend_server);
         }
     }
     return out;
--- a/src/audit/narrative.cpp
+++ b/src/audit/narrative.cpp
@@ -174,11 +174,11 @@
     return out;
 }
 
-std::string describe_step(const witnessed_record& witnessed) {
-    const auto& audit_record = witnessed.audit_record;
-    std::string out = format_time(audit_record.time) + " " + witnessed.role + " " + witnessed.writer + ": " +
-                      std::string(to_string(audit_record.what));
-    if (witnessed.role == "entry" && !audit_record.backend_server.empty()) {
+std::string describe_step(const witnessed_record& attributed) {
+    const auto& audit_record = attributed.audit_record;
+    std::string out = format_time(audit_record.time) + " " + attributed.role + " " + attributed.writer +
+                      ": " + std::string(to_string(audit_record.what));
+    if (attributed.role == "entry" && !audit_record.backend_server.empty()) {
         out += audit_record.what == event::offered ? " to " : " at ";
         out += audit_record.backend_server;
     }
@@ -232,8 +232,8 @@
         out.insert(out.end(), summary.begin(), summary.end());
         out.emplace_back("Steps:");
     }
-    for (const auto& witnessed : history.records) {
-        out.push_back("  " + describe_step(witnessed));
+    for (const auto& attributed : history.records) {
+        out.push_back("  " + describe_step(attributed));
     }
     for (const auto& remark : found.remarks) {
         out.push_back("Missing: " + remark);
@@ -244,11 +244,11 @@
 std::string describe_request_as_json(const request_id& request, const findings& found) {
     const auto history = make_history(request, found);
     json::array steps;
-    for (const auto& witnessed : history.records) {
-        const auto& audit_record = witnessed.audit_record;
+    for (const auto& attributed : history.records) {
+        const auto& audit_record = attributed.audit_record;
         json::object step{{"time", format_time(audit_record.time)},
-                          {"role", witnessed.role},
-                          {"writer", witnessed.writer},
+                          {"role", attributed.role},
+                          {"writer", attributed.writer},
                           {"event", to_string(audit_record.what)},
                           {"revision", audit_record.revision}};
         if (!audit_record.dispatch.is_none()) {
--- a/src/audit/request_history.cpp
+++ b/src/audit/request_history.cpp
@@ -85,35 +85,35 @@
            what == event::cancelled;
 }
 
-void apply_to_attempt(request_history& history, const witnessed_record& witnessed) {
-    const auto& audit_record = witnessed.audit_record;
+void apply_to_attempt(request_history& history, const witnessed_record& attributed) {
+    const auto& audit_record = attributed.audit_record;
     auto& offer = find_attempt(history, audit_record);
     offer.revision = audit_record.revision;
     if (!audit_record.backend_server.empty()) {
         offer.backend_server = audit_record.backend_server;
     }
-    if (witnessed.role == entry_role) {
+    if (attributed.role == entry_role) {
         apply_entry_record(offer, audit_record);
     } else {
         apply_sidecar_record(offer, audit_record);
     }
 }
 
-void apply_record(request_history& history, const witnessed_record& witnessed) {
-    const auto& audit_record = witnessed.audit_record;
-    history.records.push_back(witnessed);
+void apply_record(request_history& history, const witnessed_record& attributed) {
+    const auto& audit_record = attributed.audit_record;
+    history.records.push_back(attributed);
     if (history.workspace.empty()) {
         history.workspace = audit_record.workspace;
         history.tier = audit_record.tier;
         history.target = audit_record.target;
     }
     if (!audit_record.dispatch.is_none()) {
-        apply_to_attempt(history, witnessed);
+        apply_to_attempt(history, attributed);
     }
-    if (witnessed.role != entry_role) {
+    if (attributed.role != entry_role) {
         return;
     }
-    history.entry = witnessed.writer;
+    history.entry = attributed.writer;
     if (audit_record.what == event::received) {
         history.received = audit_record.time;
         history.revision = audit_record.revision;
@@ -144,9 +144,9 @@
 request_history make_history(const request_id& request, const findings& found) {
     request_history history;
     history.request = request;
-    for (const auto& witnessed : found.records) {
-        if (witnessed.audit_record.request == request) {
-            apply_record(history, witnessed);
+    for (const auto& attributed : found.records) {
+        if (attributed.audit_record.request == request) {
+            apply_record(history, attributed);
         }
     }
     return history;
@@ -155,8 +155,8 @@
 std::vector<request_history> make_histories(const findings& found) {
     std::vector<request_history> histories;
     std::map<request_id, std::size_t> indexes;
-    for (const auto& witnessed : found.records) {
-        const auto& request = witnessed.audit_record.request;
+    for (const auto& attributed : found.records) {
+        const auto& request = attributed.audit_record.request;
         if (request.is_none()) {
             continue;
         }
@@ -164,7 +164,7 @@
         if (is_new) {
             histories.emplace_back().request = request;
         }
-        apply_record(histories.at(position->second), witnessed);
+        apply_record(histories.at(position->second), attributed);
     }
     return histories;
 }
