--- a/src/audit/explainer.cpp
+++ b/src/audit/explainer.cpp
@@ -74,7 +74,7 @@
 
     findings finish() {
         add_missing_batch_remarks();
-        std::ranges::sort(m_found.records, {}, [](const witnessed_record& attributed) {
+        std::ranges::sort(m_found.records, {}, [](const attributed_record& attributed) {
             return std::pair(attributed.audit_record.time, attributed.role);
         });
         return std::move(m_found);
--- a/src/audit/findings.hpp
+++ b/src/audit/findings.hpp
@@ -10,7 +10,7 @@
 namespace borageford::audit {
 
 /// A record and the process that wrote it.
-struct witnessed_record {
+struct attributed_record {
     record audit_record;
     std::string role;   ///< "entry" or "sidecar"
     std::string writer; ///< the entry's VM or the sidecar's backend server
@@ -18,7 +18,7 @@
 
 /// The records found by a search, and what it couldn't find.
 struct findings {
-    std::vector<witnessed_record> records; ///< sorted by time
+    std::vector<attributed_record> records; ///< sorted by time
     /// Sentences about records that are missing or couldn't be read. Without them, an auditor could take
     /// missing records as proof that nothing happened.
     std::vector<std::string> remarks;
--- a/src/audit/narrative.cpp
+++ b/src/audit/narrative.cpp
@@ -174,7 +174,7 @@
     return out;
 }
 
-std::string describe_step(const witnessed_record& attributed) {
+std::string describe_step(const attributed_record& attributed) {
     const auto& audit_record = attributed.audit_record;
     std::string out = format_time(audit_record.time) + " " + attributed.role + " " + attributed.writer +
                       ": " + std::string(to_string(audit_record.what));
--- a/src/audit/request_history.cpp
+++ b/src/audit/request_history.cpp
@@ -85,7 +85,7 @@
            what == event::cancelled;
 }
 
-void apply_to_attempt(request_history& history, const witnessed_record& attributed) {
+void apply_to_attempt(request_history& history, const attributed_record& attributed) {
     const auto& audit_record = attributed.audit_record;
     auto& offer = find_attempt(history, audit_record);
     offer.revision = audit_record.revision;
@@ -99,7 +99,7 @@
     }
 }
 
-void apply_record(request_history& history, const witnessed_record& attributed) {
+void apply_record(request_history& history, const attributed_record& attributed) {
     const auto& audit_record = attributed.audit_record;
     history.records.push_back(attributed);
     if (history.workspace.empty()) {
--- a/src/audit/request_history.hpp
+++ b/src/audit/request_history.hpp
@@ -53,7 +53,7 @@
     /// The entry's last record about the whole request: answered, refused, failed or cancelled.
     std::optional<record> outcome;
     std::vector<attempt> attempts; ///< in the order of their first record
-    std::vector<witnessed_record> records;
+    std::vector<attributed_record> records;
 
     /// The attempts that ran.
     [[nodiscard]] std::vector<const attempt*> runs() const;
