--- a/src/audit/explainer.cpp
+++ b/src/audit/explainer.cpp
@@ -62,7 +62,7 @@
         }
     }
 
-    [[nodiscard]] const findings& found() const { return m_found; }
+    [[nodiscard]] const search_result& found() const { return m_found; }
 
     [[nodiscard]] time_point last_record_time() const {
         time_point last;
@@ -72,7 +72,7 @@
         return last;
     }
 
-    findings finish() {
+    search_result finish() {
         add_missing_batch_remarks();
         std::ranges::sort(m_found.records, {}, [](const attributed_record& attributed) {
             return std::pair(attributed.audit_record.time, attributed.role);
@@ -139,7 +139,7 @@
     store::object_store& m_store;
     const explainer_limits& m_limits;
     record_filter m_wanted;
-    findings m_found;
+    search_result m_found;
     std::set<std::string> m_read_objects;
     std::map<std::pair<std::string, identifier>, std::set<std::uint64_t>> m_sequences;
 };
@@ -154,7 +154,7 @@
 };
 
 /// The backend servers named in the records found so far.
-std::set<std::string> named_servers(const findings& found) {
+std::set<std::string> named_servers(const search_result& found) {
     std::set<std::string> out;
     for (const auto& attributed : found.records) {
         if (!attributed.audit_record.backend_server.empty()) {
@@ -217,7 +217,7 @@
     }
 }
 
-asio::awaitable<findings> explainer::find_request(request_id request) {
+asio::awaitable<search_result> explainer::find_request(request_id request) {
     const auto start = start_time(request);
     const auto now = m_now();
     search current_search(m_store, m_limits,
@@ -237,7 +237,8 @@
     co_return current_search.finish();
 }
 
-asio::awaitable<findings> explainer::find_workspace(std::string workspace, time_point from, time_point to) {
+asio::awaitable<search_result> explainer::find_workspace(std::string workspace, time_point from,
+                                                         time_point to) {
     const auto last_minute = minute_of(std::min(m_now(), to + m_limits.batch_delay));
     search current_search(m_store, m_limits, [&](const record& audit_record) {
         return (workspace.empty() || audit_record.workspace == workspace) && audit_record.time >= from &&
--- a/src/audit/explainer.hpp
+++ b/src/audit/explainer.hpp
@@ -40,13 +40,13 @@
 
     /// Finds what entries and sidecars recorded about the request. Throws store::store_error if the object
     /// store doesn't answer.
-    [[nodiscard]] boost::asio::awaitable<findings> find_request(request_id request);
+    [[nodiscard]] boost::asio::awaitable<search_result> find_request(request_id request);
 
     /// Finds what entries recorded from `from` to `to` about the requests of the workspace; an empty name
     /// means all workspaces. Throws store::store_error if the object store doesn't answer.
-    [[nodiscard]] boost::asio::awaitable<findings> find_workspace(std::string workspace,
-                                                                  std::chrono::system_clock::time_point from,
-                                                                  std::chrono::system_clock::time_point to);
+    [[nodiscard]] boost::asio::awaitable<search_result>
+    find_workspace(std::string workspace, std::chrono::system_clock::time_point from,
+                   std::chrono::system_clock::time_point to);
 
 private:
     class search;
--- a/src/audit/findings.hpp
+++ b/src/audit/findings.hpp
@@ -17,7 +17,7 @@
 };
 
 /// The records found by a search, and what it couldn't find.
-struct findings {
+struct search_result {
     std::vector<attributed_record> records; ///< sorted by time
     /// Sentences about records that are missing or couldn't be read. Without them, an auditor could take
     /// missing records as proof that nothing happened.
--- a/src/audit/narrative.cpp
+++ b/src/audit/narrative.cpp
@@ -224,7 +224,7 @@
     return text.data();
 }
 
-std::vector<std::string> describe_request(const request_id& request, const findings& found) {
+std::vector<std::string> describe_request(const request_id& request, const search_result& found) {
     const auto history = make_history(request, found);
     std::vector<std::string> out{describe_subject(history)};
     if (!history.records.empty()) {
@@ -241,7 +241,7 @@
     return out;
 }
 
-std::string describe_request_as_json(const request_id& request, const findings& found) {
+std::string describe_request_as_json(const request_id& request, const search_result& found) {
     const auto history = make_history(request, found);
     json::array steps;
     for (const auto& attributed : history.records) {
@@ -273,7 +273,8 @@
     return json::serialize(out);
 }
 
-std::vector<std::string> list_requests(std::string_view workspace, const findings& found, std::size_t limit) {
+std::vector<std::string> list_requests(std::string_view workspace, const search_result& found,
+                                       std::size_t limit) {
     std::vector<std::string> out;
     std::size_t left_out = 0;
     for (const auto& history : make_histories(found)) {
--- a/src/audit/request_history.cpp
+++ b/src/audit/request_history.cpp
@@ -141,7 +141,7 @@
     return std::ranges::any_of(attempts, &attempt::may_have_run);
 }
 
-request_history make_history(const request_id& request, const findings& found) {
+request_history make_history(const request_id& request, const search_result& found) {
     request_history history;
     history.request = request;
     for (const auto& attributed : found.records) {
@@ -152,7 +152,7 @@
     return history;
 }
 
-std::vector<request_history> make_histories(const findings& found) {
+std::vector<request_history> make_histories(const search_result& found) {
     std::vector<request_history> histories;
     std::map<request_id, std::size_t> indexes;
     for (const auto& attributed : found.records) {
--- a/src/audit/request_history.hpp
+++ b/src/audit/request_history.hpp
@@ -62,9 +62,9 @@
 };
 
 /// Builds the history of one request. Records of other requests are ignored.
-[[nodiscard]] request_history make_history(const request_id& request, const findings& found);
+[[nodiscard]] request_history make_history(const request_id& request, const search_result& found);
 
 /// Builds the history of each request whose records were found, in the order of their first records.
-[[nodiscard]] std::vector<request_history> make_histories(const findings& found);
+[[nodiscard]] std::vector<request_history> make_histories(const search_result& found);
 
 } // namespace borageford::audit
--- a/tests/unit/test_audit_explainer.cpp
+++ b/tests/unit/test_audit_explainer.cpp
@@ -80,7 +80,7 @@
         }
     }
 
-    audit::findings run_search(boost::asio::awaitable<audit::findings> search) {
+    audit::search_result run_search(boost::asio::awaitable<audit::search_result> search) {
         auto answer = boost::asio::co_spawn(context, std::move(search), boost::asio::use_future);
         context.restart();
         while (answer.wait_for(0s) != std::future_status::ready && context.run_one_for(20s) > 0) {
@@ -89,7 +89,7 @@
         return answer.get();
     }
 
-    audit::findings find(audit::time_point now = noon + 1h) {
+    audit::search_result find(audit::time_point now = noon + 1h) {
         audit::explainer explainer(store, {}, [now] { return now; });
         return run_search(explainer.find_request(request));
     }
