--- a/src/audit/explainer.hpp
+++ b/src/audit/explainer.hpp
@@ -3,7 +3,7 @@
 #pragma once
 
 #include "audit/batch_key.hpp"
-#include "audit/findings.hpp"
+#include "audit/search_result.hpp"
 #include "store/object_store.hpp"
 
 #include <boost/asio/awaitable.hpp>
--- a/src/audit/narrative.hpp
+++ b/src/audit/narrative.hpp
@@ -1,7 +1,7 @@
 // Explains what happened to a request, as English sentences for an auditor and as JSON for programs.
 #pragma once
 
-#include "audit/findings.hpp"
+#include "audit/search_result.hpp"
 
 #include <cstddef>
 #include <string>
--- a/src/audit/request_history.hpp
+++ b/src/audit/request_history.hpp
@@ -2,7 +2,7 @@
 // that request.
 #pragma once
 
-#include "audit/findings.hpp"
+#include "audit/search_result.hpp"
 
 #include <chrono>
 #include <optional>
