--- a/src/audit/explainer.cpp
+++ b/src/audit/explainer.cpp
@@ -42,7 +42,7 @@
     using key_filter = std::function<bool(const batch_key&)>;
     using record_filter = std::function<bool(const record&)>;
 
-    search(store::object_store& store, const explainer_limits& limits, record_filter wanted)
+    search(store::object_store& store, const record_finder_limits& limits, record_filter wanted)
         : m_store(store), m_limits(limits), m_wanted(std::move(wanted)) {}
 
     asio::awaitable<void> read_minute(std::string prefix, const key_filter& is_wanted) {
@@ -137,14 +137,14 @@
     }
 
     store::object_store& m_store;
-    const explainer_limits& m_limits;
+    const record_finder_limits& m_limits;
     record_filter m_wanted;
     search_result m_found;
     std::set<std::string> m_read_objects;
     std::map<std::pair<std::string, identifier>, std::set<std::uint64_t>> m_sequences;
 };
 
-explainer::explainer(store::object_store& store, explainer_limits limits, clock_reader now)
+explainer::explainer(store::object_store& store, record_finder_limits limits, clock_reader now)
     : m_store(store), m_limits(limits), m_now(std::move(now)) {}
 
 namespace {
--- a/src/audit/explainer.hpp
+++ b/src/audit/explainer.hpp
@@ -16,7 +16,7 @@
 
 namespace borageford::audit {
 
-struct explainer_limits {
+struct record_finder_limits {
     /// Maximum time between a record and the closing of its batch: recorder_settings::flush_period with a
     /// margin.
     std::chrono::seconds batch_delay{60};
@@ -35,7 +35,7 @@
     using clock_reader = std::function<std::chrono::system_clock::time_point()>;
 
     explainer(
-        store::object_store& store, explainer_limits limits,
+        store::object_store& store, record_finder_limits limits,
         clock_reader now = [] { return std::chrono::system_clock::now(); });
 
     /// Finds what entries and sidecars recorded about the request. Throws store::store_error if the object
@@ -61,7 +61,7 @@
                               std::chrono::system_clock::time_point now) const;
 
     store::object_store& m_store;
-    explainer_limits m_limits;
+    record_finder_limits m_limits;
     clock_reader m_now;
 };
 
--- a/tests/unit/test_audit_explainer.cpp
+++ b/tests/unit/test_audit_explainer.cpp
@@ -309,7 +309,7 @@
         parts.writer("entry-" + std::to_string(index), "entry").add(parts.make(1ms, event::received));
     }
     parts.close_all(30s);
-    audit::explainer_limits limits;
+    audit::record_finder_limits limits;
     limits.object_limit = 3;
     audit::explainer explainer(parts.store, limits, [] { return noon + 1h; });
     const auto found = parts.run_search(explainer.find_workspace("", noon, noon + 1min));
