--- a/src/audit/explainer.cpp
+++ b/src/audit/explainer.cpp
@@ -1,5 +1,5 @@
-// Implements `explainer`: reads batches minute by minute, first those of the entry that made the request id,
-// then those of the sidecars that the entry's records name.
+// Implements `record_finder`: reads batches minute by minute, first those of the entry that made the request
+// id, then those of the sidecars that the entry's records name.
 #include "audit/explainer.hpp"
 
 #include "audit/batch.hpp"
@@ -37,7 +37,7 @@
 
 /// One search: reads batches and collects the records that match a filter. Invariant: each object is read at
 /// most once.
-class explainer::search {
+class record_finder::search {
 public:
     using key_filter = std::function<bool(const batch_key&)>;
     using record_filter = std::function<bool(const record&)>;
@@ -144,7 +144,7 @@
     std::map<std::pair<std::string, identifier>, std::set<std::uint64_t>> m_sequences;
 };
 
-explainer::explainer(store::object_store& store, record_finder_limits limits, clock_reader now)
+record_finder::record_finder(store::object_store& store, record_finder_limits limits, clock_reader now)
     : m_store(store), m_limits(limits), m_now(std::move(now)) {}
 
 namespace {
@@ -178,7 +178,8 @@
 /// Reads the batches of the entry that made the request id, until one shows the request's outcome. The id,
 /// the records and the keys of the batches all contain times of this entry's clock, so the search starts at
 /// the minute in the id, without allowing for clock differences.
-asio::awaitable<void> explainer::read_entry(search& current_search, request_id request, minute_point last) {
+asio::awaitable<void> record_finder::read_entry(search& current_search, request_id request,
+                                                minute_point last) {
     const search::key_filter from_its_entry = [request](const batch_key& key) {
         return may_come_from(request, key.writer);
     };
@@ -192,8 +193,8 @@
 
 /// Reads the batches of each sidecar whose backend server the records name, until they show how all attempts
 /// at that server ended.
-asio::awaitable<void> explainer::read_named_sidecars(search& current_search, request_id request,
-                                                     minute_point last) {
+asio::awaitable<void> record_finder::read_named_sidecars(search& current_search, request_id request,
+                                                         minute_point last) {
     for (const auto& server : named_servers(current_search.found())) {
         for (auto minute = minute_of(start_time(request) - m_limits.clock_difference); minute <= last;
              minute += std::chrono::minutes(1)) {
@@ -207,8 +208,8 @@
 
 /// Reads the batches of all sidecars around the start of the request. Needed if the entry crashed before it
 /// wrote its records: nothing then shows which sidecars received the request.
-asio::awaitable<void> explainer::read_all_sidecars(search& current_search, request_id request,
-                                                   minute_point last) {
+asio::awaitable<void> record_finder::read_all_sidecars(search& current_search, request_id request,
+                                                       minute_point last) {
     const auto start = start_time(request);
     const auto end = std::min(last, minute_of(start + m_limits.batch_delay + m_limits.clock_difference));
     for (auto minute = minute_of(start - m_limits.clock_difference); minute <= end;
@@ -217,7 +218,7 @@
     }
 }
 
-asio::awaitable<search_result> explainer::find_request(request_id request) {
+asio::awaitable<search_result> record_finder::find_request(request_id request) {
     const auto start = start_time(request);
     const auto now = m_now();
     search current_search(m_store, m_limits,
@@ -237,8 +238,8 @@
     co_return current_search.finish();
 }
 
-asio::awaitable<search_result> explainer::find_workspace(std::string workspace, time_point from,
-                                                         time_point to) {
+asio::awaitable<search_result> record_finder::find_workspace(std::string workspace, time_point from,
+                                                             time_point to) {
     const auto last_minute = minute_of(std::min(m_now(), to + m_limits.batch_delay));
     search current_search(m_store, m_limits, [&](const record& audit_record) {
         return (workspace.empty() || audit_record.workspace == workspace) && audit_record.time >= from &&
@@ -252,7 +253,7 @@
     co_return current_search.finish();
 }
 
-void explainer::add_remark_if_recent(search& current_search, time_point last, time_point now) const {
+void record_finder::add_remark_if_recent(search& current_search, time_point last, time_point now) const {
     if (last + m_limits.batch_delay > now) {
         current_search.remark("records of the last " + std::to_string(m_limits.batch_delay.count()) +
                               " s may not be written yet; ask again.");
--- a/src/audit/explainer.hpp
+++ b/src/audit/explainer.hpp
@@ -30,11 +30,11 @@
 
 /// Searches the audit records. It only reads from the store. docs/design/audit.md has the cost of each
 /// search.
-class explainer {
+class record_finder {
 public:
     using clock_reader = std::function<std::chrono::system_clock::time_point()>;
 
-    explainer(
+    record_finder(
         store::object_store& store, record_finder_limits limits,
         clock_reader now = [] { return std::chrono::system_clock::now(); });
 
--- a/src/entry/entry_process.cpp
+++ b/src/entry/entry_process.cpp
@@ -203,8 +203,8 @@
 }
 
 asio::awaitable<std::optional<admin::explanation>> entry_process::explain(request_id request) {
-    audit::explainer explainer(m_objects, {});
-    const auto found = co_await explainer.find_request(request);
+    audit::record_finder record_finder(m_objects, {});
+    const auto found = co_await record_finder.find_request(request);
     // "Not found" means that the request didn't happen. That can't be said when the explainer remarks that
     // records are missing.
     if (found.records.empty() && found.remarks.empty()) {
@@ -217,8 +217,8 @@
 }
 
 asio::awaitable<admin::explanation> entry_process::find_requests(admin::request_query query) {
-    audit::explainer explainer(m_objects, {});
-    const auto found = co_await explainer.find_workspace(query.workspace, query.from, query.to);
+    audit::record_finder record_finder(m_objects, {});
+    const auto found = co_await record_finder.find_workspace(query.workspace, query.from, query.to);
     admin::explanation result;
     result.lines = audit::list_requests(query.workspace, found, query.limit);
     co_return result;
--- a/tests/unit/test_audit_explainer.cpp
+++ b/tests/unit/test_audit_explainer.cpp
@@ -90,8 +90,8 @@
     }
 
     audit::search_result find(audit::time_point now = noon + 1h) {
-        audit::explainer explainer(store, {}, [now] { return now; });
-        return run_search(explainer.find_request(request));
+        audit::record_finder record_finder(store, {}, [now] { return now; });
+        return run_search(record_finder.find_request(request));
     }
 
     std::string explain(audit::time_point now = noon + 1h) {
@@ -293,12 +293,12 @@
     other.workspace = "haian";
     parts.entry().add(other);
     parts.close_all(30s);
-    audit::explainer explainer(parts.store, {}, [] { return noon + 1h; });
-    const auto found = parts.run_search(explainer.find_workspace("tinta", noon, noon + 1min));
+    audit::record_finder record_finder(parts.store, {}, [] { return noon + 1h; });
+    const auto found = parts.run_search(record_finder.find_workspace("tinta", noon, noon + 1min));
     const auto lines = audit::list_requests("tinta", found, 10);
     REQUIRE(lines.size() == 1);
     CHECK(contains(lines[0], parts.request.to_string() + " tinta tier 0 pluma: served"));
-    const auto all = parts.run_search(explainer.find_workspace("", noon, noon + 1min));
+    const auto all = parts.run_search(record_finder.find_workspace("", noon, noon + 1min));
     CHECK(audit::list_requests("", all, 10).size() == 2);
     CHECK(contains(audit::list_requests("", all, 1).back(), "1 more requests were left out"));
 }
@@ -311,8 +311,8 @@
     parts.close_all(30s);
     audit::record_finder_limits limits;
     limits.object_limit = 3;
-    audit::explainer explainer(parts.store, limits, [] { return noon + 1h; });
-    const auto found = parts.run_search(explainer.find_workspace("", noon, noon + 1min));
+    audit::record_finder record_finder(parts.store, limits, [] { return noon + 1h; });
+    const auto found = parts.run_search(record_finder.find_workspace("", noon, noon + 1min));
     CHECK(found.objects_read == 3);
     REQUIRE(found.remarks.size() == 1);
     CHECK(contains(found.remarks[0], "those past that number were not"));
