--- a/src/audit/record_finder.cpp
+++ b/src/audit/record_finder.cpp
@@ -1,8 +1,9 @@
 // Implements `record_finder`: reads batches minute by minute, first those of the entry that made the request
 // id, then those of the sidecars that the entry's records name.
-#include "audit/batch.hpp"
-#include "audit/narrative.hpp"
 #include "audit/record_finder.hpp"
+
+#include "audit/batch.hpp"
+#include "audit/request_description.hpp"
 #include "audit/request_history.hpp"
 #include "audit/request_identifier.hpp"
 
--- a/tests/unit/test_audit_explainer.cpp
+++ b/tests/unit/test_audit_explainer.cpp
@@ -1,8 +1,8 @@
 // Tests of the search for audit records and of the explanations that describe_request() makes from them:
 // records of entries and sidecars are found among the batches of many writers and combined into one text.
 #include "audit/backlog.hpp"
-#include "audit/narrative.hpp"
 #include "audit/record_finder.hpp"
+#include "audit/request_description.hpp"
 #include "audit/request_history.hpp"
 #include "audit/request_identifier.hpp"
 #include "store/object_store.hpp"
