--- a/src/gateway/event_relay.hpp
+++ b/src/gateway/event_relay.hpp
@@ -25,7 +25,7 @@
     void handle_broken_connection();
 
     /// Returns whether the stream may end here: at least one event was forwarded, and none is incomplete.
-    [[nodiscard]] bool is_complete() const noexcept { return m_count > 0 && !m_splitter.has_part(); }
+    [[nodiscard]] bool is_complete() const noexcept { return m_count > 0 && !m_splitter.has_partial_event(); }
 
     /// Id of the last forwarded event that had one; nothing if none had.
     [[nodiscard]] const std::optional<std::string>& last_id() const noexcept { return m_last_id; }
--- a/tests/unit/test_http_readers.cpp
+++ b/tests/unit/test_http_readers.cpp
@@ -115,11 +115,11 @@
 TEST_CASE("the event splitter returns only complete events", "[http][event_splitter]") {
     event_splitter splitter;
     CHECK(splitter.add("id: 1\nda").empty());
-    CHECK(splitter.has_part());
+    CHECK(splitter.has_partial_event());
     CHECK(splitter.add("ta: x\n\nid: 2\n") == "id: 1\ndata: x\n\n");
     CHECK(splitter.last_id() == "1");
     CHECK(splitter.add("data: y\r\n\r\n") == "id: 2\ndata: y\r\n\r\n");
-    CHECK_FALSE(splitter.has_part());
+    CHECK_FALSE(splitter.has_partial_event());
     CHECK(splitter.count() == 2);
 }
 
