--- a/src/gateway/client_session.cpp
+++ b/src/gateway/client_session.cpp
@@ -215,7 +215,7 @@
     if (!m_keeps_connection) {
         m_is_closed = true;
         m_timer.cancel();
-        m_connection->close_gently(linger_time);
+        m_connection->close_gracefully(linger_time);
         return;
     }
     m_connection->read();
@@ -259,7 +259,7 @@
     if (is_idle() && !m_is_closed) {
         m_is_closed = true;
         m_timer.cancel();
-        m_connection->close_gently(linger_time);
+        m_connection->close_gracefully(linger_time);
     }
 }
 
--- a/src/net/connection.cpp
+++ b/src/net/connection.cpp
@@ -196,7 +196,7 @@
     read();
 }
 
-void connection::close_gently(std::chrono::milliseconds linger) {
+void connection::close_gracefully(std::chrono::milliseconds linger) {
     if (!m_socket.is_open() || m_is_shutting_down) {
         return;
     }
--- a/src/net/connection.hpp
+++ b/src/net/connection.hpp
@@ -82,7 +82,7 @@
     /// Sends the queued output, shuts down the sending side, and closes the connection when the peer has shut
     /// down its own or after `linger`. Closing a socket with unread input would reset the connection, and the
     /// peer could lose an answer that is still in transit.
-    void close_gently(std::chrono::milliseconds linger);
+    void close_gracefully(std::chrono::milliseconds linger);
 
 private:
     template <typename Member, typename... Arguments>
@@ -107,7 +107,8 @@
     bool m_is_reading = false;
     bool m_is_writing = false;
     bool m_is_end_reported = false;
-    bool m_is_shutting_down = false; ///< close_gently() was called: input is discarded until the peer closes
+    bool m_is_shutting_down =
+        false; ///< close_gracefully() was called: input is discarded until the peer closes
 };
 
 } // namespace borageford::net
