--- a/src/gateway/client_session.hpp
+++ b/src/gateway/client_session.hpp
@@ -50,7 +50,7 @@
     void abort_answer();
 
     /// Bytes that have been sent to this session and not yet written to the connection.
-    [[nodiscard]] std::size_t unsent() const noexcept { return m_connection->unsent(); }
+    [[nodiscard]] std::size_t unsent_bytes() const noexcept { return m_connection->unsent_bytes(); }
 
     /// Closes the connection if no request is being read or answered. Called while the process shuts down.
     void close_if_idle();
--- a/src/gateway/request_exchange.cpp
+++ b/src/gateway/request_exchange.cpp
@@ -291,7 +291,7 @@
     }
     begin_stream();
     m_session->send_chunk(complete_events);
-    if (m_session->unsent() > max_unsent_bytes) {
+    if (m_session->unsent_bytes() > max_unsent_bytes) {
         m_call->pause();
     }
 }
--- a/src/net/connection.hpp
+++ b/src/net/connection.hpp
@@ -66,7 +66,7 @@
     void send(std::string_view bytes) { send(std::span(&bytes, 1)); }
 
     /// Number of queued bytes for which no write has been started yet.
-    [[nodiscard]] std::size_t unsent() const noexcept { return m_output_queue.size(); }
+    [[nodiscard]] std::size_t unsent_bytes() const noexcept { return m_output_queue.size(); }
     /// Whether the kernel has accepted any byte. While it is false, nothing has left this process.
     [[nodiscard]] bool has_sent() const noexcept { return m_sent_bytes > 0; }
     /// Number of bytes that the kernel has accepted since the connection was opened.
