--- a/src/emulator/emulated_backend.cpp
+++ b/src/emulator/emulated_backend.cpp
@@ -175,7 +175,7 @@
     const auto fault = take_fault();
     if (fault == backend_fault::hang) {
         co_await writer.wait_for_disconnect();
-        writer.cut();
+        writer.abort();
     } else if (fault == backend_fault::garble) {
         co_await writer.write_raw("not a response at all\r\n\r\n", false);
     } else if (m_engine != nullptr && fault != backend_fault::error) {
@@ -190,11 +190,11 @@
                                                   backend_fault fault, std::size_t number) {
     co_await pause(m_timers, std::chrono::duration_cast<steady_clock::duration>(m_options.work * m_slowness));
     if (m_is_stopped) {
-        writer.cut();
+        writer.abort();
         co_return;
     }
     if (fault == backend_fault::cut_unanswered) {
-        writer.cut();
+        writer.abort();
         co_return;
     }
     const auto status = fault == backend_fault::error ? status_error : status_ok;
@@ -254,7 +254,7 @@
             co_await pause(m_timers, poll_period);
             if (*is_gone || m_is_stopped) {
                 m_engine->engine.cancel(id, steady_clock::now());
-                writer.cut();
+                writer.abort();
                 break;
             }
             m_engine->advance();
@@ -273,7 +273,7 @@
                 text.resize(breaks_off ? text.size() / 2 : text.size());
                 co_await writer.write_piece(text);
                 if (breaks_off) {
-                    writer.cut();
+                    writer.abort();
                     is_finished = true;
                 }
             }
@@ -285,7 +285,7 @@
     }
     m_engine->made.erase(id);
     if (fault == backend_fault::cut_unanswered) {
-        writer.cut();
+        writer.abort();
     } else if (is_finished && fault != backend_fault::cut_midway) {
         co_await writer.finish();
     }
--- a/src/emulator/emulated_store.cpp
+++ b/src/emulator/emulated_store.cpp
@@ -57,7 +57,7 @@
         co_await pause(m_timers, m_delay);
     }
     if (m_state == store_state::reset) {
-        writer.cut();
+        writer.abort();
         co_return;
     }
     if (m_state == store_state::silent) {
@@ -120,7 +120,7 @@
     ++m_unanswered;
     co_await writer.wait_for_disconnect();
     --m_unanswered;
-    writer.cut();
+    writer.abort();
 }
 
 asio::awaitable<http::response> emulated_store::answer(const http::request& call) {
--- a/src/entry/caller_api.cpp
+++ b/src/entry/caller_api.cpp
@@ -109,7 +109,7 @@
     } catch (const caller_disconnected_error&) {
         m_context.metrics.count_caller_left();
         record(request, audit::event::cancelled, nullptr);
-        writer.cut();
+        writer.abort();
     }
     if (failure) {
         record(request,
@@ -130,7 +130,7 @@
     // The stream has begun, so no error response is possible. Its last event states the error, and the
     // connection is aborted without an end marker so that the caller sees that the answer is incomplete.
     co_await writer.write_piece(error_event(error, request.id));
-    writer.cut();
+    writer.abort();
 }
 
 http::response caller_api::list_models(const http::request& received) const {
--- a/src/http/server.cpp
+++ b/src/http/server.cpp
@@ -349,7 +349,7 @@
     try {
         co_await handle(call, writer);
     } catch (const boost::system::system_error&) {
-        writer.cut(); // the caller has disconnected
+        writer.abort(); // the caller has disconnected
     } catch (const std::exception& problem) {
         failed = true;
         why = problem.what();
@@ -357,7 +357,7 @@
     if (failed) {
         log::error("request_handler_failed", {{"target", call.target}, {"why", why}});
         if (writer.has_begun()) {
-            writer.cut();
+            writer.abort();
         } else {
             co_await writer.write(refuse(error_kind::internal, why));
         }
--- a/tests/fakes/fake_engine.cpp
+++ b/tests/fakes/fake_engine.cpp
@@ -170,7 +170,7 @@
         co_await writer.begin(head);
         while (true) {
             if (stream->is_cancelled || (m_faults.cut && offset > 0)) {
-                writer.cut();
+                writer.abort();
                 co_return;
             }
             if (offset < stream->bytes.size()) {
--- a/tests/fakes/fake_platform.cpp
+++ b/tests/fakes/fake_platform.cpp
@@ -91,7 +91,7 @@
         if (m_lose_answers > 0) {
             --m_lose_answers;
             m_outage = m_outage || m_outage_after_loss;
-            writer.cut();
+            writer.abort();
             co_return;
         }
         co_await writer.write(json_response(outcome.status, outcome.body));
--- a/tests/fakes/fake_service.cpp
+++ b/tests/fakes/fake_service.cpp
@@ -46,7 +46,7 @@
         timer.expires_after(std::chrono::duration_cast<std::chrono::steady_clock::duration>(delay));
         co_await timer.async_wait(asio::use_awaitable);
         if (m_faults.cut) {
-            writer.cut();
+            writer.abort();
             co_return;
         }
         // A variable rather than an argument: the compiler destroys temporaries of a conditional expression
--- a/tests/support/object_store_stub.cpp
+++ b/tests/support/object_store_stub.cpp
@@ -33,7 +33,7 @@
     }
     if (lost_answers > 0) {
         --lost_answers;
-        writer.cut();
+        writer.abort();
     } else {
         co_await writer.write(answered);
     }
--- a/tests/unit/in_process_platform.hpp
+++ b/tests/unit/in_process_platform.hpp
@@ -72,7 +72,7 @@
     boost::asio::awaitable<void> handle(const http::request& call, http::response_writer& writer) {
         const auto decided = decide(call);
         if (decided.is_lost) {
-            writer.cut();
+            writer.abort();
             co_return;
         }
         co_await writer.write(decided.response);
