--- a/src/http/server.cpp
+++ b/src/http/server.cpp
@@ -155,7 +155,7 @@
     }
 }
 
-void response_writer::cut() noexcept {
+void response_writer::abort() noexcept {
     m_state->keep_alive = false;
     m_state->ended = true;
     m_state->stream.close();
