--- a/src/http/server.hpp
+++ b/src/http/server.hpp
@@ -54,7 +54,7 @@
     boost::asio::awaitable<void> write_raw(std::string bytes, bool keeps_connection);
 
     /// Closes the connection without an end marker, so that the caller sees a truncated response.
-    void cut() noexcept;
+    void abort() noexcept;
 
     /// Returns when the caller has closed its connection or when the response has been written. Run it
     /// concurrently with the handler's work, on the same executor.
