--- a/src/sidecar/dispatch_runner.cpp
+++ b/src/sidecar/dispatch_runner.cpp
@@ -33,7 +33,7 @@
     bool must_resume = false;
     unsigned resumes = 0; ///< number of resumes since the last byte was received
     bool is_over = false; ///< a callback has reported the end of the dispatch
-    backend::failure failed = backend::failure::cut;
+    backend::failure failed = backend::failure::connection_broken;
     std::string error;
     bool has_failed = false;
 };
@@ -213,7 +213,7 @@
     case backend::failure::garbled:
         return error_kind::backend_garbled;
     case backend::failure::unreachable:
-    case backend::failure::cut:
+    case backend::failure::connection_broken:
     case backend::failure::refused:
         break;
     }
