--- a/src/backend/http_exchange.cpp
+++ b/src/backend/http_exchange.cpp
@@ -14,7 +14,7 @@
     if (error.stage() == http::exchange_stage::connecting) {
         return failure::unreachable;
     }
-    return error.has_timed_out() ? failure::silent : failure::connection_broken;
+    return error.has_timed_out() ? failure::timed_out : failure::connection_broken;
 }
 
 http::request make_call(dispatch_id dispatch, const call& work) {
--- a/src/sidecar/dispatch_runner.cpp
+++ b/src/sidecar/dispatch_runner.cpp
@@ -208,7 +208,7 @@
 
 error_kind dispatch_runner::kind_of(backend::failure what) {
     switch (what) {
-    case backend::failure::silent:
+    case backend::failure::timed_out:
         return error_kind::backend_stalled;
     case backend::failure::garbled:
         return error_kind::backend_garbled;
