--- a/src/backend/answer_checker.cpp
+++ b/src/backend/answer_checker.cpp
@@ -17,12 +17,12 @@
 /// The line beginnings that server-sent events allow besides `data_field`. ":" begins a comment.
 constexpr std::array<std::string_view, 4> allowed_line_starts{"event:", "id:", "retry:", ":"};
 
-/// Throws backend_error with failure::garbled when the text isn't a JSON object.
+/// Throws backend_error with failure::malformed when the text isn't a JSON object.
 json::object parse_object(std::string_view text) {
     boost::system::error_code error;
     auto value = json::parse({text.data(), text.size()}, error);
     if (error || !value.is_object()) {
-        throw backend_error(failure::garbled, "the backend server sent text that is not a JSON object");
+        throw backend_error(failure::malformed, "the backend server sent text that is not a JSON object");
     }
     return std::move(value.get_object());
 }
@@ -72,7 +72,7 @@
     }
     m_partial_line.append(piece);
     if (m_partial_line.size() > line_limit) {
-        throw backend_error(failure::garbled, "the backend server sent a line longer than the limit");
+        throw backend_error(failure::malformed, "the backend server sent a line longer than the limit");
     }
     return tokens;
 }
@@ -85,7 +85,7 @@
         return false;
     }
     if (m_is_done) {
-        throw backend_error(failure::garbled,
+        throw backend_error(failure::malformed,
                             "the backend server sent data after the closing event of its answer");
     }
     if (line.starts_with(data_field)) {
@@ -95,7 +95,7 @@
         return line.starts_with(field);
     };
     if (std::ranges::none_of(allowed_line_starts, line_starts_with)) {
-        throw backend_error(failure::garbled,
+        throw backend_error(failure::malformed,
                             "the backend server sent a line that is not part of a server-sent event");
     }
     return false;
@@ -116,7 +116,7 @@
 
 void event_stream_checker::finish() const {
     if (!m_is_done) {
-        throw backend_error(failure::garbled, "the answer ended without its closing event");
+        throw backend_error(failure::malformed, "the answer ended without its closing event");
     }
 }
 
--- a/src/backend/answer_checker.hpp
+++ b/src/backend/answer_checker.hpp
@@ -12,7 +12,7 @@
 /// Checks one streamed answer while it arrives. An engine that is restarted, overloaded or faulty may end its
 /// HTTP response correctly although the answer is incomplete, or send text that isn't an event. Only the
 /// closing event shows that an answer is complete, so without this check a caller could mistake a truncated
-/// answer for a complete one. Failed checks throw backend_error with failure::garbled.
+/// answer for a complete one. Failed checks throw backend_error with failure::malformed.
 class event_stream_checker {
 public:
     /// Longest accepted line in bytes; no engine sends events that long.
@@ -40,7 +40,7 @@
 };
 
 /// Reads the token counts of an answer that wasn't streamed; they are 0 when the engine reported none. Throws
-/// backend_error with failure::garbled when the body isn't a JSON object.
+/// backend_error with failure::malformed when the body isn't a JSON object.
 [[nodiscard]] usage check_whole_answer(std::string_view body);
 
 } // namespace borageford::backend
--- a/src/backend/model_engine.cpp
+++ b/src/backend/model_engine.cpp
@@ -20,15 +20,15 @@
 constexpr unsigned status_conflict = 409;
 constexpr int hexadecimal = 16;
 
-/// Parses the answer to a control call. Throws backend_error with failure::garbled when its status isn't 200
-/// or its body isn't a JSON object.
+/// Parses the answer to a control call. Throws backend_error with failure::malformed when its status isn't
+/// 200 or its body isn't a JSON object.
 json::object parse_answer(const http::response& answer) {
     boost::system::error_code error;
     auto value = json::parse(answer.body, error);
     if (answer.head.status != status_ok || error || !value.is_object()) {
-        throw backend_error(failure::garbled, "the engine answered a control call with status " +
-                                                  std::to_string(answer.head.status) +
-                                                  ", or the body is not a JSON object");
+        throw backend_error(failure::malformed, "the engine answered a control call with status " +
+                                                    std::to_string(answer.head.status) +
+                                                    ", or the body is not a JSON object");
     }
     return std::move(value.get_object());
 }
--- a/src/sidecar/dispatch_runner.cpp
+++ b/src/sidecar/dispatch_runner.cpp
@@ -73,7 +73,7 @@
             state.error = error.what();
         } catch (const std::exception& error) {
             state.has_failed = true;
-            state.failed = backend::failure::garbled;
+            state.failed = backend::failure::malformed;
             state.error = error.what();
         }
         if (!state.has_failed) {
@@ -126,7 +126,7 @@
          piece = co_await dispatch.stream->read_some()) {
         state.resumes = 0;
         if (dispatch.answer.length() + piece.size() > m_settings.answer_size) {
-            throw backend::backend_error(backend::failure::garbled, "the answer is over the size limit");
+            throw backend::backend_error(backend::failure::malformed, "the answer is over the size limit");
         }
         const auto tokens = is_checked && is_stream ? state.checker.take(piece) : 0;
         if (tokens > 0) {
@@ -210,7 +210,7 @@
     switch (what) {
     case backend::failure::timed_out:
         return error_kind::backend_stalled;
-    case backend::failure::garbled:
+    case backend::failure::malformed:
         return error_kind::backend_garbled;
     case backend::failure::unreachable:
     case backend::failure::connection_broken:
