--- a/src/backend/backend_types.hpp
+++ b/src/backend/backend_types.hpp
@@ -102,7 +102,7 @@
 public:
     backend_error(failure what, const std::string& text) : std::runtime_error(text), m_failure(what) {}
     /// How the call failed.
-    [[nodiscard]] failure what_failed() const noexcept { return m_failure; }
+    [[nodiscard]] failure failure_kind() const noexcept { return m_failure; }
 
 private:
     failure m_failure;
--- a/src/sidecar/dispatch_runner.cpp
+++ b/src/sidecar/dispatch_runner.cpp
@@ -69,7 +69,7 @@
             co_await follow(*dispatch, state);
         } catch (const backend::backend_error& error) {
             state.has_failed = true;
-            state.failed = error.what_failed();
+            state.failed = error.failure_kind();
             state.error = error.what();
         } catch (const std::exception& error) {
             state.has_failed = true;
--- a/src/sidecar/order_controller.cpp
+++ b/src/sidecar/order_controller.cpp
@@ -175,7 +175,7 @@
         co_return now;
     } catch (const backend::backend_error& error) {
         failure = std::current_exception();
-        if (error.what_failed() == backend::failure::malformed && !m_context.models.has_been_queried()) {
+        if (error.failure_kind() == backend::failure::malformed && !m_context.models.has_been_queried()) {
             m_context.models.set_unreadable();
             m_models_changed();
         }
