--- a/src/sidecar/dispatch_runner.cpp
+++ b/src/sidecar/dispatch_runner.cpp
@@ -128,7 +128,7 @@
         if (dispatch.answer.length() + piece.size() > m_settings.answer_size) {
             throw backend::backend_error(backend::failure::malformed, "the answer is over the size limit");
         }
-        const auto tokens = is_checked && is_stream ? state.checker.take(piece) : 0;
+        const auto tokens = is_checked && is_stream ? state.checker.check(piece) : 0;
         if (tokens > 0) {
             m_calls.tokens_received(dispatch, tokens);
         }
--- a/tests/unit/test_sidecar_parts.cpp
+++ b/tests/unit/test_sidecar_parts.cpp
@@ -125,7 +125,7 @@
         backend::event_stream_checker checker;
         std::size_t tokens = 0;
         for (std::size_t offset = 0; offset < stream.size(); offset += size) {
-            tokens += checker.take(std::string_view(stream).substr(offset, size));
+            tokens += checker.check(std::string_view(stream).substr(offset, size));
         }
         CHECK_NOTHROW(checker.finish());
         CHECK(tokens == 2);
@@ -135,7 +135,7 @@
     const auto done = stream.find("data: [DONE]\n") + 12;
     for (std::size_t length = 0; length <= done; ++length) {
         backend::event_stream_checker checker;
-        checker.take(std::string_view(stream).substr(0, length));
+        checker.check(std::string_view(stream).substr(0, length));
         CHECK_THROWS_AS(checker.finish(), backend::backend_error);
     }
 }
@@ -144,10 +144,10 @@
     for (const auto* text :
          {"hello\n", "data: {\"cut\": \n", "data: 7\n", "<html>\n", "data: [DONE]\ndata: {}\n"}) {
         backend::event_stream_checker checker;
-        CHECK_THROWS_AS(checker.take(text), backend::backend_error);
+        CHECK_THROWS_AS(checker.check(text), backend::backend_error);
     }
     backend::event_stream_checker checker;
-    CHECK_THROWS_AS(checker.take(std::string(backend::event_stream_checker::line_limit + 1, 'x')),
+    CHECK_THROWS_AS(checker.check(std::string(backend::event_stream_checker::line_limit + 1, 'x')),
                     backend::backend_error);
     for (const auto* text : {"", "[]", "{\"cut\":", "{} {}"}) {
         CHECK_THROWS_AS(backend::check_whole_answer(text), backend::backend_error);
