--- a/src/backend/answer_checker.cpp
+++ b/src/backend/answer_checker.cpp
@@ -60,7 +60,7 @@
 
 } // namespace
 
-std::size_t event_stream_checker::take(std::string_view piece) {
+std::size_t event_stream_checker::check(std::string_view piece) {
     std::size_t tokens = 0;
     for (auto end = piece.find('\n'); end != std::string_view::npos; end = piece.find('\n')) {
         m_partial_line.append(piece.substr(0, end));
