--- a/src/backend/answer_checker.hpp
+++ b/src/backend/answer_checker.hpp
@@ -20,7 +20,7 @@
 
     /// Checks the next bytes of the body, which may begin and end anywhere in a line. Returns the number of
     /// events with tokens that are completed by these bytes.
-    std::size_t take(std::string_view piece);
+    std::size_t check(std::string_view piece);
 
     /// Call this at the end of the body. Throws when the closing event hasn't arrived.
     void finish() const;
