--- a/src/backend/answer_checker.cpp
+++ b/src/backend/answer_checker.cpp
@@ -120,7 +120,7 @@
     }
 }
 
-usage check_whole_answer(std::string_view body) {
+usage check_complete_answer(std::string_view body) {
     usage counts;
     read_usage(parse_object(body), counts);
     return counts;
--- a/src/backend/answer_checker.hpp
+++ b/src/backend/answer_checker.hpp
@@ -41,6 +41,6 @@
 
 /// Reads the token counts of an answer that wasn't streamed; they are 0 when the engine reported none. Throws
 /// backend_error with failure::malformed when the body isn't a JSON object.
-[[nodiscard]] usage check_whole_answer(std::string_view body);
+[[nodiscard]] usage check_complete_answer(std::string_view body);
 
 } // namespace borageford::backend
--- a/src/sidecar/dispatch_runner.cpp
+++ b/src/sidecar/dispatch_runner.cpp
@@ -139,7 +139,7 @@
         state.checker.finish();
     }
     if (is_checked && !is_stream) {
-        state.checker.set_measured(backend::check_whole_answer(dispatch.answer.body()));
+        state.checker.set_measured(backend::check_complete_answer(dispatch.answer.body()));
     }
 }
 
--- a/tests/unit/test_sidecar_parts.cpp
+++ b/tests/unit/test_sidecar_parts.cpp
@@ -150,9 +150,9 @@
     CHECK_THROWS_AS(checker.check(std::string(backend::event_stream_checker::line_limit + 1, 'x')),
                     backend::backend_error);
     for (const auto* text : {"", "[]", "{\"cut\":", "{} {}"}) {
-        CHECK_THROWS_AS(backend::check_whole_answer(text), backend::backend_error);
+        CHECK_THROWS_AS(backend::check_complete_answer(text), backend::backend_error);
     }
-    CHECK(backend::check_whole_answer(R"({"usage":{"completion_tokens":3}})").output_tokens == 3);
+    CHECK(backend::check_complete_answer(R"({"usage":{"completion_tokens":3}})").output_tokens == 3);
 }
 
 TEST_CASE("orders cover only the differences: the role first, loads before unloads", "[sidecar]") {
