--- a/src/backend/model_engine.cpp
+++ b/src/backend/model_engine.cpp
@@ -164,7 +164,7 @@
     co_return now;
 }
 
-asio::awaitable<order_result> model_engine::give_order(const order& command,
+asio::awaitable<order_result> model_engine::send_order(const order& command,
                                                        std::chrono::milliseconds limit) {
     const json::object body{
         {"fencing", command.fencing},
--- a/src/backend/model_engine.hpp
+++ b/src/backend/model_engine.hpp
@@ -40,7 +40,7 @@
     boost::asio::awaitable<engine_state> state();
     /// Sends an order. The engine must answer within `limit`, because the order is void when the sender's
     /// lease has expired.
-    boost::asio::awaitable<order_result> give_order(const order& command, std::chrono::milliseconds limit);
+    boost::asio::awaitable<order_result> send_order(const order& command, std::chrono::milliseconds limit);
     /// Whether the engine answers a health check in time.
     boost::asio::awaitable<bool> is_healthy();
 
--- a/src/sidecar/order_controller.cpp
+++ b/src/sidecar/order_controller.cpp
@@ -132,7 +132,7 @@
     log::info("order_given", {{"kind", std::string(backend::to_string(command.kind))},
                               {"name", command.name},
                               {"fencing", std::to_string(command.fencing)}});
-    const auto result = co_await engine->give_order(command, limit);
+    const auto result = co_await engine->send_order(command, limit);
     if (result == backend::order_result::stale_fencing) {
         throw backend::backend_error(backend::failure::refused, "the engine obeys a newer fencing number");
     }
