--- a/src/gateway/gateway_process.cpp
+++ b/src/gateway/gateway_process.cpp
@@ -122,8 +122,7 @@
         events::flush();
         m_flush_timer =
             m_runtime.timers().every(m_runtime.executor(), log_flush_period, [] { events::flush(); });
-        m_runtime.run([this] { m_stop.begin(); }, [this] { reload(); },
-                      process::repeated_stop::is_passed_over);
+        m_runtime.run([this] { m_stop.begin(); }, [this] { reload(); }, process::repeated_stop::is_ignored);
     }
 
 private:
--- a/src/process/runtime.cpp
+++ b/src/process/runtime.cpp
@@ -42,7 +42,7 @@
         if (error) {
             return;
         }
-        if (signal == SIGTERM && repeated == repeated_stop::is_passed_over) {
+        if (signal == SIGTERM && repeated == repeated_stop::is_ignored) {
             log::info("stop_requested_again");
             watch_repeated_stops(repeated);
             return;
--- a/src/process/runtime.hpp
+++ b/src/process/runtime.hpp
@@ -27,8 +27,8 @@
 /// to exit. A platform that restarts machines one after the other may send the signal twice, which must not
 /// abort the requests in progress.
 enum class repeated_stop : std::uint8_t {
-    ends_at_once,   ///< exit immediately
-    is_passed_over, ///< ignore the signal
+    ends_at_once, ///< exit immediately
+    is_ignored,   ///< ignore the signal
 };
 
 /// Owns the threads, timers and signal handlers of a process. A process has one object of this class.
@@ -46,7 +46,7 @@
 
     /// Executes handlers until finish() is called and then exits the process. The first SIGTERM or SIGINT
     /// calls `stop_requested`, which starts a graceful stop. A second SIGINT exits immediately with exit code
-    /// 130, and so does a second SIGTERM unless `repeated` is `is_passed_over`. Each SIGHUP calls
+    /// 130, and so does a second SIGTERM unless `repeated` is `is_ignored`. Each SIGHUP calls
     /// `reload_requested`; if that is empty, the signal is logged and ignored.
     [[noreturn]] void run(std::function<void()> stop_requested, std::function<void()> reload_requested = {},
                           repeated_stop repeated = repeated_stop::ends_at_once);
