--- a/src/process/runtime.hpp
+++ b/src/process/runtime.hpp
@@ -27,8 +27,8 @@
 /// to exit. A platform that restarts machines one after the other may send the signal twice, which must not
 /// abort the requests in progress.
 enum class repeated_stop : std::uint8_t {
-    ends_at_once, ///< exit immediately
-    is_ignored,   ///< ignore the signal
+    exits_immediately, ///< exit immediately
+    is_ignored,        ///< ignore the signal
 };
 
 /// Owns the threads, timers and signal handlers of a process. A process has one object of this class.
@@ -49,7 +49,7 @@
     /// 130, and so does a second SIGTERM unless `repeated` is `is_ignored`. Each SIGHUP calls
     /// `reload_requested`; if that is empty, the signal is logged and ignored.
     [[noreturn]] void run(std::function<void()> stop_requested, std::function<void()> reload_requested = {},
-                          repeated_stop repeated = repeated_stop::ends_at_once);
+                          repeated_stop repeated = repeated_stop::exits_immediately);
 
     /// Makes run() exit the process with exit code 0.
     void finish();
