--- a/src/entry/entry_settings.cpp
+++ b/src/entry/entry_settings.cpp
@@ -41,7 +41,7 @@
                                    std::vector<settings::problem>& problems) {
     entry_settings result;
     result.common = process::read_common_settings(document, problems);
-    process::refuse_unknown_sections(document, sections, problems);
+    process::report_unknown_sections(document, sections, problems);
 
     settings::section_reader reader(document, process::find_section(document, "entry"), "entry", problems);
     result.callers_listen = reader.address("callers_listen");
--- a/src/gateway/gateway_settings.cpp
+++ b/src/gateway/gateway_settings.cpp
@@ -56,7 +56,7 @@
                                        std::vector<settings::problem>& problems) {
     gateway_settings result;
     result.common = process::read_common_settings(document, problems);
-    process::refuse_unknown_sections(document, sections, problems);
+    process::report_unknown_sections(document, sections, problems);
 
     settings::section_reader reader(document, process::find_section(document, "gateway"), "gateway",
                                     problems);
--- a/src/process/common_settings.cpp
+++ b/src/process/common_settings.cpp
@@ -51,7 +51,7 @@
     return found == document.sections.end() ? nullptr : &*found;
 }
 
-void refuse_unknown_sections(const settings::ini_document& document, std::span<const std::string_view> known,
+void report_unknown_sections(const settings::ini_document& document, std::span<const std::string_view> known,
                              std::vector<settings::problem>& problems) {
     for (const auto& section : document.sections) {
         if (std::ranges::find(known, section.title()) != known.end()) {
--- a/src/process/common_settings.hpp
+++ b/src/process/common_settings.hpp
@@ -47,7 +47,7 @@
                                                         std::string_view kind);
 
 /// Appends an error to `problems` for every section whose title isn't listed in `known`.
-void refuse_unknown_sections(const settings::ini_document& document, std::span<const std::string_view> known,
+void report_unknown_sections(const settings::ini_document& document, std::span<const std::string_view> known,
                              std::vector<settings::problem>& problems);
 
 } // namespace borageford::process
--- a/src/sidecar/sidecar_settings.cpp
+++ b/src/sidecar/sidecar_settings.cpp
@@ -69,7 +69,7 @@
         return out;
     }
     const auto document = settings::parse_ini(text, file, problems);
-    process::refuse_unknown_sections(document, known_sections, problems);
+    process::report_unknown_sections(document, known_sections, problems);
     out.common = process::read_common_settings(document, problems);
 
     const auto* section = process::find_section(document, "sidecar");
