--- a/src/metrics/registry.cpp
+++ b/src/metrics/registry.cpp
@@ -196,7 +196,7 @@
     }
 
     /// Returns the member with these labels and creates an empty one if necessary. When the family already
-    /// has `members_limit` members, returns its overflow member instead. The caller must hold the lock.
+    /// has `max_label_sets` members, returns its overflow member instead. The caller must hold the lock.
     metric& emplace(std::string_view name, std::string_view help, metric_type type, const labels& label_set) {
         if (!is_valid_name(name)) {
             throw std::invalid_argument("invalid metric name: " + std::string(name));
@@ -208,7 +208,7 @@
         if (const auto member = group.members.find(labels_text); member != group.members.end()) {
             return member->second;
         }
-        const bool is_full = group.members.size() >= members_limit;
+        const bool is_full = group.members.size() >= max_label_sets;
         return group.members[is_full ? render_overflow_labels(label_set) : labels_text];
     }
 
--- a/src/metrics/registry.hpp
+++ b/src/metrics/registry.hpp
@@ -60,7 +60,7 @@
 public:
     /// Largest number of label sets for one name. It is larger than the number of workspaces times tiers that
     /// the system is designed for.
-    static constexpr std::size_t members_limit = 2048;
+    static constexpr std::size_t max_label_sets = 2048;
 
     registry();
     ~registry();
--- a/tests/unit/test_metrics.cpp
+++ b/tests/unit/test_metrics.cpp
@@ -84,7 +84,7 @@
     // Callers send a new label value with every request. Without a limit, the process would use more and more
     // memory until the kernel kills it, which aborts all requests in progress.
     metrics::registry registry;
-    for (std::size_t index = 0; index < metrics::registry::members_limit; ++index) {
+    for (std::size_t index = 0; index < metrics::registry::max_label_sets; ++index) {
         registry.get_counter("asked_total", "", {{"target", std::to_string(index)}}).add();
     }
     auto& first_over = registry.get_counter("asked_total", "", {{"target", "over"}});
