--- a/src/emulator/emulated_store.hpp
+++ b/src/emulator/emulated_store.hpp
@@ -28,7 +28,7 @@
 
 /// How the store is restored from an older copy. The restore loses the latest changes. As in the real system,
 /// the writers of these changes write them again later, unless the row has been written in the meantime.
-struct store_return {
+struct store_restore {
     std::chrono::milliseconds age{2000}; ///< age of the copy
     /// From the restore until lost changes in the table of backend servers are written again.
     std::chrono::milliseconds servers_after{1000};
@@ -48,7 +48,7 @@
     [[nodiscard]] row_store& rows() noexcept { return m_rows; }
     void set_state(store_state state) noexcept { m_state = state; }
     /// Restores the contents of some time ago and begins a new era.
-    void return_from_copy(const store_return& how);
+    void return_from_copy(const store_restore& how);
     /// Makes the following answers contain this era, like delayed answers from before a restore; nothing: the
     /// current era.
     void tell_era(std::optional<std::uint64_t> era) noexcept { m_era_override = era; }
--- a/tests/soak/soak_deployment.cpp
+++ b/tests/soak/soak_deployment.cpp
@@ -147,7 +147,7 @@
 
 /// How the store is restored. An even target lets the servers write their lost rows again before the operator
 /// does; an odd one lets the operator be first.
-emulator::store_return return_of(const planned_fault& fault) {
+emulator::store_restore return_of(const planned_fault& fault) {
     const bool are_servers_first = fault.target % 2 == 0;
     return {age_of_copy, are_servers_first ? early_rewrite : late_rewrite,
             are_servers_first ? late_rewrite : early_rewrite};
