--- a/src/emulator/emulated_store.cpp
+++ b/src/emulator/emulated_store.cpp
@@ -77,7 +77,7 @@
     return m_state == store_state::busy || (m_state == store_state::partly && m_calls % 2 == 0);
 }
 
-void emulated_store::return_from_copy(const store_restore& how) {
+void emulated_store::restore_from_copy(const store_restore& how) {
     const auto lost = m_rows.restore(row_store::clock::now() - how.age);
     std::vector<store::row_change> of_servers;
     std::vector<store::row_change> of_operators;
--- a/src/emulator/emulated_store.hpp
+++ b/src/emulator/emulated_store.hpp
@@ -48,7 +48,7 @@
     [[nodiscard]] row_store& rows() noexcept { return m_rows; }
     void set_state(store_state state) noexcept { m_state = state; }
     /// Restores the contents of some time ago and begins a new era.
-    void return_from_copy(const store_restore& how);
+    void restore_from_copy(const store_restore& how);
     /// Makes the following answers contain this era, like delayed answers from before a restore; nothing: the
     /// current era.
     void tell_era(std::optional<std::uint64_t> era) noexcept { m_era_override = era; }
--- a/src/experiment/experiment_site.cpp
+++ b/src/experiment/experiment_site.cpp
@@ -279,7 +279,7 @@
         return;
     }
     if (fault.kind == fault_kind::store_returns) {
-        m_store.return_from_copy({fault.copy_age, fault.rewritten_after, fault.rewritten_after});
+        m_store.restore_from_copy({fault.copy_age, fault.rewritten_after, fault.rewritten_after});
     }
     if (fault.kind >= fault_kind::store_refuses) {
         m_store.set_state(emulator::store_state::well);
--- a/tests/soak/soak_deployment.cpp
+++ b/tests/soak/soak_deployment.cpp
@@ -530,7 +530,7 @@
     } else if (is_store_fault(fault.kind)) {
         on_emulator([&] {
             if (fault.kind == fault_kind::store_returns) {
-                m_site->store().return_from_copy(return_of(fault));
+                m_site->store().restore_from_copy(return_of(fault));
             }
             m_site->store().set_state(store_state::well);
             m_site->store().set_delay(milliseconds(0));
