--- a/src/emulator/emulated_store.hpp
+++ b/src/emulator/emulated_store.hpp
@@ -51,7 +51,7 @@
     void restore_from_copy(const store_restore& how);
     /// Makes the following answers contain this era, like delayed answers from before a restore; nothing: the
     /// current era.
-    void tell_era(std::optional<std::uint64_t> era) noexcept { m_era_override = era; }
+    void set_era_override(std::optional<std::uint64_t> era) noexcept { m_era_override = era; }
     /// Delays every answer by this time.
     void set_delay(std::chrono::milliseconds delay) noexcept { m_delay = delay; }
     /// How many calls arrived.
--- a/tests/unit/test_store_follower.cpp
+++ b/tests/unit/test_store_follower.cpp
@@ -189,11 +189,11 @@
     // The answer was sent before the store was restored, on a connection opened before.
     followed_table table(follower_role::follower);
     table.set_known({first_era + 1, 0}); // another gateway has learned of the restore
-    table.store().tell_era(first_era);
+    table.store().set_era_override(first_era);
     table.write("of the former era");
     table.run_until([&] { return !table.follower().is_in_touch(); });
     CHECK(table.held() == "first");
-    table.store().tell_era(first_era + 1);
+    table.store().set_era_override(first_era + 1);
     table.run_until([&] { return table.held() == "of the former era"; });
     CHECK(table.follower().is_in_touch());
 }
