--- a/src/emulator/emulated_store.cpp
+++ b/src/emulator/emulated_store.cpp
@@ -165,7 +165,7 @@
         if (!page.has_value()) {
             co_return platform::encode_history_gone();
         }
-        const bool is_over = std::chrono::steady_clock::now() >= end || m_state != store_state::well;
+        const bool is_over = std::chrono::steady_clock::now() >= end || m_state != store_state::available;
         if (!page->changes.empty() || is_over) {
             page->store_time = clock_ms();
             co_return platform::encode_changes(*page);
--- a/src/emulator/emulated_store.hpp
+++ b/src/emulator/emulated_store.hpp
@@ -73,7 +73,7 @@
     boost::asio::any_io_executor m_executor;
     timer_service& m_timers;
     row_store m_rows;
-    store_state m_state = store_state::well;
+    store_state m_state = store_state::available;
     std::chrono::milliseconds m_delay{0};
     std::optional<std::uint64_t> m_era_override;
     std::vector<timer_subscription> m_planned_writes;
--- a/src/experiment/experiment_site.cpp
+++ b/src/experiment/experiment_site.cpp
@@ -282,7 +282,7 @@
         m_store.restore_from_copy({fault.copy_age, fault.rewritten_after, fault.rewritten_after});
     }
     if (fault.kind >= fault_kind::store_refuses) {
-        m_store.set_state(emulator::store_state::well);
+        m_store.set_state(emulator::store_state::available);
         return;
     }
     for (const auto server : servers_of(fault)) {
--- a/tests/failure/test_gateway_configuration.cpp
+++ b/tests/failure/test_gateway_configuration.cpp
@@ -28,7 +28,7 @@
     set_store(site, store_state::silent);
     wait_until("all polls are lost",
                [&] { return site.on_emulator([&] { return site.store().unanswered(); }) >= 2 * gateways; });
-    set_store(site, store_state::well);
+    set_store(site, store_state::available);
 }
 
 double store_gauge(const gateway_site& site, std::size_t gateway, const std::string& name,
@@ -139,7 +139,7 @@
     set_store(site, store_state::busy);
     site.configure(with_key(base, 6, "new-key"));
     site.on_emulator([&] { site.store().rows().forget_history(); });
-    set_store(site, store_state::well);
+    set_store(site, store_state::available);
     wait_for_status(site, 0, keyed_call("a", "new-key"), 200);
 }
 
@@ -156,7 +156,7 @@
     site.start_backend(3, plain_backend("server-3"));
     const auto before = site.on_emulator([&] {
         site.store().rows().forget_history();
-        site.store().set_state(store_state::well);
+        site.store().set_state(store_state::available);
         return site.store().calls();
     });
     wait_until("the server that registered meanwhile is known", [&] { return knows("server-3"); });
@@ -180,7 +180,7 @@
         CHECK(site.send(0, keyed_call("call-" + std::to_string(index), "old-key")).status == 200);
     }
     site.configure(with_key(base, 6, "new-key"));
-    set_store(site, store_state::well);
+    set_store(site, store_state::available);
     wait_for_status(site, 0, keyed_call("after", "new-key"), 200);
 }
 
@@ -318,7 +318,7 @@
         return site.process(0).output_text().find(R"("event":"store_lost")") != std::string::npos;
     });
     site.unregister_backend(0);
-    set_store(site, store_state::well);
+    set_store(site, store_state::available);
     wait_until("the missing row is noticed", [&] {
         return site.process(0).output_text().find(R"("event":"backend_missed")") != std::string::npos;
     });
--- a/tests/failure/test_gateway_store_restore.cpp
+++ b/tests/failure/test_gateway_store_restore.cpp
@@ -136,7 +136,7 @@
             static_cast<void>(site.store().rows().restore(copied_at));
         });
         register_marker(site, 0, 3 + 2 * round);
-        site.on_emulator([&] { site.store().set_state(store_state::well); });
+        site.on_emulator([&] { site.store().set_state(store_state::available); });
     }
     site.register_backend(0, "draining");
     for (std::size_t gateway = 0; gateway < 2; ++gateway) {
--- a/tests/soak/soak_deployment.cpp
+++ b/tests/soak/soak_deployment.cpp
@@ -532,7 +532,7 @@
             if (fault.kind == fault_kind::store_returns) {
                 m_site->store().restore_from_copy(return_of(fault));
             }
-            m_site->store().set_state(store_state::well);
+            m_site->store().set_state(store_state::available);
             m_site->store().set_delay(milliseconds(0));
         });
     } else if (is_server_path_fault(fault.kind)) {
@@ -567,7 +567,7 @@
         proxy->release();
     }
     on_emulator([this] {
-        m_site->store().set_state(store_state::well);
+        m_site->store().set_state(store_state::available);
         m_site->store().set_delay(milliseconds(0));
         for (std::size_t server = 0; server < m_site->server_count(); ++server) {
             m_site->restart(server);
--- a/tests/unit/test_repeated_read.cpp
+++ b/tests/unit/test_repeated_read.cpp
@@ -73,7 +73,7 @@
     read.store().set_state(store_state::silent);
     read.start(short_period);
     read.run_until([&] { return read.store().calls() >= 2; });
-    read.store().set_state(store_state::well);
+    read.store().set_state(store_state::available);
     read.run_until([&] { return read.is_over(); });
     REQUIRE(read.error() == nullptr);
     REQUIRE(read.page().rows.size() == 1);
--- a/tests/unit/test_store_follower.cpp
+++ b/tests/unit/test_store_follower.cpp
@@ -101,7 +101,7 @@
     const auto role = GENERATE(follower_role::confirmer, follower_role::follower, follower_role::fallback);
     followed_table table(role);
     table.lose_poll();
-    table.store().set_state(store_state::well);
+    table.store().set_state(store_state::available);
     table.write("second");
     table.run_until([&] { return table.held() == "second"; });
 }
@@ -114,7 +114,7 @@
     table.run_until([&] { return table.held() == "second"; });
     table.store().set_state(store_state::silent);
     table.run_until([&] { return table.store().unanswered() > 0; });
-    table.store().set_state(store_state::well);
+    table.store().set_state(store_state::available);
     table.write("third");
     table.run_until([&] { return table.held() == "third"; });
 }
@@ -127,7 +127,7 @@
     table.run_until([&] { return !table.follower().is_in_touch(); });
     CHECK(table.outages() > 0);
     CHECK_FALSE(table.follower().is_current());
-    table.store().set_state(store_state::well);
+    table.store().set_state(store_state::available);
     table.run_until([&] { return table.follower().is_in_touch() && table.follower().is_current(); });
 }
 
@@ -136,7 +136,7 @@
     followed_table table(follower_role::follower);
     table.lose_poll();
     table.run_until([&] { return table.store().unanswered() > 2; });
-    table.store().set_state(store_state::well);
+    table.store().set_state(store_state::available);
     table.run_until([&] { return table.store().unanswered() == 0; });
     CHECK(table.follower().is_in_touch());
 }
