--- a/src/emulator/emulated_store.cpp
+++ b/src/emulator/emulated_store.cpp
@@ -127,7 +127,7 @@
     if (should_refuse_call()) {
         co_return refuse(status_unavailable);
     }
-    if (m_state == store_state::many) {
+    if (m_state == store_state::rate_limited) {
         co_return refuse(status_too_many);
     }
     const auto decoded = platform::decode_store_call(call);
--- a/tests/failure/test_gateway_configuration.cpp
+++ b/tests/failure/test_gateway_configuration.cpp
@@ -170,7 +170,7 @@
     // The store is unreachable, refuses, resets connections or doesn't answer. Callers must not notice it,
     // and what was written in the meantime must be in force soon afterwards.
     const auto outage =
-        GENERATE(store_state::busy, store_state::many, store_state::reset, store_state::silent);
+        GENERATE(store_state::busy, store_state::rate_limited, store_state::reset, store_state::silent);
     auto options = plain_site(1);
     const auto base = options.configuration;
     options.configuration = with_key(base, 5, "old-key");
--- a/tests/soak/soak_deployment.cpp
+++ b/tests/soak/soak_deployment.cpp
@@ -362,7 +362,7 @@
             store.set_state(store_state::busy);
             break;
         case fault_kind::store_over_rate:
-            store.set_state(store_state::many);
+            store.set_state(store_state::rate_limited);
             break;
         case fault_kind::store_resetting:
         case fault_kind::store_returns:
--- a/tests/unit/test_repeated_read.cpp
+++ b/tests/unit/test_repeated_read.cpp
@@ -92,7 +92,7 @@
     // The store refuses calls, for instance because of its rate limit. Further reads would increase its
     // load; the caller of read_all_repeatedly() pauses before it tries again.
     first_read read;
-    read.store().set_state(store_state::many);
+    read.store().set_state(store_state::rate_limited);
     read.start(endless_timeout);
     read.run_until([&] { return read.is_over(); });
     REQUIRE(read.error() != nullptr);
