--- a/src/emulator/emulated_store.hpp
+++ b/src/emulator/emulated_store.hpp
@@ -18,12 +18,12 @@
 
 /// How the store treats calls.
 enum class store_state : std::uint8_t {
-    available, ///< answers every call
-    busy,      ///< answers every call with 503 without executing it
-    many,      ///< answers every call with 429 (too many requests) without executing it
-    reset,     ///< closes the connection of every call without an answer
-    silent,    ///< never answers a call, including the calls that were open when this state began
-    partly,    ///< answers every second call with 503 without executing it
+    available,    ///< answers every call
+    busy,         ///< answers every call with 503 without executing it
+    rate_limited, ///< answers every call with 429 (too many requests) without executing it
+    reset,        ///< closes the connection of every call without an answer
+    silent,       ///< never answers a call, including the calls that were open when this state began
+    partly,       ///< answers every second call with 503 without executing it
 };
 
 /// How the store is restored from an older copy. The restore loses the latest changes. As in the real system,
