--- a/measure/policy/policy_trials.cpp
+++ b/measure/policy/policy_trials.cpp
@@ -137,7 +137,7 @@
     const std::vector<std::pair<std::string, slot_layout>> layouts{
         {"one coordinator", slot_layout::one_coordinator},
         {"divided", slot_layout::divided},
-        {"reported after 50 ms", slot_layout::told},
+        {"reported after 50 ms", slot_layout::delayed_updates},
         {"owned", slot_layout::owned},
         {"offered to two", slot_layout::offered}};
     for (const auto& [name, layout] : layouts) {
@@ -145,5 +145,5 @@
         run_scenario("haian, " + name, haian, 1.0, limits, {}, layout);
     }
     run_scenario("tinta, divided by 12", tinta, 1.0, limits, {}, slot_layout::divided, 12);
-    run_scenario("tinta, reported, 12 gateways", tinta, 1.0, limits, {}, slot_layout::told, 12);
+    run_scenario("tinta, reported, 12 gateways", tinta, 1.0, limits, {}, slot_layout::delayed_updates, 12);
 }
--- a/src/emulator/slot_deciders.cpp
+++ b/src/emulator/slot_deciders.cpp
@@ -16,7 +16,7 @@
     case slot_layout::one_coordinator:
         return 1;
     case slot_layout::divided:
-    case slot_layout::told:
+    case slot_layout::delayed_updates:
     case slot_layout::owned:
         return options.gateways;
     case slot_layout::offered:
@@ -30,7 +30,7 @@
     switch (options.layout) {
     case slot_layout::one_coordinator:
     case slot_layout::divided:
-    case slot_layout::told:
+    case slot_layout::delayed_updates:
         return true;
     case slot_layout::owned:
         return engine % options.gateways == decider;
@@ -101,7 +101,7 @@
 
 void slot_deciders::publish_update(std::size_t from, policy::slot_ticket ticket, policy::server_key server,
                                    bool has_ended, time_point now) {
-    if (m_layout == slot_layout::told) {
+    if (m_layout == slot_layout::delayed_updates) {
         m_pending_updates.push({now + m_update_delay, from, ticket, server, has_ended});
     }
 }
--- a/src/emulator/slot_deciders.hpp
+++ b/src/emulator/slot_deciders.hpp
@@ -36,7 +36,8 @@
     [[nodiscard]] std::vector<policy::slot_refusal> take_refusals();
 
 private:
-    /// In the layout slot_layout::told: a grant or a release that the other deciders learn of later.
+    /// In the layout slot_layout::delayed_updates: a grant or a release that the other deciders learn of
+    /// later.
     struct decision_update {
         time_point at;        ///< when the other deciders learn of it
         std::size_t from = 0; ///< the decider that made it
