--- a/src/emulator/policy_trial.hpp
+++ b/src/emulator/policy_trial.hpp
@@ -24,7 +24,7 @@
 enum class slot_layout : std::uint8_t {
     one_coordinator, ///< one process decides for all requests
     divided,         ///< each gateway grants its fixed share of every engine's slots
-    told,            ///< each gateway grants all slots, and learns of other gateways' grants after a delay
+    delayed_updates, ///< each gateway grants all slots, and learns of other gateways' grants after a delay
     owned,           ///< each gateway grants all slots of some engines, to the requests that it receives
     offered,         ///< each engine grants its own slots; a request is offered to two engines
 };
@@ -33,7 +33,8 @@
 struct trial_options {
     slot_layout layout = slot_layout::one_coordinator;
     std::size_t gateways = 4; ///< not used by the layouts one_coordinator and offered
-    /// In the layout `told`, the delay after which a gateway learns of another gateway's grants and releases.
+    /// In the layout `delayed_updates`, the delay after which a gateway learns of another gateway's grants
+    /// and releases.
     duration update_delay = std::chrono::milliseconds(50);
     load_model load;
     std::vector<engine_model> engines;
