--- a/measure/policy/policy_trials.cpp
+++ b/measure/policy/policy_trials.cpp
@@ -84,7 +84,7 @@
         const auto result = play(options);
         worth += result.worth / seeds;
         for (std::size_t index = 0; index < sum.size(); ++index) {
-            sum[index].asked += result.classes[index].asked;
+            sum[index].requests += result.classes[index].requests;
             sum[index].in_time += result.classes[index].in_time;
             sum[index].late += result.classes[index].late;
             sum[index].refused += result.classes[index].refused;
@@ -97,11 +97,11 @@
     }
     std::printf("%-28s %.3f |", name.c_str(), worth);
     for (const auto& total : sum) {
-        const double asked = static_cast<double>(total.asked) / 100;
+        const double requests = static_cast<double>(total.requests) / 100;
         std::printf(" %.3f (in time %2.0f late %2.0f refused %2.0f again %2.0f lost %2.0f, first %3.0f, "
                     "refusal %4.0f ms) |",
-                    total.worth, total.in_time / asked, total.late / asked, total.refused / asked,
-                    total.refused_again / asked, total.lost / asked, total.mean_first_ms,
+                    total.worth, total.in_time / requests, total.late / requests, total.refused / requests,
+                    total.refused_again / requests, total.lost / requests, total.mean_first_ms,
                     total.mean_refusal_ms);
     }
     std::printf("\n");
--- a/src/emulator/policy_trial.cpp
+++ b/src/emulator/policy_trial.cpp
@@ -264,7 +264,7 @@
         double owed = 0;
         for (const auto& request : m_requests) {
             auto& result = m_result.classes[request.offered.request_class];
-            ++result.asked;
+            ++result.requests;
             m_owed[request.offered.request_class] += class_of(request).worth * worth_factor(request);
         }
         for (std::size_t index = 0; index < m_result.classes.size(); ++index) {
--- a/src/emulator/policy_trial.hpp
+++ b/src/emulator/policy_trial.hpp
@@ -51,7 +51,7 @@
 
 /// How the requests of one class ended, and how much value their answers had.
 struct class_result {
-    std::uint64_t asked = 0;         ///< all requests
+    std::uint64_t requests = 0;      ///< all requests
     std::uint64_t in_time = 0;       ///< answered completely, within both targets
     std::uint64_t late = 0;          ///< answered completely, but a target was missed
     std::uint64_t refused = 0;       ///< refused at the last attempt
--- a/tests/unit/test_policy_trial.cpp
+++ b/tests/unit/test_policy_trial.cpp
@@ -31,7 +31,7 @@
 }
 
 double share_in_time(const class_result& of) {
-    return static_cast<double>(of.in_time) / static_cast<double>(of.asked);
+    return static_cast<double>(of.in_time) / static_cast<double>(of.requests);
 }
 
 } // namespace
