--- a/measure/policy/policy_trials.cpp
+++ b/measure/policy/policy_trials.cpp
@@ -88,7 +88,7 @@
             sum[index].in_time += result.classes[index].in_time;
             sum[index].late += result.classes[index].late;
             sum[index].refused += result.classes[index].refused;
-            sum[index].refused_again += result.classes[index].refused_again;
+            sum[index].refused_retries += result.classes[index].refused_retries;
             sum[index].mean_refusal_ms += result.classes[index].mean_refusal_ms / seeds;
             sum[index].lost += result.classes[index].lost;
             sum[index].worth += result.classes[index].worth / seeds;
@@ -101,7 +101,7 @@
         std::printf(" %.3f (in time %2.0f late %2.0f refused %2.0f again %2.0f lost %2.0f, first %3.0f, "
                     "refusal %4.0f ms) |",
                     total.worth, total.in_time / requests, total.late / requests, total.refused / requests,
-                    total.refused_again / requests, total.lost / requests, total.mean_first_ms,
+                    total.refused_retries / requests, total.lost / requests, total.mean_first_ms,
                     total.mean_refusal_ms);
     }
     std::printf("\n");
--- a/src/emulator/policy_trial.cpp
+++ b/src/emulator/policy_trial.cpp
@@ -184,7 +184,7 @@
         const auto left = request.first_sent + of.deadline - m_now;
         const auto back = m_now + std::min(retry_after, left / 3);
         if (request.refusals > 0) {
-            ++m_result.classes[request.offered.request_class].refused_again;
+            ++m_result.classes[request.offered.request_class].refused_retries;
         }
         if (request.refusals++ < m_options.caller_retries && back < request.first_sent + of.deadline) {
             m_arrivals.push({back, index});
--- a/src/emulator/policy_trial.hpp
+++ b/src/emulator/policy_trial.hpp
@@ -51,15 +51,15 @@
 
 /// How the requests of one class ended, and how much value their answers had.
 struct class_result {
-    std::uint64_t requests = 0;      ///< all requests
-    std::uint64_t in_time = 0;       ///< answered completely, within both targets
-    std::uint64_t late = 0;          ///< answered completely, but a target was missed
-    std::uint64_t refused = 0;       ///< refused at the last attempt
-    std::uint64_t refused_again = 0; ///< refusals of retries
-    std::uint64_t lost = 0;          ///< aborted by an outage, or not finished at the deadline
-    double worth = 0;                ///< value of the answers, as a share of the value if all were in time
-    double mean_first_ms = 0;        ///< mean time from the first attempt to the first event
-    double mean_refusal_ms = 0;      ///< mean time from the first attempt to the final refusal
+    std::uint64_t requests = 0;        ///< all requests
+    std::uint64_t in_time = 0;         ///< answered completely, within both targets
+    std::uint64_t late = 0;            ///< answered completely, but a target was missed
+    std::uint64_t refused = 0;         ///< refused at the last attempt
+    std::uint64_t refused_retries = 0; ///< refusals of retries
+    std::uint64_t lost = 0;            ///< aborted by an outage, or not finished at the deadline
+    double worth = 0;                  ///< value of the answers, as a share of the value if all were in time
+    double mean_first_ms = 0;          ///< mean time from the first attempt to the first event
+    double mean_refusal_ms = 0;        ///< mean time from the first attempt to the final refusal
 };
 
 /// The outcome of a trial.
