--- a/src/experiment/call_text.hpp
+++ b/src/experiment/call_text.hpp
@@ -9,7 +9,7 @@
 namespace borageford::experiment {
 
 /// The token counts that a caller sends in the header of its request.
-struct told_sizes {
+struct token_counts {
     std::size_t prompt = 0;        ///< tokens of the prompt
     std::size_t most_output = 0;   ///< the most tokens that the answer may have
     std::size_t hinted_output = 0; ///< the caller's guess at the tokens of the answer
@@ -21,7 +21,7 @@
     std::string target;
     std::string id;                         ///< the caller's id of the request
     std::chrono::milliseconds time_left{0}; ///< until the caller's deadline
-    std::optional<told_sizes> sizes;        ///< sent only on routes of streams
+    std::optional<token_counts> sizes;      ///< sent only on routes of streams
     std::string key;                        ///< the API key of a workspace; empty on public routes
     std::string body;
 };
--- a/src/experiment/load_runner.cpp
+++ b/src/experiment/load_runner.cpp
@@ -139,8 +139,8 @@
     call.time_left = std::chrono::duration_cast<milliseconds>(sizes.deadline - (clock::now() - sender.begun));
     if (route->kind == routing::route_kind::stream) {
         call.sizes =
-            told_sizes{static_cast<std::size_t>(sender.sizes.prompt_tokens), sender.sizes.output_tokens,
-                       static_cast<std::size_t>(sender.sizes.hinted_output)};
+            token_counts{static_cast<std::size_t>(sender.sizes.prompt_tokens), sender.sizes.output_tokens,
+                         static_cast<std::size_t>(sender.sizes.hinted_output)};
     }
     call.key = group.key;
     const auto size = static_cast<std::size_t>(sender.sizes.prompt_tokens * bytes_per_token);
--- a/tests/soak/soak_callers.cpp
+++ b/tests/soak/soak_callers.cpp
@@ -137,7 +137,7 @@
     call.id = request.id;
     call.time_left = time_limit;
     if (request.is_stream) {
-        call.sizes = experiment::told_sizes{prompt_tokens, request.output_tokens, request.output_tokens};
+        call.sizes = experiment::token_counts{prompt_tokens, request.output_tokens, request.output_tokens};
     }
     call.key = request.key;
     call.body = request.body;
