--- a/src/experiment/load_call.cpp
+++ b/src/experiment/load_call.cpp
@@ -23,7 +23,7 @@
 
 } // namespace
 
-std::shared_ptr<net::connection> kept_connections::take(const asio::ip::tcp::endpoint& server) {
+std::shared_ptr<net::connection> connection_pool::take(const asio::ip::tcp::endpoint& server) {
     auto& idle = m_idle[server];
     while (!idle.empty()) {
         auto connection = std::move(idle.back());
@@ -35,8 +35,8 @@
     return nullptr;
 }
 
-void kept_connections::keep(const asio::ip::tcp::endpoint& server,
-                            std::shared_ptr<net::connection> connection) {
+void connection_pool::keep(const asio::ip::tcp::endpoint& server,
+                           std::shared_ptr<net::connection> connection) {
     const std::weak_ptr<net::connection> weak = connection;
     const auto close_connection = [weak] {
         if (const auto ended = weak.lock()) {
@@ -55,7 +55,7 @@
     idle.push_back(std::move(connection));
 }
 
-load_call::load_call(asio::any_io_executor executor, std::shared_ptr<kept_connections> pool,
+load_call::load_call(asio::any_io_executor executor, std::shared_ptr<connection_pool> pool,
                      asio::ip::tcp::endpoint server, std::string request, done on_done)
     : m_executor(std::move(executor)),
       m_pool(std::move(pool)),
--- a/src/experiment/load_call.hpp
+++ b/src/experiment/load_call.hpp
@@ -23,7 +23,7 @@
 using clock = std::chrono::steady_clock;
 
 /// A pool of idle connections to gateways, by address.
-class kept_connections {
+class connection_pool {
 public:
     /// Removes an open connection from the pool and returns it; null when there is none.
     [[nodiscard]] std::shared_ptr<net::connection> take(const boost::asio::ip::tcp::endpoint& server);
@@ -58,7 +58,7 @@
 
     /// `pool` is the pool from which the call takes its connection and to which it returns the connection.
     /// `request` is the complete text of the request.
-    load_call(boost::asio::any_io_executor executor, std::shared_ptr<kept_connections> pool,
+    load_call(boost::asio::any_io_executor executor, std::shared_ptr<connection_pool> pool,
               boost::asio::ip::tcp::endpoint server, std::string request, done on_done);
 
     void start();
@@ -74,7 +74,7 @@
     void finish(bool is_whole);
 
     boost::asio::any_io_executor m_executor;
-    std::shared_ptr<kept_connections> m_pool;
+    std::shared_ptr<connection_pool> m_pool;
     boost::asio::ip::tcp::endpoint m_server;
     std::string m_request;
     done m_on_done;
--- a/src/experiment/load_runner.hpp
+++ b/src/experiment/load_runner.hpp
@@ -57,7 +57,7 @@
     boost::asio::any_io_executor m_executor;
     timer_service& m_timers;
     const experiment_plan& m_plan;
-    std::shared_ptr<kept_connections> m_pool = std::make_shared<kept_connections>();
+    std::shared_ptr<connection_pool> m_pool = std::make_shared<connection_pool>();
     outcome_table m_outcomes;
     std::vector<std::string> m_at_most_once_ids;
     std::vector<emulator::offered_request> m_offered;
