--- a/tests/soak/soak_callers.cpp
+++ b/tests/soak/soak_callers.cpp
@@ -146,7 +146,7 @@
     sender->request.gateway_start_count = m_deployment.start_count(sender->request.gateway);
     const std::weak_ptr<caller> weak = sender;
     sender->call = std::make_shared<experiment::load_call>(
-        m_deployment.executor(), m_kept, m_deployment.callers(sender->request.gateway),
+        m_deployment.executor(), m_pool, m_deployment.callers(sender->request.gateway),
         experiment::compose_call(call), [this, weak](const experiment::call_result& result) {
             if (const auto self = weak.lock()) {
                 finish(self, caller_end::answered, result);
--- a/tests/soak/soak_callers.hpp
+++ b/tests/soak/soak_callers.hpp
@@ -58,7 +58,7 @@
 
     soak_deployment& m_deployment;
     std::mt19937_64 m_random;
-    std::shared_ptr<experiment::connection_pool> m_kept = std::make_shared<experiment::connection_pool>();
+    std::shared_ptr<experiment::connection_pool> m_pool = std::make_shared<experiment::connection_pool>();
     std::vector<std::shared_ptr<caller>> m_callers;
     std::vector<sent_request> m_requests;
     broken_promises m_broken;
