--- a/src/experiment/load_call.cpp
+++ b/src/experiment/load_call.cpp
@@ -67,7 +67,7 @@
     m_result.sent = clock::now();
     auto connection = m_pool->take(m_server);
     if (connection != nullptr) {
-        m_result.was_kept = true;
+        m_result.reused_connection = true;
         send_on(std::move(connection));
     } else {
         connect();
--- a/src/experiment/load_call.hpp
+++ b/src/experiment/load_call.hpp
@@ -36,14 +36,14 @@
 
 /// How a request ended for its caller.
 struct call_result {
-    unsigned status = 0;        ///< 0: no response head was received
-    bool has_connected = false; ///< a connection was established or reused
-    bool is_whole = false;      ///< the response is complete
-    bool was_kept = false;      ///< the request was sent on a connection that had been used before
-    std::uint64_t events = 0;   ///< complete events of a stream
-    std::string body;           ///< of a response that is no stream
-    std::string event_text;     ///< all complete events of a stream, unchanged
-    http::field_list fields;    ///< the header fields of the response
+    unsigned status = 0;            ///< 0: no response head was received
+    bool has_connected = false;     ///< a connection was established or reused
+    bool is_whole = false;          ///< the response is complete
+    bool reused_connection = false; ///< the request was sent on a connection that had been used before
+    std::uint64_t events = 0;       ///< complete events of a stream
+    std::string body;               ///< of a response that is no stream
+    std::string event_text;         ///< all complete events of a stream, unchanged
+    http::field_list fields;        ///< the header fields of the response
     std::optional<std::chrono::milliseconds> retry_after; ///< from the header Retry-After
     clock::time_point sent;
     clock::time_point first_event; ///< when the first event of a stream came; without one, equal to `ended`
--- a/tests/soak/promise_checks.cpp
+++ b/tests/soak/promise_checks.cpp
@@ -114,7 +114,7 @@
                             : broken_promises{describe(request) + ": no final answer in its time"};
     }
     const bool is_answered = request.result.status != 0 || !request.result.has_connected;
-    const bool may_have_crossed = runs == 0 && (request.result.was_kept || was_stopping);
+    const bool may_have_crossed = runs == 0 && (request.result.reused_connection || was_stopping);
     if (is_answered || may_have_crossed) {
         return {};
     }
--- a/tests/unit/test_soak_checks.cpp
+++ b/tests/unit/test_soak_checks.cpp
@@ -92,7 +92,7 @@
     disturbance_log no_disturbances;
     CHECK(check_final_answer(cut, 1, no_disturbances).size() == 1);
     CHECK(check_final_answer(cut, 0, no_disturbances).size() == 1);
-    cut.result.was_kept = true;
+    cut.result.reused_connection = true;
     CHECK(check_final_answer(cut, 0, no_disturbances)
               .empty()); // sent while the gateway was closing the connection
     CHECK(check_final_answer(cut, 1, no_disturbances).size() == 1);
