--- a/src/experiment/load_call.cpp
+++ b/src/experiment/load_call.cpp
@@ -149,17 +149,17 @@
     }
 }
 
-void load_call::finish(bool is_whole) {
+void load_call::finish(bool is_complete) {
     if (std::exchange(m_is_over, true)) {
         return;
     }
-    m_result.is_whole = is_whole;
+    m_result.is_complete = is_complete;
     m_result.ended = clock::now();
     if (m_result.first_event == clock::time_point{}) {
         m_result.first_event = m_result.ended;
     }
     auto connection = std::move(m_connection);
-    if (connection != nullptr && is_whole && m_reader.keeps_connection() && connection->is_open()) {
+    if (connection != nullptr && is_complete && m_reader.keeps_connection() && connection->is_open()) {
         m_pool->keep(m_server, std::move(connection));
     } else if (connection != nullptr) {
         connection->close();
--- a/src/experiment/load_call.hpp
+++ b/src/experiment/load_call.hpp
@@ -38,7 +38,7 @@
 struct call_result {
     unsigned status = 0;            ///< 0: no response head was received
     bool has_connected = false;     ///< a connection was established or reused
-    bool is_whole = false;          ///< the response is complete
+    bool is_complete = false;       ///< the response is complete
     bool reused_connection = false; ///< the request was sent on a connection that had been used before
     std::uint64_t events = 0;       ///< complete events of a stream
     std::string body;               ///< of a response that is no stream
@@ -71,7 +71,7 @@
     void on_input();
     void process_body();
     void on_end();
-    void finish(bool is_whole);
+    void finish(bool is_complete);
 
     boost::asio::any_io_executor m_executor;
     std::shared_ptr<connection_pool> m_pool;
--- a/src/experiment/load_runner.cpp
+++ b/src/experiment/load_runner.cpp
@@ -176,7 +176,7 @@
     const bool is_refused = result.status == too_many_requests || result.status == unavailable;
     const auto& group = m_plan.callers[sender->group];
     const auto& sizes = m_plan.load.classes[sender->group];
-    if (result.is_whole && is_success) {
+    if (result.is_complete && is_success) {
         const bool is_in_time = result.first_event - sender->begun <= sizes.target;
         end(sender, is_in_time ? outcome::in_time : outcome::late);
         return;
--- a/tests/soak/promise_checks.cpp
+++ b/tests/soak/promise_checks.cpp
@@ -82,7 +82,7 @@
     } else if (made_by->request_id != request.id) {
         broken.push_back(describe(request) + ": has the answer to " + made_by->request_id);
     }
-    if (request.is_stream && result.is_whole && result.events != request.output_tokens) {
+    if (request.is_stream && result.is_complete && result.events != request.output_tokens) {
         broken.push_back(describe(request) + ": ends as complete after " + std::to_string(result.events) +
                          " events of " + std::to_string(request.output_tokens));
     }
--- a/tests/soak/soak_callers.cpp
+++ b/tests/soak/soak_callers.cpp
@@ -182,7 +182,7 @@
     if (sender->is_probe) {
         const auto route = request.target.substr(1, request.target.find('/', 1) - 1);
         m_probes[{request.gateway, route}] =
-            result.is_whole && result.status >= first_success && result.status < first_redirect;
+            result.is_complete && result.status >= first_success && result.status < first_redirect;
     }
     m_requests.push_back(std::move(request));
     m_requests.back().result.event_text.clear(); // checked already, and large
--- a/tests/unit/test_soak_checks.cpp
+++ b/tests/unit/test_soak_checks.cpp
@@ -27,7 +27,7 @@
     request.ended = start + milliseconds(50);
     request.result.status = status;
     request.result.has_connected = true;
-    request.result.is_whole = true;
+    request.result.is_complete = true;
     return request;
 }
 
@@ -72,7 +72,7 @@
           2); // wrong event, and the stream ends as complete after one of two
     auto truncated = make_stream(1, first);
     CHECK(check(truncated) == 1);
-    truncated.result.is_whole = false;
+    truncated.result.is_complete = false;
     CHECK(check(truncated) == 0);
 }
 
