--- a/src/experiment/load_call.cpp
+++ b/src/experiment/load_call.cpp
@@ -168,7 +168,7 @@
     call(m_result);
 }
 
-void load_call::give_up() {
+void load_call::cancel() {
     if (std::exchange(m_is_over, true)) {
         return;
     }
--- a/src/experiment/load_call.hpp
+++ b/src/experiment/load_call.hpp
@@ -50,7 +50,7 @@
     clock::time_point ended;
 };
 
-/// One call. Must be used on one executor only. Calls `on_done` exactly once, unless give_up() is called
+/// One call. Must be used on one executor only. Calls `on_done` exactly once, unless cancel() is called
 /// before.
 class load_call : public std::enable_shared_from_this<load_call> {
 public:
@@ -63,7 +63,7 @@
 
     void start();
     /// Closes the connection, as a caller that gives up does; `on_done` isn't called.
-    void give_up();
+    void cancel();
 
 private:
     void connect();
--- a/src/experiment/load_runner.cpp
+++ b/src/experiment/load_runner.cpp
@@ -163,7 +163,7 @@
     const auto left = sizes.deadline - (clock::now() - sender->begun);
     const auto timeout = sender->will_disconnect ? left / 4 : left;
     sender->deadline = m_timers.after(m_executor, timeout, [this, sender] {
-        sender->call->give_up();
+        sender->call->cancel();
         end(sender, sender->will_disconnect ? outcome::left : outcome::failed);
     });
     sender->call->start();
--- a/tests/soak/soak_callers.cpp
+++ b/tests/soak/soak_callers.cpp
@@ -161,7 +161,7 @@
     sender->limit =
         m_deployment.timers().after(m_deployment.executor(), limit, [this, weak, disconnects_early] {
             if (const auto self = weak.lock()) {
-                self->call->give_up();
+                self->call->cancel();
                 finish(self, disconnects_early ? caller_end::disconnected : caller_end::unanswered, {});
             }
         });
