--- a/src/experiment/experiment_site.cpp
+++ b/src/experiment/experiment_site.cpp
@@ -92,7 +92,7 @@
     record.start = unit.server->options().start;
     record.service = unit.server->options().service;
     const auto number = static_cast<std::size_t>(&unit - m_servers.data());
-    record.address = m_publish ? m_publish(number, unit.address) : unit.address;
+    record.address = m_address_mapping ? m_address_mapping(number, unit.address) : unit.address;
     record.failure_domain = "a";
     record.slots = unit.server->options().slots;
     record.state = unit.state;
--- a/src/experiment/experiment_site.hpp
+++ b/src/experiment/experiment_site.hpp
@@ -33,7 +33,7 @@
         std::size_t server, const boost::asio::ip::tcp::endpoint& listening)>;
     /// Registers servers under the addresses that `publish` returns. Without this call, the addresses on
     /// which the servers listen are registered.
-    void publish_with(address_mapping publish) { m_publish = std::move(publish); }
+    void publish_with(address_mapping publish) { m_address_mapping = std::move(publish); }
 
     /// Starts the store and the servers, writes the configuration, and registers the servers.
     void start();
@@ -104,7 +104,7 @@
     const experiment_plan& m_plan;
     emulator::emulated_store m_store;
     boost::asio::ip::tcp::endpoint m_store_address;
-    address_mapping m_publish;
+    address_mapping m_address_mapping;
     std::vector<server_unit> m_servers;
     std::vector<std::unique_ptr<emulator::emulated_backend>> m_stopped; ///< stopped servers
     std::vector<timer_subscription> m_scheduled_calls;                  ///< calls at later times
