--- a/src/experiment/experiment_site.hpp
+++ b/src/experiment/experiment_site.hpp
@@ -33,7 +33,7 @@
         std::size_t server, const boost::asio::ip::tcp::endpoint& listening)>;
     /// Registers servers under the addresses that `publish` returns. Without this call, the addresses on
     /// which the servers listen are registered.
-    void publish_with(address_mapping publish) { m_address_mapping = std::move(publish); }
+    void set_address_mapping(address_mapping publish) { m_address_mapping = std::move(publish); }
 
     /// Starts the store and the servers, writes the configuration, and registers the servers.
     void start();
--- a/tests/soak/soak_deployment.cpp
+++ b/tests/soak/soak_deployment.cpp
@@ -193,7 +193,8 @@
     m_thread = std::jthread([this] { m_context.run(); });
     on_emulator([this] {
         m_site = std::make_unique<experiment::experiment_site>(m_context.get_executor(), m_timers, m_plan);
-        m_site->publish_with([this](auto server, const auto& address) { return publish(server, address); });
+        m_site->set_address_mapping(
+            [this](auto server, const auto& address) { return publish(server, address); });
         m_site->start();
     });
     std::vector<experiment::gateway_place> places;
