--- a/src/experiment/experiment_site.cpp
+++ b/src/experiment/experiment_site.cpp
@@ -101,7 +101,7 @@
     static_cast<void>(m_store.rows().transact(change));
 }
 
-void experiment_site::write_entry(std::string_view id, std::string value) {
+void experiment_site::write_row(std::string_view id, std::string value) {
     store::transaction change;
     change.puts.push_back({row_key(id), std::move(value)});
     static_cast<void>(m_store.rows().transact(change));
@@ -144,7 +144,7 @@
 
 void experiment_site::overwrite_entry(std::size_t server, std::string value) {
     if (m_servers.at(server).server != nullptr) {
-        write_entry(m_servers[server].id, std::move(value));
+        write_row(m_servers[server].id, std::move(value));
     }
 }
 
--- a/src/experiment/experiment_site.hpp
+++ b/src/experiment/experiment_site.hpp
@@ -70,7 +70,7 @@
     [[nodiscard]] std::string server_name(std::size_t server) const;
 
     /// Writes a row into the table of backend servers, as a program other than the server could.
-    void write_entry(std::string_view id, std::string value);
+    void write_row(std::string_view id, std::string value);
     /// Removes a row from the table of backend servers.
     void remove_entry(std::string_view id);
     /// Overwrites the row of a running server; renew_entry() restores it.
--- a/tests/soak/soak_deployment.cpp
+++ b/tests/soak/soak_deployment.cpp
@@ -450,7 +450,7 @@
 void soak_deployment::write_foreign_entries(const planned_fault& fault) {
     on_emulator([&] {
         for (std::size_t number = 0; number < foreign_values.size(); ++number) {
-            m_site->write_entry(foreign_id(number), std::string(foreign_values.at(number)));
+            m_site->write_row(foreign_id(number), std::string(foreign_values.at(number)));
         }
         m_site->overwrite_entry(fault.target % m_server_proxies.size(),
                                 std::string(foreign_values.at(fault.target % foreign_values.size())));
