--- a/src/experiment/experiment_site.cpp
+++ b/src/experiment/experiment_site.cpp
@@ -107,7 +107,7 @@
     static_cast<void>(m_store.rows().transact(change));
 }
 
-void experiment_site::remove_entry(std::string_view id) {
+void experiment_site::remove_row(std::string_view id) {
     store::transaction change;
     change.deletes.push_back(row_key(id));
     static_cast<void>(m_store.rows().transact(change));
@@ -137,7 +137,7 @@
     after(registration_life, [this, id, server, number] {
         const auto& now = m_servers.at(server);
         if (now.id != id || now.starts == number) { // otherwise the server was started again under this id
-            remove_entry(id);
+            remove_row(id);
         }
     });
 }
--- a/src/experiment/experiment_site.hpp
+++ b/src/experiment/experiment_site.hpp
@@ -72,7 +72,7 @@
     /// Writes a row into the table of backend servers, as a program other than the server could.
     void write_row(std::string_view id, std::string value);
     /// Removes a row from the table of backend servers.
-    void remove_entry(std::string_view id);
+    void remove_row(std::string_view id);
     /// Overwrites the row of a running server; renew_entry() restores it.
     void overwrite_entry(std::size_t server, std::string value);
     /// Writes the registration of a running server again.
--- a/tests/soak/soak_deployment.cpp
+++ b/tests/soak/soak_deployment.cpp
@@ -460,7 +460,7 @@
 void soak_deployment::end_foreign_entries(const planned_fault& fault) {
     on_emulator([&] {
         for (std::size_t number = 0; number < foreign_values.size(); ++number) {
-            m_site->remove_entry(foreign_id(number));
+            m_site->remove_row(foreign_id(number));
         }
         m_site->renew_entry(fault.target % m_server_proxies.size());
     });
