--- a/src/experiment/experiment_site.cpp
+++ b/src/experiment/experiment_site.cpp
@@ -142,7 +142,7 @@
     });
 }
 
-void experiment_site::overwrite_entry(std::size_t server, std::string value) {
+void experiment_site::overwrite_row(std::size_t server, std::string value) {
     if (m_servers.at(server).server != nullptr) {
         write_row(m_servers[server].id, std::move(value));
     }
--- a/src/experiment/experiment_site.hpp
+++ b/src/experiment/experiment_site.hpp
@@ -74,7 +74,7 @@
     /// Removes a row from the table of backend servers.
     void remove_row(std::string_view id);
     /// Overwrites the row of a running server; renew_entry() restores it.
-    void overwrite_entry(std::size_t server, std::string value);
+    void overwrite_row(std::size_t server, std::string value);
     /// Writes the registration of a running server again.
     void renew_entry(std::size_t server);
 
--- a/tests/soak/soak_deployment.cpp
+++ b/tests/soak/soak_deployment.cpp
@@ -452,8 +452,8 @@
         for (std::size_t number = 0; number < foreign_values.size(); ++number) {
             m_site->write_row(foreign_id(number), std::string(foreign_values.at(number)));
         }
-        m_site->overwrite_entry(fault.target % m_server_proxies.size(),
-                                std::string(foreign_values.at(fault.target % foreign_values.size())));
+        m_site->overwrite_row(fault.target % m_server_proxies.size(),
+                              std::string(foreign_values.at(fault.target % foreign_values.size())));
     });
 }
 
