--- a/src/experiment/experiment_site.cpp
+++ b/src/experiment/experiment_site.cpp
@@ -148,7 +148,7 @@
     }
 }
 
-void experiment_site::renew_entry(std::size_t server) {
+void experiment_site::renew_registration(std::size_t server) {
     if (m_servers.at(server).server != nullptr) {
         write_registration(m_servers[server]);
     }
--- a/src/experiment/experiment_site.hpp
+++ b/src/experiment/experiment_site.hpp
@@ -73,10 +73,10 @@
     void write_row(std::string_view id, std::string value);
     /// Removes a row from the table of backend servers.
     void remove_row(std::string_view id);
-    /// Overwrites the row of a running server; renew_entry() restores it.
+    /// Overwrites the row of a running server; renew_registration() restores it.
     void overwrite_row(std::size_t server, std::string value);
     /// Writes the registration of a running server again.
-    void renew_entry(std::size_t server);
+    void renew_registration(std::size_t server);
 
 private:
     /// One server of the plan, through all its starts.
--- a/tests/soak/soak_deployment.cpp
+++ b/tests/soak/soak_deployment.cpp
@@ -462,7 +462,7 @@
         for (std::size_t number = 0; number < foreign_values.size(); ++number) {
             m_site->remove_row(foreign_id(number));
         }
-        m_site->renew_entry(fault.target % m_server_proxies.size());
+        m_site->renew_registration(fault.target % m_server_proxies.size());
     });
 }
 
