--- a/src/events/event_log.cpp
+++ b/src/events/event_log.cpp
@@ -53,7 +53,7 @@
     log4cplus::Initializer initializer;
     line_buffer buffer{STDOUT_FILENO, buffer_capacity};
     std::mutex mutex;
-    rate_bound bound{std::chrono::steady_clock::now()}; ///< guarded by `mutex`
+    rate_limiter bound{std::chrono::steady_clock::now()}; ///< guarded by `mutex`
     log_clock clock{std::chrono::system_clock::now(), std::chrono::steady_clock::now()};
     std::string process = "borageford";
     std::string vm;
--- a/src/events/rate_bound.cpp
+++ b/src/events/rate_bound.cpp
@@ -12,14 +12,14 @@
 
 } // namespace
 
-rate_bound::rate_bound(policy::time_point now) {
+rate_limiter::rate_limiter(policy::time_point now) {
     for (const auto& description : event_descriptions()) {
         const double rate = description.lines_per_second;
         m_kinds.push_back({policy::token_bucket(rate, rate * burst_seconds, now), 0});
     }
 }
 
-std::optional<std::uint64_t> rate_bound::admit(event_kind kind, policy::time_point now) {
+std::optional<std::uint64_t> rate_limiter::admit(event_kind kind, policy::time_point now) {
     auto& state = m_kinds.at(static_cast<std::size_t>(kind));
     if (!state.bucket.try_take(1, now)) {
         ++state.left_out;
--- a/src/events/rate_bound.hpp
+++ b/src/events/rate_bound.hpp
@@ -11,9 +11,9 @@
 namespace borageford::events {
 
 /// Not thread-safe: the caller must serialize access.
-class rate_bound {
+class rate_limiter {
 public:
-    explicit rate_bound(policy::time_point now);
+    explicit rate_limiter(policy::time_point now);
 
     /// Tells whether a line of this kind may be written now. If it may, the result is how many lines of the
     /// kind were dropped since the last one that was admitted; otherwise nothing, and the line counts as
--- a/tests/unit/test_events.cpp
+++ b/tests/unit/test_events.cpp
@@ -84,7 +84,7 @@
 
 TEST_CASE("each kind of event has its own rate limit and counts the lines it drops", "[events]") {
     const policy::time_point now = policy::time_point{} + 1h;
-    rate_bound bound(now);
+    rate_limiter bound(now);
     std::uint64_t admitted = 0;
     for (int index = 0; index < 10000; ++index) {
         admitted += bound.admit(event_kind::request_answered, now).has_value() ? 1 : 0;
