--- a/src/events/event_log.cpp
+++ b/src/events/event_log.cpp
@@ -4,7 +4,7 @@
 
 #include "events/line_buffer.hpp"
 #include "events/log_clock.hpp"
-#include "events/rate_bound.hpp"
+#include "events/rate_limiter.hpp"
 
 #include <log4cplus/appender.h>
 #include <log4cplus/initializer.h>
--- a/src/events/rate_bound.cpp
+++ b/src/events/rate_bound.cpp
@@ -1,5 +1,5 @@
 // Limits the rate of log lines with one token bucket for each kind of event.
-#include "events/rate_bound.hpp"
+#include "events/rate_limiter.hpp"
 
 #include <utility>
 
--- a/tests/unit/test_events.cpp
+++ b/tests/unit/test_events.cpp
@@ -3,7 +3,7 @@
 #include "events/event_log.hpp"
 #include "events/line_buffer.hpp"
 #include "events/log_clock.hpp"
-#include "events/rate_bound.hpp"
+#include "events/rate_limiter.hpp"
 
 #include <boost/json.hpp>
 #include <catch2/catch.hpp>
