--- a/src/diagnosis/request_story.cpp
+++ b/src/diagnosis/request_story.cpp
@@ -124,7 +124,7 @@
 
 } // namespace
 
-void request_story::add(log_record record) {
+void request_timeline::add(log_record record) {
     ++m_lines;
     m_left_out += record.left_out;
     if (record.lost_lines > 0) {
@@ -141,7 +141,7 @@
     }
 }
 
-request_story::timeline request_story::lines_about_request() const {
+request_timeline::timeline request_timeline::lines_about_request() const {
     timeline result;
     std::set<std::string> tickets;
     for (const auto& record : m_request_lines) {
@@ -157,7 +157,7 @@
     return result;
 }
 
-std::set<std::string> request_story::vms_of(const timeline& lines) const {
+std::set<std::string> request_timeline::vms_of(const timeline& lines) const {
     std::set<std::string> result;
     for (const auto& [time, record] : lines) {
         result.insert(record.vm);
@@ -165,7 +165,7 @@
     return result;
 }
 
-void request_story::print_state(std::ostream& out, const std::string& vm, log_time at) const {
+void request_timeline::print_state(std::ostream& out, const std::string& vm, log_time at) const {
     const auto found = m_state_changes.find(vm);
     if (found == m_state_changes.end()) {
         return;
@@ -185,8 +185,8 @@
     }
 }
 
-void request_story::print_lines(std::ostream& out, const timeline& lines,
-                                const std::set<std::string>& vms) const {
+void request_timeline::print_lines(std::ostream& out, const timeline& lines,
+                                   const std::set<std::string>& vms) const {
     const auto first = lines.begin()->first;
     const auto last = std::prev(lines.end())->first;
     auto all = lines;
@@ -203,7 +203,7 @@
     }
 }
 
-void request_story::print_missing_lines(std::ostream& out) const {
+void request_timeline::print_missing_lines(std::ostream& out) const {
     std::uint64_t lost = 0;
     for (const auto& [vm, count] : m_lost_lines) {
         lost += count;
@@ -212,7 +212,7 @@
         << lost << " were lost because nobody read them.\n";
 }
 
-std::string request_story::outcome() const {
+std::string request_timeline::outcome() const {
     const auto lines = lines_about_request();
     const auto end = std::ranges::find_if(lines.rbegin(), lines.rend(),
                                           [](const auto& line) { return is_end(line.second); });
@@ -222,7 +222,7 @@
     return end_text(end->second);
 }
 
-void request_story::print(std::ostream& out) const {
+void request_timeline::print(std::ostream& out) const {
     if (!has_lines()) {
         out << "No line tells of request " << m_id << ". ";
         print_missing_lines(out);
--- a/src/diagnosis/request_story.hpp
+++ b/src/diagnosis/request_story.hpp
@@ -17,10 +17,10 @@
 
 /// Collects the lines of any number of processes, in any order, and then prints those that concern one
 /// request.
-class request_story {
+class request_timeline {
 public:
     /// `id` is the caller's id of the request, which is the field `request` of the log lines.
-    explicit request_story(std::string id) : m_id(std::move(id)) {}
+    explicit request_timeline(std::string id) : m_id(std::move(id)) {}
 
     /// Stores the line if it may concern the request.
     void add(log_record record);
--- a/src/program/logs_command.cpp
+++ b/src/program/logs_command.cpp
@@ -60,7 +60,7 @@
     if (words.empty() || words.front().empty()) {
         throw usage_error("logs needs the ID of one request, and the files to look in");
     }
-    diagnosis::request_story timeline(words.front());
+    diagnosis::request_timeline timeline(words.front());
     read_all(words.subspan(1),
              [&timeline](diagnosis::log_record record) { timeline.add(std::move(record)); });
     timeline.print(std::cout);
--- a/tests/unit/test_diagnosis.cpp
+++ b/tests/unit/test_diagnosis.cpp
@@ -23,13 +23,13 @@
            R"(000Z","process":"gateway","vm":")" + vm + R"(",)" + fields + "}";
 }
 
-void add(request_story& timeline, const std::string& line) {
+void add(request_timeline& timeline, const std::string& line) {
     auto record = read_log_record(line);
     REQUIRE(record);
     timeline.add(std::move(*record));
 }
 
-std::string printed(const request_story& timeline) {
+std::string printed(const request_timeline& timeline) {
     std::ostringstream out;
     timeline.print(out);
     return out.str();
@@ -63,7 +63,7 @@
 
 TEST_CASE("the timeline of a refused request has the coordinator's reason and the state that was assumed",
           "[diagnosis]") {
-    request_story timeline("r1");
+    request_timeline timeline("r1");
     add(timeline, line_of("edge-1", 300, "request_refused",
                           R"("request":"r1","ticket":77,"error":"overloaded","status":503,)"
                           R"("reason":"no slot in time","held_ms":180,"tries":0,"retry_after_ms":900)"));
@@ -89,7 +89,7 @@
 }
 
 TEST_CASE("a timeline has the state changes around the request, sorted by time", "[diagnosis]") {
-    request_story timeline("r2");
+    request_timeline timeline("r2");
     add(timeline,
         line_of("edge-1", 400, "request_cut",
                 R"("request":"r2","reason":"the response ended early","events":12,"total_ms":390)"));
@@ -114,7 +114,7 @@
 
 TEST_CASE("without any line about the request, the output tells how many lines may be missing",
           "[diagnosis]") {
-    request_story timeline("r3");
+    request_timeline timeline("r3");
     add(timeline,
         line_of("edge-1", 10, "request_answered", R"("request":"r4","left_out":41,"lost_lines":3)"));
     add(timeline, line_of("edge-1", 20, "request_answered", R"("request":"r5","lost_lines":5)"));
