--- a/src/diagnosis/request_story.cpp
+++ b/src/diagnosis/request_story.cpp
@@ -1,6 +1,5 @@
 // Joins log lines by request id and ticket, and prints them in the order of their times.
-#include "diagnosis/request_story.hpp"
-
+#include "diagnosis/request_timeline.hpp"
 #include "events/event_kind.hpp"
 
 #include <algorithm>
--- a/src/program/logs_command.cpp
+++ b/src/program/logs_command.cpp
@@ -3,7 +3,7 @@
 
 #include "diagnosis/log_record.hpp"
 #include "diagnosis/loss_report.hpp"
-#include "diagnosis/request_story.hpp"
+#include "diagnosis/request_timeline.hpp"
 #include "program/command_flags.hpp"
 
 #include <chrono>
--- a/tests/unit/test_diagnosis.cpp
+++ b/tests/unit/test_diagnosis.cpp
@@ -1,6 +1,6 @@
 // Tests of parsing log lines and of printing the timeline of one request from them.
 #include "diagnosis/log_record.hpp"
-#include "diagnosis/request_story.hpp"
+#include "diagnosis/request_timeline.hpp"
 #include "events/event_log.hpp"
 
 #include <catch2/catch.hpp>
