--- a/tests/failure/test_10_engine_faults.cpp
+++ b/tests/failure/test_10_engine_faults.cpp
@@ -33,7 +33,7 @@
     const auto call = with_far_deadline(make_completion("atascado", {.tokens = 50}));
     const auto answer = system.send(0, call);
     INFO(answer.body);
-    CHECK_FALSE(answer.is_whole);
+    CHECK_FALSE(answer.is_complete);
     CHECK_FALSE(has_done_mark(answer.body));
     CHECK(answer.body.find("backend_stalled") != std::string::npos);
     CHECK(system.runs_of(call) == 1);
@@ -72,7 +72,7 @@
     const auto streamed = with_far_deadline(make_completion("basura", {.tokens = 50}));
     const auto answer = system.send(0, streamed);
     INFO(answer.status << ' ' << answer.body);
-    CHECK_FALSE((answer.status == 200 && answer.is_whole));
+    CHECK_FALSE((answer.status == 200 && answer.is_complete));
     CHECK_FALSE(has_done_mark(answer.body));
     CHECK(answer.body.find("backend_garbled") != std::string::npos);
     CHECK(answer.body.find("not an answer") == std::string::npos);
--- a/tests/failure/test_2_whole_answers.cpp
+++ b/tests/failure/test_2_whole_answers.cpp
@@ -100,7 +100,7 @@
     system.backend(0).server->kill();
     const auto incomplete = stream.wait();
     CHECK(incomplete.status == 200);
-    CHECK_FALSE(incomplete.is_whole);
+    CHECK_FALSE(incomplete.is_complete);
     CHECK_FALSE(has_done_mark(incomplete.body));
     CHECK(incomplete.body.find("backend_failed") != std::string::npos);
     const auto refused = plain.wait();
@@ -133,7 +133,7 @@
     first.wait_for_bytes(500);
     system.entry(0).process->kill();
     const auto incomplete = first.wait();
-    CHECK_FALSE(incomplete.is_whole);
+    CHECK_FALSE(incomplete.is_complete);
     check_whole_answer(system.send(1, call), call, 150);
     CHECK(system.runs_of(call) == 1);
 }
--- a/tests/failure/test_6_graceful_stop.cpp
+++ b/tests/failure/test_6_graceful_stop.cpp
@@ -74,7 +74,7 @@
         try {
             wait_until("a complete answer", [&] {
                 outcome.answer = call(++m_sent % 2 == 0 ? first : second, outcome.call);
-                return outcome.answer.status == 200 && outcome.answer.is_whole;
+                return outcome.answer.status == 200 && outcome.answer.is_complete;
             });
         } catch (const std::runtime_error& problem) {
             outcome.answer.error = problem.what();
--- a/tests/failure/test_9_crashing_request.cpp
+++ b/tests/failure/test_9_crashing_request.cpp
@@ -87,7 +87,7 @@
     CHECK(dead_servers(system) <= 2);
     for (std::size_t index = 0; index < innocents.size(); ++index) {
         auto answer = pending[index]->wait();
-        if (!answer.is_whole) {
+        if (!answer.is_complete) {
             CHECK_FALSE(has_done_mark(answer.body));
             answer = system.send(index % 2, innocents[index]);
         }
--- a/tests/failure/test_audit_trail.cpp
+++ b/tests/failure/test_audit_trail.cpp
@@ -32,7 +32,7 @@
     const auto cut = pending.wait();
     const auto request = cut.header("X-Request-Id");
     REQUIRE(request.size() == 32);
-    CHECK_FALSE(cut.is_whole);
+    CHECK_FALSE(cut.is_complete);
 
     // On a graceful shutdown the sidecar writes its records; they would otherwise stay in memory for 60 s.
     system.backend(0).sidecar->terminate();
@@ -52,7 +52,7 @@
                     .process_settings = "audit_period = 100ms\n"});
     system.control_platform(R"({"outage": true})");
     const auto answer = system.send(0, make_completion("corte de luz", {.tokens = 5}));
-    CHECK(answer.is_whole);
+    CHECK(answer.is_complete);
     const auto request = answer.header("X-Request-Id");
     system.control_platform(R"({"outage": false})");
     wait_until("the records of both sides", [&] {
--- a/tests/failure/test_configuration_changes.cpp
+++ b/tests/failure/test_configuration_changes.cpp
@@ -35,7 +35,7 @@
 }
 
 bool is_served(const caller_result& answer, const http::request& call) {
-    return answer.status == 200 && answer.is_whole && has_done_mark(answer.body) &&
+    return answer.status == 200 && answer.is_complete && has_done_mark(answer.body) &&
            text_of_stream(answer.body) == expected_text(call, answer_tokens);
 }
 
--- a/tests/failure/test_gateway_forwarding.cpp
+++ b/tests/failure/test_gateway_forwarding.cpp
@@ -135,7 +135,7 @@
         CHECK(answer.status == 200);
         CHECK(answer.header("Request-Id") == id);
         CHECK(answer.body.starts_with(R"({"run":)"));
-        CHECK(answer.is_whole);
+        CHECK(answer.is_complete);
     }
 }
 
@@ -155,7 +155,7 @@
     gateway_site site(stream_site(false, 1));
     const auto answer = site.send(0, stream_call("s", 40));
     CHECK(answer.status == 200);
-    CHECK(answer.is_whole);
+    CHECK(answer.is_complete);
     CHECK(answer.header("Response-Signature") == "engine-0.0");
     CHECK(event_numbers(answer.body) == numbers_up_to(11));
 }
@@ -168,7 +168,7 @@
     set_fault_everywhere(site, 2, backend_fault::cut_midway, 1);
     const auto answer = site.send(0, stream_call("s", 40));
     CHECK(answer.status == 200);
-    CHECK_FALSE(answer.is_whole);
+    CHECK_FALSE(answer.is_complete);
     CHECK(answer.body.ends_with("\n\n"));
     CHECK(event_numbers(answer.body) == std::vector<int>{1});
     CHECK(site.runs_of("s") == 1);
@@ -182,7 +182,7 @@
     set_fault_everywhere(site, 2, backend_fault::cut_midway, 1);
     const auto answer = site.send(0, stream_call("s", 40));
     CHECK(answer.status == 200);
-    CHECK(answer.is_whole);
+    CHECK(answer.is_complete);
     CHECK(event_numbers(answer.body) == numbers_up_to(11));
     CHECK(site.runs_of("s") == 3);
 }
--- a/tests/failure/test_gateway_stop.cpp
+++ b/tests/failure/test_gateway_stop.cpp
@@ -43,7 +43,7 @@
     CHECK(late.header("Connection") == "close");
     const auto answer = running.wait();
     CHECK(answer.status == 200);
-    CHECK(answer.is_whole);
+    CHECK(answer.is_complete);
     CHECK(site.process(0).wait_for_exit() == 0);
 }
 
@@ -76,7 +76,7 @@
     site.process(0).terminate();
     const auto answer = running.wait();
     CHECK(answer.status == 200);
-    CHECK(answer.is_whole);
+    CHECK(answer.is_complete);
     CHECK(site.process(0).wait_for_exit() == 0);
 }
 
--- a/tests/failure/test_stand_ins.cpp
+++ b/tests/failure/test_stand_ins.cpp
@@ -34,10 +34,10 @@
     engine.proxy.arm(direction::down, contains("delta"), fault::truncate);
     const auto truncated = call(engine.proxy.address(), request);
     engine.proxy.wait_for_fault();
-    REQUIRE_FALSE(truncated.is_whole);
+    REQUIRE_FALSE(truncated.is_complete);
     const auto remainder = call(
         engine.address, {"GET", "/v1/streams/r1?offset=" + std::to_string(truncated.body.size()), {}, {}});
-    REQUIRE(remainder.is_whole);
+    REQUIRE(remainder.is_complete);
     const auto joined = truncated.body + remainder.body;
     CHECK(text_of_stream(joined) == expected_text(request, 30));
     CHECK(has_done_mark(joined));
--- a/tests/support/checks.hpp
+++ b/tests/support/checks.hpp
@@ -13,7 +13,7 @@
 inline void check_whole_answer(const caller_result& answer, const http::request& call, std::uint32_t tokens) {
     INFO(answer.error << ' ' << answer.body);
     CHECK(answer.status == 200);
-    CHECK(answer.is_whole);
+    CHECK(answer.is_complete);
     CHECK(has_done_mark(answer.body));
     CHECK(text_of_stream(answer.body) == expected_text(call, tokens));
 }
--- a/tests/support/http_caller.cpp
+++ b/tests/support/http_caller.cpp
@@ -80,7 +80,7 @@
                  piece = co_await exchange.read_some()) {
                 update([&] { result.body += piece; });
             }
-            update([&] { result.is_whole = true; });
+            update([&] { result.is_complete = true; });
         } catch (const std::exception& problem) {
             update([&] { result.error = problem.what(); });
         }
@@ -146,7 +146,7 @@
 
 std::string fetch_text(const http::endpoint& server, const std::string& target) {
     const auto answer = call(server, {"GET", target, {}, {}});
-    if (answer.status != 200 || !answer.is_whole) {
+    if (answer.status != 200 || !answer.is_complete) {
         throw std::runtime_error(target + " answered " + std::to_string(answer.status) + " " + answer.body);
     }
     return answer.body;
@@ -154,7 +154,7 @@
 
 std::string post_text(const http::endpoint& server, const std::string& target, const std::string& body) {
     const auto answer = call(server, {"POST", target, {{"Content-Type", "application/json"}}, body});
-    if (answer.status != 200 || !answer.is_whole) {
+    if (answer.status != 200 || !answer.is_complete) {
         throw std::runtime_error(target + " answered " + std::to_string(answer.status) + " " + answer.body);
     }
     return answer.body;
--- a/tests/support/http_caller.hpp
+++ b/tests/support/http_caller.hpp
@@ -17,8 +17,8 @@
     unsigned status = 0; ///< 0: no response head was received
     http::header_fields headers;
     std::string body;
-    bool is_whole = false; ///< the body was received to its end
-    std::string error;     ///< why the exchange failed; empty when it didn't
+    bool is_complete = false; ///< the body was received to its end
+    std::string error;        ///< why the exchange failed; empty when it didn't
 
     /// The header's value, or an empty text.
     [[nodiscard]] std::string header(std::string_view name) const;
