--- a/tests/failure/test_10_engine_faults.cpp
+++ b/tests/failure/test_10_engine_faults.cpp
@@ -39,7 +39,7 @@
     CHECK(system.runs_of(call) == 1);
     system.control_server(0, R"({"stall_after":null})");
     const auto next = make_completion("despues del atasco", {.tokens = 5});
-    check_whole_answer(system.send(0, next), next, 5);
+    check_complete_answer(system.send(0, next), next, 5);
 }
 
 // The engine accepts the request and sends nothing.
--- a/tests/failure/test_11_bad_input.cpp
+++ b/tests/failure/test_11_bad_input.cpp
@@ -37,7 +37,7 @@
 void check_still_serves(cluster& system, const std::string& after) {
     INFO("after " << after);
     const auto call = make_completion("sigue " + after, {.tokens = 5});
-    check_whole_answer(system.send(0, call), call, 5);
+    check_complete_answer(system.send(0, call), call, 5);
 }
 
 cluster_options small_cluster() {
@@ -139,5 +139,5 @@
     holding_proxy.wait_for_fault();
     check_still_serves(system, "a caller that doesn't read");
     holding_proxy.release();
-    check_whole_answer(unread.wait(), call, 300);
+    check_complete_answer(unread.wait(), call, 300);
 }
--- a/tests/failure/test_1_dispatch_at_most_once.cpp
+++ b/tests/failure/test_1_dispatch_at_most_once.cpp
@@ -24,7 +24,7 @@
     cluster system;
     for (const auto* prompt : {"uno", "dos", "tres"}) {
         const auto call = make_completion(prompt, {.tokens = 25});
-        check_whole_answer(system.send(0, call), call, 25);
+        check_complete_answer(system.send(0, call), call, 25);
         CHECK(system.runs_of(call) == 1);
     }
     const auto whole = make_completion("entero", {.tokens = 5, .streamed = false});
@@ -49,7 +49,7 @@
     link.release();
     link.wait_for_fault(); // the sidecar has sent not_begun: the grant has expired
     system.entry(0).process->thaw();
-    check_whole_answer(pending.wait(), call, 20);
+    check_complete_answer(pending.wait(), call, 20);
     CHECK(system.runs_of(call) == 1);
 }
 
@@ -63,7 +63,7 @@
     const auto call = make_completion("silencio", {.tokens = 60});
     pending_call pending(system.entry(0).callers, call);
     link.wait_for_fault();
-    check_whole_answer(pending.wait(), call, 60);
+    check_complete_answer(pending.wait(), call, 60);
     CHECK(system.runs_of(call) == 1);
 }
 
@@ -81,7 +81,7 @@
     const auto call = make_completion("copia tardia", {.tokens = 20});
     pending_call pending(system.entry(0).callers, call);
     link.wait_for_fault(isolated);
-    check_whole_answer(pending.wait(), call, 20); // arrives on a new connection
+    check_complete_answer(pending.wait(), call, 20); // arrives on a new connection
     CHECK(system.runs_of(call) == 1);
     link.release();
     link.wait_for_fault();
@@ -97,7 +97,7 @@
     const auto call = make_completion("doble", {.tokens = 20});
     pending_call pending(system.entry(0).callers, call);
     link.wait_for_fault();
-    check_whole_answer(pending.wait(), call, 20);
+    check_complete_answer(pending.wait(), call, 20);
     CHECK(system.runs_of(call) == 1);
 }
 
@@ -111,7 +111,7 @@
     pending.wait_for_bytes(500);
     system.backend(0).sidecar->kill();
     system.start_sidecar(0);
-    check_whole_answer(pending.wait(), call, 150);
+    check_complete_answer(pending.wait(), call, 150);
     CHECK(system.runs_of(call) == 1);
 }
 
@@ -127,7 +127,7 @@
         const auto before = system.runs_of(call);
         pending_call pending(system.entry(0).callers, call);
         link.wait_for_fault();
-        check_whole_answer(pending.wait(), call, 30);
+        check_complete_answer(pending.wait(), call, 30);
         CHECK(system.runs_of(call) == before + 1);
     }
 }
@@ -141,7 +141,7 @@
     const auto call = make_completion("respuesta perdida", {.tokens = 30});
     pending_call pending(system.entry(0).callers, call);
     link.wait_for_fault();
-    check_whole_answer(pending.wait(), call, 30);
+    check_complete_answer(pending.wait(), call, 30);
     CHECK(system.runs_of(call) == 1);
 }
 
@@ -156,7 +156,7 @@
     link.wait_for_fault();
     system.backend(0).sidecar->kill();
     system.start_sidecar(0);
-    check_whole_answer(pending.wait(), call, 150);
+    check_complete_answer(pending.wait(), call, 150);
     CHECK(system.runs_of(call) == 1);
 }
 
@@ -171,6 +171,6 @@
     system.backend(0).sidecar->kill();
     system.start_sidecar(0);
     system.entry(0).process->thaw();
-    check_whole_answer(pending.wait(), call, 150);
+    check_complete_answer(pending.wait(), call, 150);
     CHECK(system.runs_of(call) == 1);
 }
--- a/tests/failure/test_2_whole_answers.cpp
+++ b/tests/failure/test_2_whole_answers.cpp
@@ -29,7 +29,7 @@
     const auto call = make_completion(prompt, {.tokens = 60});
     pending_call pending(system.entry(0).callers, call);
     link.wait_for_fault();
-    check_whole_answer(pending.wait(), call, 60);
+    check_complete_answer(pending.wait(), call, 60);
     CHECK(system.runs_of(call) == 1);
 }
 
@@ -59,7 +59,7 @@
         const auto call = make_completion(prompt, {.tokens = 60});
         pending_call pending(system.entry(0).callers, call);
         link.wait_for_fault();
-        check_whole_answer(pending.wait(), call, 60);
+        check_complete_answer(pending.wait(), call, 60);
         CHECK(system.runs_of(call) == 1);
     }
 }
@@ -82,7 +82,8 @@
         system.backend(index).server_link->cut(cut_kind::reset);
     }
     for (std::size_t index = 0; index < calls.size(); ++index) {
-        check_whole_answer(pending[index]->wait(), calls[index], static_cast<std::uint32_t>(20 + index * 3));
+        check_complete_answer(pending[index]->wait(), calls[index],
+                              static_cast<std::uint32_t>(20 + index * 3));
         CHECK(system.runs_of(calls[index]) == 1);
     }
 }
@@ -119,7 +120,7 @@
         pending_call first(system.entry(0).callers, call);
         first.wait_for_bytes(500);
     } // closes the first connection
-    check_whole_answer(system.send(1, call), call, 150);
+    check_complete_answer(system.send(1, call), call, 150);
     CHECK(system.runs_of(call) == 1);
 }
 
@@ -134,6 +135,6 @@
     system.entry(0).process->kill();
     const auto incomplete = first.wait();
     CHECK_FALSE(incomplete.is_complete);
-    check_whole_answer(system.send(1, call), call, 150);
+    check_complete_answer(system.send(1, call), call, 150);
     CHECK(system.runs_of(call) == 1);
 }
--- a/tests/failure/test_3_not_run_is_true.cpp
+++ b/tests/failure/test_3_not_run_is_true.cpp
@@ -86,7 +86,7 @@
     for (std::size_t index = 0; index < calls.size(); ++index) {
         const auto answer = pending[index]->wait();
         if (answer.status == 200) {
-            check_whole_answer(answer, calls[index], 60);
+            check_complete_answer(answer, calls[index], 60);
             CHECK(system.runs_of(calls[index]) == 1);
             continue;
         }
@@ -138,7 +138,7 @@
         const auto call = make_completion(prompt, {.tokens = 10});
         pending_call pending(system.entry(0).callers, call);
         link.wait_for_fault();
-        check_whole_answer(pending.wait(), call, 10);
+        check_complete_answer(pending.wait(), call, 10);
         CHECK(system.runs_of(call) == 1);
     }
 }
@@ -152,7 +152,7 @@
     const auto call = make_completion("inicio perdido", {.tokens = 10});
     const auto answer = system.send(0, call);
     link.wait_for_fault();
-    check_whole_answer(answer, call, 10);
+    check_complete_answer(answer, call, 10);
     CHECK(system.runs_of(call) == 1);
 }
 
--- a/tests/failure/test_5_leaving_gets_no_new_work.cpp
+++ b/tests/failure/test_5_leaving_gets_no_new_work.cpp
@@ -25,7 +25,7 @@
 void send_batch(cluster& system, const std::string& name) {
     for (int index = 0; index < batch_size; ++index) {
         const auto call = make_completion(name + std::to_string(index), {.tokens = 3});
-        check_whole_answer(system.send(index % 2, call), call, 3);
+        check_complete_answer(system.send(index % 2, call), call, 3);
     }
 }
 
@@ -116,5 +116,5 @@
     system.backend(leaving).sidecar->terminate();
     link.wait_for_fault();
     check_gets_no_new_work(system);
-    check_whole_answer(stream.wait(), running, 400);
+    check_complete_answer(stream.wait(), running, 400);
 }
--- a/tests/failure/test_6_graceful_stop.cpp
+++ b/tests/failure/test_6_graceful_stop.cpp
@@ -98,7 +98,7 @@
     stream.wait_for_bytes(500);
     system.entry(0).process->terminate();
     system.backend(0).sidecar->terminate();
-    check_whole_answer(stream.wait(), call, 200);
+    check_complete_answer(stream.wait(), call, 200);
     CHECK(system.runs_of(call) == 1);
     CHECK(system.entry(0).process->wait_for_exit() == 0);
     CHECK(system.backend(0).sidecar->wait_for_exit() == 0);
@@ -134,7 +134,7 @@
     pending.front()->wait_for_bytes(100);
     system.backend(0).sidecar->terminate();
     for (std::size_t index = 0; index < calls.size(); ++index) {
-        check_whole_answer(pending[index]->wait(), calls[index], 60);
+        check_complete_answer(pending[index]->wait(), calls[index], 60);
         CHECK(system.runs_of(calls[index]) == 1);
     }
     CHECK(system.backend(0).sidecar->wait_for_exit() == 0);
@@ -150,7 +150,7 @@
     system.entry(0).process->terminate();
     system.backend(0).sidecar->terminate();
     system.backend(0).link->cut(cut_kind::reset);
-    check_whole_answer(stream.wait(), call, 150);
+    check_complete_answer(stream.wait(), call, 150);
     CHECK(system.runs_of(call) == 1);
 }
 
@@ -184,7 +184,7 @@
     const auto outcomes = load.finish();
     WARN(outcomes.size() << " requests over the restart");
     for (const auto& outcome : outcomes) {
-        check_whole_answer(outcome.answer, outcome.call, outcome.tokens);
+        check_complete_answer(outcome.answer, outcome.call, outcome.tokens);
         CHECK(system.runs_of(outcome.call) == 1);
     }
 }
--- a/tests/failure/test_7_tiers_under_burst.cpp
+++ b/tests/failure/test_7_tiers_under_burst.cpp
@@ -102,7 +102,7 @@
     for (std::size_t index = 0; index < calls.size(); ++index) {
         const auto answer = pending[index]->wait();
         if (answer.status == 200) {
-            check_whole_answer(answer, calls[index], 20);
+            check_complete_answer(answer, calls[index], 20);
             continue;
         }
         ++refused;
--- a/tests/failure/test_9_crashing_request.cpp
+++ b/tests/failure/test_9_crashing_request.cpp
@@ -65,7 +65,7 @@
     }
     CHECK(dead_servers(system) <= 2);
     const auto innocent = make_completion("inocente", {.tokens = 10});
-    check_whole_answer(system.send(0, innocent), innocent, 10);
+    check_complete_answer(system.send(0, innocent), innocent, 10);
 }
 
 // Other requests run on the engines that crash. Their answers are lost too, but they didn't cause the crash
@@ -92,7 +92,7 @@
             answer = system.send(index % 2, innocents[index]);
         }
         CHECK(answer.header("X-Error-Kind") != "quarantined");
-        check_whole_answer(answer, innocents[index], 300);
+        check_complete_answer(answer, innocents[index], 300);
     }
 }
 
--- a/tests/support/checks.hpp
+++ b/tests/support/checks.hpp
@@ -10,7 +10,8 @@
 namespace borageford::test {
 
 /// Checks that the caller received the complete streamed answer of fake_engine to this call.
-inline void check_whole_answer(const caller_result& answer, const http::request& call, std::uint32_t tokens) {
+inline void check_complete_answer(const caller_result& answer, const http::request& call,
+                                  std::uint32_t tokens) {
     INFO(answer.error << ' ' << answer.body);
     CHECK(answer.status == 200);
     CHECK(answer.is_complete);
