--- a/tests/failure/test_gateway_forwarding.cpp
+++ b/tests/failure/test_gateway_forwarding.cpp
@@ -194,7 +194,7 @@
     pending_call pending(site.callers(0), stream_call("long", 100000));
     pending.wait_for_bytes(10);
     CHECK(site.on_emulator([&] { return site.backend(0).in_progress(); }) == 1);
-    pending.hang_up();
+    pending.disconnect();
     wait_until("the engine is free",
                [&] { return site.on_emulator([&] { return site.backend(0).in_progress(); }) == 0; });
 }
--- a/tests/failure/test_gateway_ingress.cpp
+++ b/tests/failure/test_gateway_ingress.cpp
@@ -149,7 +149,7 @@
     gateway_site site(options);
     pending_call early(site.callers(0), make_call("/plain/x", "early"));
     pending_call left(site.callers(0), make_call("/plain/x", "left"));
-    left.hang_up();
+    left.disconnect();
     // The gateway has one thread, so it reads both requests before it answers the readiness check.
     CHECK_FALSE(site.is_ready(0));
     site.configure(options.configuration);
--- a/tests/failure/test_gateway_stop.cpp
+++ b/tests/failure/test_gateway_stop.cpp
@@ -61,7 +61,7 @@
     // The gateway closes idle connections once the balancer must have noticed; this call returns then.
     CHECK(exchange_raw(site.callers(0), "", std::chrono::seconds(20)).empty());
     CHECK(site.send(0, make_call("/plain/x", "late")).status == 200);
-    running.hang_up();
+    running.disconnect();
     CHECK(site.process(0).wait_for_exit() == 0);
 }
 
--- a/tests/support/http_caller.cpp
+++ b/tests/support/http_caller.cpp
@@ -109,7 +109,7 @@
 }
 
 pending_call::~pending_call() {
-    hang_up();
+    disconnect();
 }
 
 void pending_call::wait_for_bytes(std::size_t count) {
@@ -135,7 +135,7 @@
     return m_state->result;
 }
 
-void pending_call::hang_up() {
+void pending_call::disconnect() {
     asio::post(caller_thread::context(), [shared = m_state] { shared->exchange.cancel(); });
 }
 
--- a/tests/support/http_caller.hpp
+++ b/tests/support/http_caller.hpp
@@ -43,7 +43,7 @@
     /// Waits for the end of the exchange and returns what was received, complete or not.
     caller_result wait();
     /// Closes the connection without waiting for the answer's end.
-    void hang_up();
+    void disconnect();
 
 private:
     struct state;
