--- a/tests/failure/test_gateway_stop.cpp
+++ b/tests/failure/test_gateway_stop.cpp
@@ -129,7 +129,7 @@
         many += "GET /elsewhere HTTP/1.1\r\nHost: site.example\r\nRequest-Id: r\r\n";
         many += index == 2999 ? "Connection: close\r\n\r\n" : "\r\n";
     }
-    const auto answers = exchange_raw(site.callers(0), many, hang_guard);
+    const auto answers = exchange_raw(site.callers(0), many, hang_timeout);
     CHECK(count_lines(answers, "HTTP/1.1 404") == 3000);
     // Each refusal has its own line or is counted in a later one.
     wait_until("every refusal is logged or counted", [&] {
--- a/tests/support/child_process.cpp
+++ b/tests/support/child_process.cpp
@@ -94,7 +94,7 @@
 }
 
 std::string child_process::wait_for_line(std::string_view first_word) {
-    const auto limit = std::chrono::steady_clock::now() + hang_guard;
+    const auto limit = std::chrono::steady_clock::now() + hang_timeout;
     while (std::chrono::steady_clock::now() < limit) {
         for (auto end = m_text.find('\n'); end != std::string::npos; end = m_text.find('\n')) {
             const auto line = m_text.substr(0, end);
--- a/tests/support/child_process.hpp
+++ b/tests/support/child_process.hpp
@@ -27,7 +27,7 @@
 
     /// Waits for a line on standard output that starts with `first_word` and returns it; earlier lines are
     /// dropped. Throws std::runtime_error with the end of the log when the process ends first, or after
-    /// `hang_guard`.
+    /// `hang_timeout`.
     std::string wait_for_line(std::string_view first_word);
 
     /// Sends SIGTERM: the process shuts down gracefully.
@@ -42,7 +42,7 @@
     void thaw();
 
     /// Waits for the process to end and returns its exit code, or 128 plus the number of the signal that
-    /// ended it. Throws std::runtime_error when it is still running after `hang_guard`.
+    /// ended it. Throws std::runtime_error when it is still running after `hang_timeout`.
     int wait_for_exit();
     [[nodiscard]] bool is_running();
     /// The end of the standard error, at most 4000 bytes.
--- a/tests/support/fault_proxy.hpp
+++ b/tests/support/fault_proxy.hpp
@@ -89,9 +89,9 @@
     /// Sets a fault that fires once, on the next unit in this direction that matches. Returns its number for
     /// wait_for_fault().
     std::size_t arm(direction way, unit_matcher matches, fault what);
-    /// Returns once this fault has fired; throws after `hang_guard`.
+    /// Returns once this fault has fired; throws after `hang_timeout`.
     void wait_for_fault(std::size_t number);
-    /// Returns once every armed fault has fired; throws after `hang_guard`.
+    /// Returns once every armed fault has fired; throws after `hang_timeout`.
     void wait_for_fault();
     [[nodiscard]] std::size_t open_connections() const;
     /// Connections accepted since the proxy was created.
--- a/tests/support/http_caller.cpp
+++ b/tests/support/http_caller.cpp
@@ -51,9 +51,9 @@
 /// Limits that only end a call that would hang.
 http::exchange_limits hang_limits() {
     http::exchange_limits limits;
-    limits.connect = hang_guard;
-    limits.head = 3 * hang_guard;
-    limits.idle = 3 * hang_guard;
+    limits.connect = hang_timeout;
+    limits.head = 3 * hang_timeout;
+    limits.idle = 3 * hang_timeout;
     return limits;
 }
 
@@ -130,7 +130,7 @@
 }
 
 caller_result pending_call::wait() {
-    wait_until("the end of an answer", [this] { return is_finished(); }, 2 * hang_guard);
+    wait_until("the end of an answer", [this] { return is_finished(); }, 2 * hang_timeout);
     const std::scoped_lock lock(m_state->mutex);
     return m_state->result;
 }
--- a/tests/support/peer_client.cpp
+++ b/tests/support/peer_client.cpp
@@ -70,7 +70,7 @@
 }
 
 void peer_client::wait_for_end() {
-    const auto until = std::chrono::steady_clock::now() + hang_guard;
+    const auto until = std::chrono::steady_clock::now() + hang_timeout;
     try {
         for (;;) {
             read_one(until);
--- a/tests/support/peer_client.hpp
+++ b/tests/support/peer_client.hpp
@@ -34,11 +34,11 @@
     void set_revision(std::uint64_t revision) noexcept { m_revision = revision; }
 
     /// Returns the next message of this type that matches; messages of other types that arrive earlier are
-    /// kept for later calls. Throws std::runtime_error when none arrives within `hang_guard`, and
+    /// kept for later calls. Throws std::runtime_error when none arrives within `hang_timeout`, and
     /// std::system_error when the connection ends.
     template <typename Message>
     Message wait_for(const std::function<bool(const Message&)>& matches = {}) {
-        const auto until = std::chrono::steady_clock::now() + hang_guard;
+        const auto until = std::chrono::steady_clock::now() + hang_timeout;
         std::size_t checked_count = 0;
         for (;;) {
             for (; checked_count < m_received.size(); ++checked_count) {
--- a/tests/support/run_until.hpp
+++ b/tests/support/run_until.hpp
@@ -8,12 +8,12 @@
 
 namespace borageford::test {
 
-/// Runs handlers until the condition holds. Fails the test when no handler runs for `hang_guard`.
+/// Runs handlers until the condition holds. Fails the test when no handler runs for `hang_timeout`.
 template <typename Condition>
 void run_until(boost::asio::io_context& context, Condition condition) {
     while (!condition()) {
         // The limit only ends a test that would hang; no result depends on it.
-        REQUIRE(context.run_one_for(hang_guard) > 0);
+        REQUIRE(context.run_one_for(hang_timeout) > 0);
     }
 }
 
