--- a/tests/failure/test_4_non_idempotent.cpp
+++ b/tests/failure/test_4_non_idempotent.cpp
@@ -26,7 +26,7 @@
 // the answer of a single run.
 TEST_CASE("4 non-idempotent: same key at another entry while the first runs") {
     cluster system(one_service("1500"));
-    const auto call = make_kudos("capitulo 1", "k1");
+    const auto call = make_service_call("capitulo 1", "k1");
     pending_call first(system.entry(0).callers, call);
     static_cast<void>(system.wait_for_run(call));
     check_service_answer(system.send(1, call), call);
@@ -38,7 +38,7 @@
 // answer, or the error that it has run already.
 TEST_CASE("4 non-idempotent: same key at another entry after it finished") {
     cluster system(one_service());
-    const auto call = make_kudos("capitulo 2", "k2");
+    const auto call = make_service_call("capitulo 2", "k2");
     check_service_answer(system.send(0, call), call);
     check_has_run(system.send(1, call), call);
     CHECK(system.runs_of(call) == 1);
@@ -48,7 +48,7 @@
 // of the first run.
 TEST_CASE("4 non-idempotent: same key after its entry died") {
     cluster system(one_service("1500"));
-    const auto call = make_kudos("capitulo 3", "k3");
+    const auto call = make_service_call("capitulo 3", "k3");
     pending_call first(system.entry(0).callers, call);
     static_cast<void>(system.wait_for_run(call));
     system.entry(0).process->kill();
@@ -62,7 +62,7 @@
     auto options = one_service("1500");
     options.entry_settings = "fate_limit = 3s\n";
     cluster system(options);
-    const auto call = make_kudos("capitulo 4", "k4");
+    const auto call = make_service_call("capitulo 4", "k4");
     pending_call first(system.entry(0).callers, call);
     static_cast<void>(system.wait_for_run(call));
     system.backend(0).sidecar->kill();
@@ -86,7 +86,7 @@
     auto options = one_service("3000");
     options.entry_settings = "fate_limit = 1s\n";
     cluster system(options);
-    const auto call = make_kudos("capitulo 4b", "k4b");
+    const auto call = make_service_call("capitulo 4b", "k4b");
     pending_call first(system.entry(0).callers, call);
     static_cast<void>(system.wait_for_run(call));
     const auto runs = system.server_count(0, "total");
@@ -107,7 +107,7 @@
 // must be refused as not run. Once the table is available again, the same key must run once.
 TEST_CASE("4 non-idempotent: table outage") {
     cluster system(one_service());
-    const auto call = make_kudos("capitulo 5", "k5");
+    const auto call = make_service_call("capitulo 5", "k5");
     system.control_platform(R"({"outage":true})");
     const auto refused = system.send(0, call);
     check_not_run(refused, system.runs_of(call));
@@ -122,7 +122,7 @@
 // claim as its own.
 TEST_CASE("4 non-idempotent: the claim's answer lost after it took effect") {
     cluster system(one_service());
-    const auto call = make_kudos("capitulo 6", "k6");
+    const auto call = make_service_call("capitulo 6", "k6");
     system.control_platform(R"({"lose_answers":1})");
     check_service_answer(system.send(0, call), call);
     CHECK(system.runs_of(call) == 1);
@@ -135,7 +135,7 @@
 // the table is available again, the same key must run once.
 TEST_CASE("4 non-idempotent: the claim's answer lost and a table outage together") {
     cluster system(one_service());
-    const auto call = make_kudos("capitulo 7", "k7");
+    const auto call = make_service_call("capitulo 7", "k7");
     system.control_platform(R"({"outage_after_loss":true,"lose_answers":1})");
     check_not_run(system.send(0, call), system.runs_of(call));
     system.control_platform(R"({"outage":false,"outage_after_loss":false})");
@@ -150,11 +150,11 @@
     auto options = one_service();
     options.sidecar_settings = "ledger_entries = 1\nanswer_count = 1\n";
     cluster system(options);
-    const auto call = make_kudos("capitulo 8", "k8");
+    const auto call = make_service_call("capitulo 8", "k8");
     check_service_answer(system.send(0, call), call);
     for (int other = 0; other < 5; ++other) {
         const auto name = "otro " + std::to_string(other);
-        check_service_answer(system.send(0, make_kudos(name, name)), make_kudos(name, name));
+        check_service_answer(system.send(0, make_service_call(name, name)), make_service_call(name, name));
     }
     for (std::size_t entry = 0; entry < 2; ++entry) {
         check_has_run(system.send(entry, call), call);
@@ -166,9 +166,9 @@
 // be refused and must not get the first one's answer.
 TEST_CASE("4 non-idempotent: key used for another request") {
     cluster system(one_service());
-    const auto call = make_kudos("capitulo 9", "k9");
+    const auto call = make_service_call("capitulo 9", "k9");
     check_service_answer(system.send(0, call), call);
-    const auto other = make_kudos("capitulo 10", "k9");
+    const auto other = make_service_call("capitulo 10", "k9");
     const auto refused = system.send(1, other);
     check_not_run(refused, system.runs_of(other));
     CHECK(refused.header("X-Error-Kind") == "idempotency_key_reused");
@@ -180,7 +180,7 @@
     cluster system(one_service());
     auto& link = *system.backend(0).link;
     link.arm(direction::up, is_message<wire::start_message>(), fault::lose);
-    const auto call = make_kudos("capitulo 11", "k11");
+    const auto call = make_service_call("capitulo 11", "k11");
     pending_call first(system.entry(0).callers, call);
     link.wait_for_fault();
     check_service_answer(first.wait(), call);
@@ -203,7 +203,7 @@
     std::vector<std::unique_ptr<pending_call>> pending;
     for (std::size_t index = 0; index < calls_at_once; ++index) {
         const auto name = "kudo " + std::to_string(index);
-        calls.push_back(make_kudos(name, name));
+        calls.push_back(make_service_call(name, name));
         pending.push_back(std::make_unique<pending_call>(system.entry(index % 2).callers, calls.back()));
     }
     for (std::size_t index = 0; index < calls_at_once; ++index) {
--- a/tests/failure/test_configuration_changes.cpp
+++ b/tests/failure/test_configuration_changes.cpp
@@ -316,7 +316,8 @@
     std::vector<caller_result> answers;
     std::jthread author([&] {
         for (int number = 0; is_changing; ++number) {
-            calls.push_back(make_kudos("cambio " + std::to_string(number), "c" + std::to_string(number)));
+            calls.push_back(
+                make_service_call("cambio " + std::to_string(number), "c" + std::to_string(number)));
             answers.push_back(system.send(static_cast<std::size_t>(number % 2), calls.back()));
         }
     });
--- a/tests/support/cluster.cpp
+++ b/tests/support/cluster.cpp
@@ -301,7 +301,7 @@
     const auto name = "probe " + std::to_string(++m_starts);
     const bool has_engine =
         std::ranges::any_of(m_backends, [](const auto& unit) { return !unit.options.is_service; });
-    const auto probe = has_engine ? make_completion(name, {.tokens = 1}) : make_kudos(name, name);
+    const auto probe = has_engine ? make_completion(name, {.tokens = 1}) : make_service_call(name, name);
     wait_until("an answer from entry " + std::to_string(index), [&] {
         const auto answer = send(index, probe);
         if (answer.status != 200) {
--- a/tests/support/completion.cpp
+++ b/tests/support/completion.cpp
@@ -48,7 +48,7 @@
     return call;
 }
 
-http::request make_kudos(std::string_view chapter, std::string_view idempotency_key) {
+http::request make_service_call(std::string_view chapter, std::string_view idempotency_key) {
     http::request call;
     call.method = "POST";
     call.target = "/services/kudos/give";
--- a/tests/support/completion.hpp
+++ b/tests/support/completion.hpp
@@ -21,7 +21,7 @@
 [[nodiscard]] http::request make_completion(std::string_view prompt, const completion_options& options = {});
 
 /// A call to the service "kudos", which isn't idempotent and therefore carries an Idempotency-Key.
-[[nodiscard]] http::request make_kudos(std::string_view chapter, std::string_view idempotency_key);
+[[nodiscard]] http::request make_service_call(std::string_view chapter, std::string_view idempotency_key);
 
 /// A copy of the call with one more header field.
 [[nodiscard]] http::request with_header(http::request call, std::string name, std::string value);
