--- a/tests/failure/test_configuration_changes.cpp
+++ b/tests/failure/test_configuration_changes.cpp
@@ -25,7 +25,7 @@
 
 /// Returns the intent in force with one more [service] section, which changes nothing for callers.
 std::string with_service(const operator_client& by, const std::string& name) {
-    return by.text_of(by.held_revision()) + "[service " + name + "]\n";
+    return by.text_of(by.current_revision()) + "[service " + name + "]\n";
 }
 
 bool all_hold(const operator_client& by, std::uint64_t revision) {
@@ -137,7 +137,7 @@
         CHECK(ana.text_of(winner.revision) == (ana_won ? text_of_ana : text_of_bruno));
         wait_until("the round's revision at every node", [&] { return all_hold(ana, winner.revision); });
         wait_until("the round's revision at the other entry",
-                   [&] { return bruno.held_revision() == winner.revision; });
+                   [&] { return bruno.current_revision() == winner.revision; });
     }
 }
 
@@ -183,7 +183,7 @@
 TEST_CASE("configuration: stale reads of the head row make no node go back to an older revision") {
     cluster system;
     const operator_client ana(system.entry(0).admin, "ana");
-    auto intent = ana.text_of(ana.held_revision());
+    auto intent = ana.text_of(ana.current_revision());
     system.control_platform(R"({"stale_reads": true})");
     std::uint64_t revision = 0;
     for (const auto* name : {"uno", "dos", "tres"}) {
@@ -300,7 +300,7 @@
     CHECK(callers.failed() == 0);
     CHECK(callers.served() > 0);
     show_times("under load", times);
-    CHECK(ana.held_revision() == 51);
+    CHECK(ana.current_revision() == 51);
     CHECK(all_hold(ana, 51));
 }
 
--- a/tests/support/operator_client.cpp
+++ b/tests/support/operator_client.cpp
@@ -101,7 +101,7 @@
     return nodes;
 }
 
-std::uint64_t operator_client::held_revision() const {
+std::uint64_t operator_client::current_revision() const {
     const auto body = json::parse(expect_success(make_call("GET", "/admin/status")));
     return body.at("revision").to_number<std::uint64_t>();
 }
--- a/tests/support/operator_client.hpp
+++ b/tests/support/operator_client.hpp
@@ -30,7 +30,7 @@
     std::uint64_t revision = 0; ///< 0 when the node wasn't reached
 };
 
-/// plan(), text_of(), count_revisions(), status() and held_revision() throw std::runtime_error unless its
+/// plan(), text_of(), count_revisions(), status() and current_revision() throw std::runtime_error unless its
 /// status is 200; confirm(), drain() and read_confirm() return errors in confirm_answer.
 class operator_client {
 public:
@@ -53,7 +53,7 @@
     [[nodiscard]] std::size_t count_revisions() const;
     [[nodiscard]] std::vector<node_line> status() const;
     /// The revision that this entry uses.
-    [[nodiscard]] std::uint64_t held_revision() const;
+    [[nodiscard]] std::uint64_t current_revision() const;
 
 private:
     [[nodiscard]] http::request make_call(const std::string& method, const std::string& target,
