--- a/tests/support/object_store_stub.cpp
+++ b/tests/support/object_store_stub.cpp
@@ -27,7 +27,7 @@
 
 asio::awaitable<void> object_store_stub::handle(const http::request& call, http::response_writer& writer) {
     const auto answered = answer(call);
-    if (call.method != "PUT" || is_out) {
+    if (call.method != "PUT" || is_unavailable) {
         co_await writer.write(answered);
         co_return;
     }
@@ -43,7 +43,7 @@
 }
 
 http::response object_store_stub::answer(const http::request& call) {
-    if (is_out) {
+    if (is_unavailable) {
         return http::make_response(503, "text/plain", "outage");
     }
     const auto path = http::path_of(call.target);
--- a/tests/support/object_store_stub.hpp
+++ b/tests/support/object_store_stub.hpp
@@ -22,7 +22,7 @@
     [[nodiscard]] boost::asio::ip::tcp::endpoint address() const { return m_address; }
 
     std::map<std::string, std::string> objects;
-    bool is_out = false; ///< answers every call with status 503
+    bool is_unavailable = false; ///< answers every call with status 503
     /// The number of next writes that take effect but whose connection is closed without an answer.
     std::size_t lost_answers = 0;
     std::size_t puts = 0;
--- a/tests/unit/test_audit_recorder.cpp
+++ b/tests/unit/test_audit_recorder.cpp
@@ -77,7 +77,7 @@
     // The object store refuses writes for a while. Requests continue, and an auditor must later find their
     // records as if there had been no outage.
     fixture parts;
-    parts.stub.is_out = true;
+    parts.stub.is_unavailable = true;
     audit::recorder recorder(parts.context.get_executor(), parts.timers, parts.store, parts.settings(5ms));
     recorder.start();
     recorder.record(make_record(audit::event::received));
@@ -86,7 +86,7 @@
     };
     const auto restore = parts.timers.after(parts.context.get_executor(), 50ms, [&] {
         CHECK(recorder.held_records() == 1);
-        parts.stub.is_out = false;
+        parts.stub.is_unavailable = false;
     });
     parts.run();
     CHECK(parts.written().size() == 1);
@@ -114,7 +114,7 @@
     // The platform is down while an operator restarts the process. Records that can't be written must not
     // prevent the restart.
     fixture parts;
-    parts.stub.is_out = true;
+    parts.stub.is_unavailable = true;
     audit::recorder recorder(parts.context.get_executor(), parts.timers, parts.store, parts.settings(1h));
     recorder.record(make_record(audit::event::received));
     recorder.flush(50ms, [&] { parts.context.stop(); });
