--- a/tests/unit/in_process_platform.hpp
+++ b/tests/unit/in_process_platform.hpp
@@ -42,7 +42,7 @@
     [[nodiscard]] boost::asio::ip::tcp::endpoint address() const { return m_address; }
 
     /// Answers every call with this status and does nothing else; 0 ends that.
-    void answer_with(unsigned status) {
+    void set_status(unsigned status) {
         const std::scoped_lock lock(m_mutex);
         m_status = status;
     }
--- a/tests/unit/test_administration.cpp
+++ b/tests/unit/test_administration.cpp
@@ -280,7 +280,7 @@
     system.first.put_in_force(intent("1"));
     const auto planned = system.first.call_json("POST", "/admin/plans", intent("2"));
     const auto id = json::value_to<std::string>(planned.at("plan"));
-    system.service.answer_with(503);
+    system.service.set_status(503);
     CHECK(kind_of(system.first.call("POST", "/admin/plans/" + id + "/confirm")) == "platform_unavailable");
     const auto status = system.first.call_json("GET", "/admin/status");
     CHECK(status.at("platform") == "unreachable");
--- a/tests/unit/test_configuration_follower.cpp
+++ b/tests/unit/test_configuration_follower.cpp
@@ -123,7 +123,7 @@
 
 TEST_CASE("during an outage of the table a follower gets new revisions from peers", "[configuration]") {
     fixture system;
-    system.service.answer_with(503);
+    system.service.set_status(503);
     system.start();
     REQUIRE(system.follower.apply_from_peer(7, deflate_text(intent(7))));
     system.changes.wait_for(7);
--- a/tests/unit/test_platform.cpp
+++ b/tests/unit/test_platform.cpp
@@ -56,7 +56,7 @@
     test::test_runtime runtime;
     store::table table(runtime.executor(), service.address(), platform_timeout);
     for (const unsigned status : {503U, 429U}) {
-        service.answer_with(status);
+        service.set_status(status);
         CHECK(effect_of_write(runtime, table) == effect::none);
     }
     boost::asio::io_context context;
@@ -76,7 +76,7 @@
     service.lose_answers(1);
     CHECK(effect_of_write(runtime, table) == effect::unknown);
     CHECK(runtime.wait_for(table.read("k"))->value == "v");
-    service.answer_with(500);
+    service.set_status(500);
     CHECK(effect_of_write(runtime, table) == effect::unknown);
 }
 
--- a/tests/unit/test_revision_store.cpp
+++ b/tests/unit/test_revision_store.cpp
@@ -91,9 +91,9 @@
 
 TEST_CASE("a commit during an outage of the platform fails and changes nothing", "[configuration]") {
     fixture system;
-    system.service.answer_with(503);
+    system.service.set_status(503);
     CHECK_THROWS_AS(system.commit(make_plan("a", 0), "ana"), store::store_error);
-    system.service.answer_with(0);
+    system.service.set_status(0);
     CHECK(system.runtime.wait_for(system.store.read_head()) == 0);
 }
 
