--- a/tests/support/known_servers.hpp
+++ b/tests/support/known_servers.hpp
@@ -70,7 +70,7 @@
     }
 
     /// The key of the server with this id if its state is ready; otherwise 0.
-    [[nodiscard]] policy::server_key usable(const std::string& id) const {
+    [[nodiscard]] policy::server_key usable_key(const std::string& id) const {
         const auto server = m_backends.find_id(id);
         const bool is_usable = server != nullptr && server->record().state == routing::backend_state::ready;
         return is_usable ? server->record().key() : 0;
--- a/tests/unit/test_gateway_roster.cpp
+++ b/tests/unit/test_gateway_roster.cpp
@@ -200,9 +200,9 @@
     // would inherit the cooldown, the queue and the requests of the dead process, and its grants.
     known_servers here;
     here.write("a", "engines@1", 5);
-    const auto previous = here.usable("a");
+    const auto previous = here.usable_key("a");
     here.write("a", "engines@2", 6);
-    const auto present = here.usable("a");
+    const auto present = here.usable_key("a");
     CHECK(present != 0);
     CHECK(present != previous);
     CHECK(here.backends().find(previous) == nullptr);
@@ -210,10 +210,10 @@
     // The last registration of the previous start arrives late. It changes nothing, and isn't passed on to
     // other gateways.
     here.write("a", "engines@1", 7);
-    CHECK(here.usable("a") == present);
+    CHECK(here.usable_key("a") == present);
     known_servers other;
     other.roster().apply_update(here.roster().changes_after({}));
-    CHECK(other.usable("a") == present);
+    CHECK(other.usable_key("a") == present);
 }
 
 TEST_CASE("an entry that can't be read names no server, and the others hold", "[gateway][roster]") {
@@ -224,25 +224,25 @@
     here.write("struck", "engines@1", 2);
     here.write("foreign", "garbage", 3);
     here.write("struck", "garbage", 4);
-    CHECK(here.usable("good") != 0);
-    CHECK(here.usable("foreign") == 0);
-    CHECK(here.usable("struck") == 0);
+    CHECK(here.usable_key("good") != 0);
+    CHECK(here.usable_key("foreign") == 0);
+    CHECK(here.usable_key("struck") == 0);
     // A gateway that receives its registrations from this one ends in the same state.
     known_servers other;
     other.roster().apply_update(here.roster().changes_after({}));
-    CHECK(other.usable("good") != 0);
-    CHECK(other.usable("struck") == 0);
+    CHECK(other.usable_key("good") != 0);
+    CHECK(other.usable_key("struck") == 0);
     // The undecodable bytes are neither kept nor passed on, since JSON can't represent them.
     CHECK(here.roster().all().at("struck").value.empty());
     here.write("struck", "engines@1", 5);
-    CHECK(here.usable("struck") != 0);
+    CHECK(here.usable_key("struck") != 0);
 }
 
 TEST_CASE("an entry without a start isn't the word of a server that tells its start", "[gateway][roster]") {
     known_servers here;
     here.write("a", "engines@1", 1);
     here.write("a", "engines", 2);
-    CHECK(here.usable("a") == 0);
+    CHECK(here.usable_key("a") == 0);
     here.write("a", "engines@1", 3);
-    CHECK(here.usable("a") != 0);
+    CHECK(here.usable_key("a") != 0);
 }
--- a/tests/unit/test_gateway_store_restore.cpp
+++ b/tests/unit/test_gateway_store_restore.cpp
@@ -29,9 +29,9 @@
     make_first_era(here);
     here.write("a", "engines", 100);
     here.read_all({2, 50}, {{"a", "engines", 10}, {"b", "engines", 20}});
-    CHECK(here.usable("a") != 0);
+    CHECK(here.usable_key("a") != 0);
     here.write("a", "leaving engines", 60);
-    CHECK(here.usable("a") == 0);
+    CHECK(here.usable_key("a") == 0);
     CHECK(here.roster().position() == store::position{2, 60});
 }
 
@@ -41,12 +41,12 @@
     make_first_era(here);
     here.write("a", "leaving engines", 100);
     here.read_all({2, 50}, {{"a", "engines", 10}, {"b", "engines", 20}});
-    CHECK(here.usable("a") == 0);
-    CHECK(here.usable("b") != 0);
+    CHECK(here.usable_key("a") == 0);
+    CHECK(here.usable_key("b") != 0);
     here.write("a", "leaving engines", 60);
-    CHECK(here.usable("a") == 0);
+    CHECK(here.usable_key("a") == 0);
     here.write("a", "engines@7", 61); // a new start, which the store can't have held before
-    CHECK(here.usable("a") != 0);
+    CHECK(here.usable_key("a") != 0);
 }
 
 TEST_CASE("a server that the restored copy lists as draining gets no requests, whichever row is older",
@@ -57,7 +57,7 @@
     make_first_era(here);
     here.write("a", "engines", 100);
     here.read_all({2, 60}, {{"a", "leaving engines", 55}, {"b", "engines", 20}});
-    CHECK(here.usable("a") == 0);
+    CHECK(here.usable_key("a") == 0);
 }
 
 TEST_CASE("a server that left isn't used again because the copy still has it", "[gateway][store_return]") {
@@ -66,15 +66,15 @@
     make_first_era(here);
     here.unregister_server("a", 100);
     here.read_all({2, 50}, {{"a", "engines", 10}, {"b", "engines", 20}});
-    CHECK(here.usable("a") == 0);
+    CHECK(here.usable_key("a") == 0);
     CHECK_FALSE(here.knows("a"));
     SECTION("until its row is written again") {
         here.write("a", "engines", 60);
-        CHECK(here.usable("a") != 0);
+        CHECK(here.usable_key("a") != 0);
     }
     SECTION("and not when it is removed again") {
         here.unregister_server("a", 60);
-        CHECK(here.usable("a") == 0);
+        CHECK(here.usable_key("a") == 0);
     }
 }
 
@@ -85,8 +85,8 @@
     make_first_era(here);
     here.unregister_server("a", 100);
     here.read_all({2, 50}, {{"a", "engines", 10}, {"b", "engines", 20}});
-    CHECK(here.usable("a") == 0);
-    test::run_until(here.context(), [&] { return here.usable("a") != 0; });
+    CHECK(here.usable_key("a") == 0);
+    test::run_until(here.context(), [&] { return here.usable_key("a") != 0; });
 }
 
 TEST_CASE("a server that is missing from the restored copy is retained for a while and then removed",
@@ -99,19 +99,19 @@
     here.write("c", "engines", 90);
     here.write("d", "leaving engines", 91);
     here.read_all({2, 50}, {{"a", "engines", 10}, {"b", "engines", 20}});
-    CHECK(here.usable("c") != 0);
+    CHECK(here.usable_key("c") != 0);
     CHECK_FALSE(here.knows("d")); // it had announced that it drains
     SECTION("gone when it doesn't come back") {
         test::run_until(here.context(), [&] { return !here.knows("c"); });
     }
     SECTION("well when it is written again") {
         here.write("c", "engines", 60);
-        CHECK(here.usable("c") != 0);
+        CHECK(here.usable_key("c") != 0);
         CHECK(here.roster().changes_after({2, 50}).retained.empty());
     }
     SECTION("whatever others say of their view of the store") {
         here.roster().record_other_connected(1h);
-        CHECK(here.usable("c") != 0);
+        CHECK(here.usable_key("c") != 0);
     }
 }
 
@@ -119,9 +119,9 @@
     known_servers here;
     here.read_all({1, 40}, {{"a", "engines@1", 10}});
     here.write("a", "engines@2", 100);
-    const auto present = here.usable("a");
+    const auto present = here.usable_key("a");
     here.read_all({2, 50}, {{"a", "engines@1", 10}});
-    CHECK(here.usable("a") == present);
+    CHECK(here.usable_key("a") == present);
 }
 
 TEST_CASE("a server that restarts in the new era is used although its version is low",
@@ -129,10 +129,10 @@
     known_servers here;
     here.read_all({1, 40}, {{"a", "engines@1", 10}});
     here.write("a", "engines@1", 100);
-    const auto previous = here.usable("a");
+    const auto previous = here.usable_key("a");
     here.read_all({2, 60}, {{"a", "engines@2", 55}});
-    CHECK(here.usable("a") != 0);
-    CHECK(here.usable("a") != previous);
+    CHECK(here.usable_key("a") != 0);
+    CHECK(here.usable_key("a") != previous);
 }
 
 TEST_CASE("two restores in a row begin two eras", "[gateway][store_return]") {
@@ -141,9 +141,9 @@
     here.write("a", "leaving engines", 100);
     here.read_all({2, 50}, {{"a", "engines", 10}, {"b", "engines", 20}});
     here.read_all({3, 30}, {{"a", "engines", 10}, {"b", "engines", 20}});
-    CHECK(here.usable("a") == 0);
+    CHECK(here.usable_key("a") == 0);
     here.write("b", "leaving engines", 31);
-    CHECK(here.usable("b") == 0);
+    CHECK(here.usable_key("b") == 0);
     CHECK(here.roster().position() == store::position{3, 31});
 }
 
@@ -158,8 +158,8 @@
     here.write("a", "leaving engines", 60);
     here.roster().apply_update(peer.roster().changes_after({}));
     here.read_all({1, 300}, {{"a", "engines", 300}});
-    CHECK(here.usable("a") == 0);
-    CHECK(here.usable("b") != 0);
+    CHECK(here.usable_key("a") == 0);
+    CHECK(here.usable_key("b") != 0);
     CHECK(here.roster().position() == store::position{2, 60});
 }
 
@@ -178,8 +178,8 @@
     started.read_all({2, 50}, copy);
     missed_it.roster().apply_update(saw.roster().changes_after(missed_it.roster().position()));
     CHECK(missed_it.roster().position().era == 2);
-    CHECK(missed_it.usable("a") == 0);
-    CHECK(missed_it.usable("c") != 0);
+    CHECK(missed_it.usable_key("a") == 0);
+    CHECK(missed_it.usable_key("c") != 0);
     // The servers write their rows again.
     for (auto* each : {&saw, &started}) {
         each->write("a", "leaving engines", 60);
@@ -187,9 +187,9 @@
     }
     missed_it.roster().apply_update(saw.roster().changes_after(missed_it.roster().position()));
     for (auto* each : {&saw, &missed_it, &started}) {
-        CHECK(each->usable("a") == 0);
-        CHECK(each->usable("b") != 0);
-        CHECK(each->usable("c") != 0);
+        CHECK(each->usable_key("a") == 0);
+        CHECK(each->usable_key("b") != 0);
+        CHECK(each->usable_key("c") != 0);
         CHECK(each->roster().position() == store::position{2, 61});
     }
 }
@@ -207,6 +207,6 @@
     known_servers here;
     here.read_all({0, 40}, {{"a", "engines", 10}, {"b", "leaving engines", 20}});
     here.read_all({1, 41}, {{"a", "engines", 10}, {"b", "leaving engines", 20}});
-    CHECK(here.usable("a") != 0);
-    CHECK(here.usable("b") == 0);
+    CHECK(here.usable_key("a") != 0);
+    CHECK(here.usable_key("b") == 0);
 }
