--- a/tests/support/known_servers.hpp
+++ b/tests/support/known_servers.hpp
@@ -76,7 +76,7 @@
         return is_usable ? server->record().key() : 0;
     }
     /// True when the roster has a server with this id in any state.
-    [[nodiscard]] bool knows(const std::string& id) const { return m_roster.all().contains(id); }
+    [[nodiscard]] bool has_server(const std::string& id) const { return m_roster.all().contains(id); }
 
 private:
     static routing::backend_record decode(std::string_view id, std::string_view value) {
--- a/tests/unit/test_gateway_roster.cpp
+++ b/tests/unit/test_gateway_roster.cpp
@@ -21,9 +21,9 @@
     known_servers behind;
     behind.register_server("left long ago", 1);
     behind.roster().apply_update(update);
-    CHECK(behind.knows("a"));
-    CHECK(behind.knows("b"));
-    CHECK_FALSE(behind.knows("left long ago"));
+    CHECK(behind.has_server("a"));
+    CHECK(behind.has_server("b"));
+    CHECK_FALSE(behind.has_server("left long ago"));
     CHECK(behind.roster().position() == store::position{0, 4});
 }
 
@@ -44,8 +44,8 @@
     CHECK(update.present.size() == 2);
     CHECK(update.removed == std::vector<std::string>{"server-7"});
     behind.roster().apply_update(update);
-    CHECK_FALSE(behind.knows("server-7"));
-    CHECK(behind.knows("new"));
+    CHECK_FALSE(behind.has_server("server-7"));
+    CHECK(behind.has_server("new"));
     CHECK(behind.roster().all().size() == 100);
     CHECK(behind.roster().position() == store::position{0, 202});
 }
@@ -73,7 +73,7 @@
     known_servers behind;
     behind.register_server("a", 5);
     behind.roster().apply_update(update);
-    CHECK(behind.knows("a"));
+    CHECK(behind.has_server("a"));
     CHECK(behind.roster().changes_after({0, 5}).retained == std::vector<std::string>{"a"});
 }
 
@@ -86,8 +86,8 @@
     here.roster().record_outage();
     here.unregister_server("a", 8);
     here.unregister_server("b", 9);
-    CHECK_FALSE(here.knows("a"));
-    CHECK(here.knows("b"));
+    CHECK_FALSE(here.has_server("a"));
+    CHECK(here.has_server("b"));
 }
 
 TEST_CASE("a request that holds a slot at a server that isn't known yet hears when it is",
@@ -185,14 +185,14 @@
     const auto update = ahead.roster().changes_after(behind.roster().position());
     CHECK(update.is_complete);
     behind.roster().apply_update(update);
-    CHECK_FALSE(behind.knows("first"));
+    CHECK_FALSE(behind.has_server("first"));
 }
 
 TEST_CASE("news that is no newer is passed over", "[gateway][roster]") {
     known_servers here;
     here.register_server("a", 9);
     here.roster().apply_update({{0, 9}, true, {}, {}});
-    CHECK(here.knows("a"));
+    CHECK(here.has_server("a"));
 }
 
 TEST_CASE("a server that starts anew under its id is another server", "[gateway][roster]") {
--- a/tests/unit/test_gateway_store_restore.cpp
+++ b/tests/unit/test_gateway_store_restore.cpp
@@ -67,7 +67,7 @@
     here.unregister_server("a", 100);
     here.read_all({2, 50}, {{"a", "engines", 10}, {"b", "engines", 20}});
     CHECK(here.usable_key("a") == 0);
-    CHECK_FALSE(here.knows("a"));
+    CHECK_FALSE(here.has_server("a"));
     SECTION("until its row is written again") {
         here.write("a", "engines", 60);
         CHECK(here.usable_key("a") != 0);
@@ -100,9 +100,9 @@
     here.write("d", "leaving engines", 91);
     here.read_all({2, 50}, {{"a", "engines", 10}, {"b", "engines", 20}});
     CHECK(here.usable_key("c") != 0);
-    CHECK_FALSE(here.knows("d")); // it had announced that it drains
+    CHECK_FALSE(here.has_server("d")); // it had announced that it drains
     SECTION("gone when it doesn't come back") {
-        test::run_until(here.context(), [&] { return !here.knows("c"); });
+        test::run_until(here.context(), [&] { return !here.has_server("c"); });
     }
     SECTION("well when it is written again") {
         here.write("c", "engines", 60);
