--- a/tests/support/known_servers.hpp
+++ b/tests/support/known_servers.hpp
@@ -40,7 +40,7 @@
     gateway::backend_roster& roster() { return m_roster; }
     gateway::rollout_manager& rollouts() { return m_rollouts; }
     /// Sets whether this gateway is the one that decides on roll-outs.
-    void decide(bool decides) { m_decides = decides; }
+    void set_deciding(bool decides) { m_decides = decides; }
     /// The statuses of roll-outs that the gateway would have written into the store.
     [[nodiscard]] const std::vector<routing::rollout_status>& recorded() const { return m_recorded; }
 
--- a/tests/unit/test_rollouts.cpp
+++ b/tests/unit/test_rollouts.cpp
@@ -181,7 +181,7 @@
     here.write("old", "engines#v1", 1);
     here.write("new", "engines#v2", 2);
     here.rollouts().set_order({"engines", "v2", 10s});
-    here.decide(true);
+    here.set_deciding(true);
     here.rollouts().tick();
     REQUIRE(here.recorded().size() == 1);
     CHECK(here.recorded().front().state == rollout_state::running);
@@ -209,7 +209,7 @@
     known_servers here;
     here.read_all({1, 10}, {{"old", "engines#v1", 1}, {"new", "engines#v2", 2}});
     here.rollouts().set_order({"engines", "v2", 10s});
-    here.decide(true);
+    here.set_deciding(true);
     here.rollouts().tick();
     here.rollouts().apply_status({"engines", "v2", rollout_state::rolled_back});
     here.read_all({2, 5}, {{"old", "engines#v1", 1}, {"new", "engines#v2", 2}});
