--- a/tests/fakes/fake_engine.cpp
+++ b/tests/fakes/fake_engine.cpp
@@ -291,7 +291,7 @@
         options.models = reader.text("models", "");
         options.checks_fencing = reader.is_set("checks-fencing");
         reader.finish();
-        test::stand_in process;
+        test::fake_server_runner process;
         test::fake_engine engine(process.executor(), options);
         return process.run(address, [&](const http::request& call, http::response_writer& writer) {
             return engine.handle(call, writer);
--- a/tests/fakes/fake_platform.cpp
+++ b/tests/fakes/fake_platform.cpp
@@ -236,7 +236,7 @@
     return test::run_main([&] {
         test::argument_reader reader(count, arguments);
         const auto address = reader.text("listen", "127.0.0.1:0");
-        test::stand_in process;
+        test::fake_server_runner process;
         test::fake_platform platform(process.executor(), reader.number("writes-per-second", 0),
                                      reader.number("latency-ms", 0));
         reader.finish();
--- a/tests/fakes/fake_service.cpp
+++ b/tests/fakes/fake_service.cpp
@@ -84,7 +84,7 @@
         const auto address = reader.text("listen", "127.0.0.1:0");
         test::fake_service service{std::chrono::duration<double, std::milli>(reader.number("delay-ms", 0))};
         reader.finish();
-        test::stand_in process;
+        test::fake_server_runner process;
         return process.run(address, [&](const http::request& call, http::response_writer& writer) {
             return service.handle(call, writer);
         });
--- a/tests/fakes/stand_in.cpp
+++ b/tests/fakes/stand_in.cpp
@@ -31,7 +31,7 @@
 
 } // namespace
 
-int stand_in::run(const std::string& address, http::handler handle) {
+int fake_server_runner::run(const std::string& address, http::handler handle) {
     http::server server(executor(), generous_limits(), std::move(handle), format_refusal);
     const auto in_use = server.listen(http::parse_endpoint(address));
     boost::asio::signal_set signals(m_context, SIGTERM, SIGINT);
--- a/tests/fakes/stand_in.hpp
+++ b/tests/fakes/stand_in.hpp
@@ -13,7 +13,7 @@
 namespace borageford::test {
 
 /// Invariant: all handlers run on the thread that called run(), so the fake servers need no locks.
-class stand_in {
+class fake_server_runner {
 public:
     [[nodiscard]] boost::asio::any_io_executor executor() { return m_context.get_executor(); }
 
