--- a/src/sidecar/dispatch_runner.cpp
+++ b/src/sidecar/dispatch_runner.cpp
@@ -160,7 +160,7 @@
         m_calls.never_began(dispatch);
         co_return;
     }
-    if (state.failed == cut && m_server.is_engine() && state.resumes < resume_limit) {
+    if (state.failed == connection_broken && m_server.is_engine() && state.resumes < resume_limit) {
         ++state.resumes;
         state.must_resume = true;
         dispatch->stream = std::make_unique<backend::answer_stream>(m_strand, limits_for(*dispatch));
@@ -172,7 +172,7 @@
         co_return;
     }
     const auto is_server_down =
-        state.failed == unreachable || (state.failed == cut && !co_await m_server.is_healthy());
+        state.failed == unreachable || (state.failed == connection_broken && !co_await m_server.is_healthy());
     if (is_server_down) {
         // Reported before this dispatch ends, because dispatch_manager::choose_suspects looks at all
         // dispatches that were running when the server went down, including this one.
