--- a/src/sidecar/dispatch_runner.cpp
+++ b/src/sidecar/dispatch_runner.cpp
@@ -179,7 +179,7 @@
         m_monitor.report_lost(dispatch->backend_epoch);
         co_await m_calls.lost(dispatch);
     }
-    if (state.failed == silent && dispatch->request.is_idempotent) {
+    if (state.failed == timed_out && dispatch->request.is_idempotent) {
         asio::co_spawn(m_strand, send_cancel(dispatch->request.dispatch), asio::detached);
     }
     log::warning("dispatch_failed", {{"dispatch", dispatch->request.dispatch.to_string()},
