--- a/tests/fakes/engine_orders.hpp
+++ b/tests/fakes/engine_orders.hpp
@@ -2,7 +2,7 @@
 // role. Orders carry a fencing number, which an engine may be configured to check or to ignore.
 #pragma once
 
-#include "fakes/stand_in.hpp"
+#include "fakes/fake_server_runner.hpp"
 
 #include <boost/json/array.hpp>
 
--- a/tests/fakes/fake_engine.cpp
+++ b/tests/fakes/fake_engine.cpp
@@ -3,8 +3,8 @@
 // prompt token that was computed in vain.
 #include "fakes/engine_batch.hpp"
 #include "fakes/engine_orders.hpp"
+#include "fakes/fake_server_runner.hpp"
 #include "fakes/run_counter.hpp"
-#include "fakes/stand_in.hpp"
 #include "support/argument_reader.hpp"
 
 #include <boost/json/object.hpp>
--- a/tests/fakes/fake_platform.cpp
+++ b/tests/fakes/fake_platform.cpp
@@ -1,7 +1,7 @@
 // A fake platform: transactional table, object store and list of VMs over HTTP, with faults that tests switch
 // on through POST /control.
+#include "fakes/fake_server_runner.hpp"
 #include "fakes/platform_table.hpp"
-#include "fakes/stand_in.hpp"
 #include "fakes/vm_list.hpp"
 #include "fakes/write_budget.hpp"
 #include "support/argument_reader.hpp"
--- a/tests/fakes/fake_server_runner.cpp
+++ b/tests/fakes/fake_server_runner.cpp
@@ -1,5 +1,5 @@
 // Runs the HTTP server and the event loop of a fake server, and builds its JSON answers.
-#include "fakes/stand_in.hpp"
+#include "fakes/fake_server_runner.hpp"
 
 #include "http/client.hpp"
 
--- a/tests/fakes/fake_service.cpp
+++ b/tests/fakes/fake_service.cpp
@@ -1,8 +1,8 @@
 // A fake service without a model. It answers any call after a configured delay with the fingerprint of the
 // call's body, and counts the runs.
+#include "fakes/fake_server_runner.hpp"
 #include "fakes/fault_controls.hpp"
 #include "fakes/run_counter.hpp"
-#include "fakes/stand_in.hpp"
 #include "support/answer_text.hpp"
 #include "support/argument_reader.hpp"
 
--- a/tests/unit/in_process_platform.hpp
+++ b/tests/unit/in_process_platform.hpp
@@ -2,8 +2,8 @@
 // Tests of whole processes use the program fake_platform.
 #pragma once
 
+#include "fakes/fake_server_runner.hpp"
 #include "fakes/platform_table.hpp"
-#include "fakes/stand_in.hpp"
 #include "fakes/vm_list.hpp"
 #include "http/server.hpp"
 
