--- a/src/coordination/heartbeat_schedule.hpp
+++ b/src/coordination/heartbeat_schedule.hpp
@@ -11,7 +11,7 @@
     coordinator, ///< coordinates the sender
     next,        ///< may become the coordinator of the sender, which has none at present
     candidate,   ///< may take over from the present coordinator
-    absent,      ///< would be a candidate, but is unresponsive; see election_limits::absence
+    absent,      ///< would be a candidate, but is unresponsive; see election_limits::absence_timeout
 };
 
 /// slot_broker uses one schedule for all receivers, with ticks of 50 ms.
