--- a/src/coordination/heartbeat_schedule.cpp
+++ b/src/coordination/heartbeat_schedule.cpp
@@ -9,7 +9,7 @@
 
 /// With more members than this, each member sends to its coordinator at every second tick only. Heartbeats of
 /// hundreds of members at every tick would use up the processor of a small coordinator. Two heartbeats at
-/// every second tick still fit into election_limits::silence, after which a coordinator counts as
+/// every second tick still fit into election_limits::response_timeout, after which a coordinator counts as
 /// unresponsive.
 constexpr std::size_t max_members_at_each_tick = 60;
 constexpr std::size_t max_period_ticks = 2;
