--- a/tests/failure/test_1_dispatch_at_most_once.cpp
+++ b/tests/failure/test_1_dispatch_at_most_once.cpp
@@ -20,7 +20,7 @@
 
 // Without any fault, each request must run exactly once and its caller must get the complete answer, both for
 // streamed and for other requests.
-TEST_CASE("1 at most once: without faults each request runs once and is answered whole") {
+TEST_CASE("1 at most once: without faults each request runs once and is answered completely") {
     cluster system;
     for (const auto* prompt : {"uno", "dos", "tres"}) {
         const auto call = make_completion(prompt, {.tokens = 25});
@@ -55,7 +55,7 @@
 
 // After the start was sent, the network drops all data on its connection in both directions, while new
 // connections work. If the entry sent the request again, it would run twice.
-TEST_CASE("1 at most once: connection silent after start with a new one working") {
+TEST_CASE("1 at most once: connection unresponsive after start while a new one works") {
     cluster system(one_engine());
     auto& link = *system.backend(0).link;
     link.arm(direction::up, is_message<wire::start_message>(), fault::pass);
@@ -147,7 +147,7 @@
 
 // Two failures together: the connection stops delivering data in both directions after the start, and the
 // sidecar is killed and restarted before the entry has noticed that.
-TEST_CASE("1 at most once: silent connection and killed sidecar together") {
+TEST_CASE("1 at most once: unresponsive connection and killed sidecar together") {
     cluster system(one_engine());
     auto& link = *system.backend(0).link;
     link.arm(direction::down, is_message<wire::chunk_message>(), fault::drop_both);
--- a/tests/failure/test_2_whole_answers.cpp
+++ b/tests/failure/test_2_whole_answers.cpp
@@ -90,7 +90,7 @@
 
 // The engine dies in the middle of an answer and isn't restarted. A streamed answer is incomplete then, so it
 // must not end like a complete one; a buffered answer must be replaced by an error.
-TEST_CASE("2 whole answers: a cut stream is never ended as if whole") {
+TEST_CASE("2 whole answers: an aborted stream is never ended as if it were complete") {
     cluster system(one_engine());
     const auto streamed = make_completion("muerte", {.tokens = 400});
     const auto whole = make_completion("muerte entera", {.tokens = 400, .streamed = false});
--- a/tests/failure/test_4_non_idempotent.cpp
+++ b/tests/failure/test_4_non_idempotent.cpp
@@ -82,7 +82,8 @@
 // doesn't know yet whether its backend server is an engine or a service. When an entry asks it for the call's
 // fate, it must not request an engine's stream: a service would run that request as a call, and the caller
 // would get the result as the answer to its own call.
-TEST_CASE("4 non-idempotent: a restarted sidecar doesn't ask a service for streams before it knows it") {
+TEST_CASE(
+    "4 non-idempotent: a restarted sidecar without a configuration doesn't request streams from a service") {
     auto options = one_service("3000");
     options.entry_settings = "fate_limit = 1s\n";
     cluster system(options);
--- a/tests/failure/test_5_leaving_gets_no_new_work.cpp
+++ b/tests/failure/test_5_leaving_gets_no_new_work.cpp
@@ -91,7 +91,7 @@
 
 // The VM disappears without a message: its connections stay open but nothing arrives on them, and new
 // connections fail. Requests must not wait for the VM.
-TEST_CASE("5 leaving: by silence") {
+TEST_CASE("5 leaving: by an unresponsive VM") {
     cluster system;
     check_gets_work(system);
     auto& link = *system.backend(leaving).link;
@@ -104,7 +104,7 @@
 // Two failures at the same time: the sidecar's message that it shuts down is lost with its connection, and
 // the platform, whose list of VMs would show it, is unavailable. The entries must learn it from the handshake
 // of the new connection.
-TEST_CASE("5 leaving: word of it lost and platform out together") {
+TEST_CASE("5 leaving: the message is lost while the platform is unavailable") {
     cluster system;
     check_gets_work(system);
     const auto running = make_completion("largo", {.tokens = 400});
--- a/tests/failure/test_6_graceful_stop.cpp
+++ b/tests/failure/test_6_graceful_stop.cpp
@@ -106,7 +106,7 @@
 
 // The entry and the sidecar of a request are asked to stop before the caller has received anything, because
 // the answer isn't streamed. Both must deliver the answer first.
-TEST_CASE("6 graceful stop: entry and sidecar finish a whole answer") {
+TEST_CASE("6 graceful stop: entry and sidecar finish an answer that is not streamed") {
     cluster system({.entries = 1, .backend_servers = {{.name = "pluma-1"}}});
     const auto call = make_completion("resumen", {.tokens = 100, .streamed = false});
     pending_call pending(system.entry(0).callers, call);
@@ -121,7 +121,7 @@
 
 // Requests wait in the queue of a sidecar that is asked to stop. They have not begun, so the sidecar refuses
 // them and the entry places them at another backend server. Their callers must not notice.
-TEST_CASE("6 graceful stop: what waits at a leaving sidecar is served elsewhere") {
+TEST_CASE("6 graceful stop: requests queued at a stopping sidecar are served elsewhere") {
     cluster system(
         {.entries = 1,
          .backend_servers = {{.name = "pluma-1", .slots = "1"}, {.name = "pluma-2", .slots = "1"}}});
--- a/tests/failure/test_9_crashing_request.cpp
+++ b/tests/failure/test_9_crashing_request.cpp
@@ -70,7 +70,7 @@
 
 // Other requests run on the engines that crash. Their answers are lost too, but they didn't cause the crash
 // and must not be quarantined when their callers send them again.
-TEST_CASE("9 crashing request: the innocent that ran beside it aren't quarantined") {
+TEST_CASE("9 crashing request: requests that ran on the same servers aren't quarantined") {
     cluster system(four_engines());
     arm_engines(system);
     std::vector<http::request> innocents;
@@ -98,7 +98,7 @@
 
 // Two failures at the same time: the table that stores the crash marks is unavailable while engines crash.
 // The entries must receive the marks from the sidecars.
-TEST_CASE("9 crashing request: quarantined although the table is out") {
+TEST_CASE("9 crashing request: quarantined while the table is unavailable") {
     cluster system(four_engines());
     arm_engines(system);
     system.control_platform(R"({"outage":true})");
--- a/tests/failure/test_gateway_configuration.cpp
+++ b/tests/failure/test_gateway_configuration.cpp
@@ -45,7 +45,7 @@
 
 } // namespace
 
-TEST_CASE("gateway: a key that is taken away stops to work, and the former version never comes back",
+TEST_CASE("gateway: a revoked key is refused and the previous configuration never returns",
           "[gateway][configuration]") {
     // A leaked key was revoked. A gateway that returned to an older configuration, for instance from a stale
     // read after an outage, would accept it again.
@@ -63,7 +63,7 @@
     CHECK(site.send(0, keyed_call("e", "old-key")).status == 401);
 }
 
-TEST_CASE("gateway: a key that is taken away stops to work at every gateway, asked or told",
+TEST_CASE("gateway: a revoked key is refused at every gateway whether it polls the store or not",
           "[gateway][configuration]") {
     // Most gateways don't poll the store for changes. If one of them missed a version, it would still accept
     // the revoked key and refuse callers with the new one.
@@ -83,7 +83,7 @@
     }
 }
 
-TEST_CASE("gateway: what a change costs at the store doesn't grow with the gateways",
+TEST_CASE("gateway: the store's calls per change don't grow with the number of gateways",
           "[gateway][configuration]") {
     // Servers register and drain all day, and each call to the store is paid for. When every gateway polled
     // for each change itself, the number of calls grew with the gateways; now a few poll and report the
@@ -115,7 +115,7 @@
     CHECK(site.on_emulator([&] { return site.store().calls(); }) - before < gateways * changes);
 }
 
-TEST_CASE("gateway: a configuration that can't be read changes nothing", "[gateway][configuration]") {
+TEST_CASE("gateway: a configuration that can't be decoded changes nothing", "[gateway][configuration]") {
     // A faulty tool writes half a document. Keeping the last valid configuration is better than refusing
     // every request.
     gateway_site site(plain_site(1));
@@ -129,7 +129,8 @@
     }
 }
 
-TEST_CASE("gateway: history that the store has dropped is read anew", "[gateway][configuration]") {
+TEST_CASE("gateway: rows are read again after the store has dropped its history",
+          "[gateway][configuration]") {
     // The store drops its history, for instance to save space. A gateway that only applied changes would
     // never learn of the dropped ones.
     auto options = plain_site(1);
@@ -143,7 +144,8 @@
     wait_for_status(site, 0, keyed_call("a", "new-key"), 200);
 }
 
-TEST_CASE("gateway: dropped history is read anew once, not over and over", "[gateway][configuration]") {
+TEST_CASE("gateway: rows are read again only once after the store has dropped its history",
+          "[gateway][configuration]") {
     // The store drops its history while backend servers register. A gateway that kept polling from a dropped
     // version would send thousands of polls per second, and the store would refuse all gateways.
     gateway_site site(plain_site(3));
@@ -165,7 +167,7 @@
     CHECK(site.on_emulator([&] { return site.store().calls(); }) - before < 40);
 }
 
-TEST_CASE("gateway: requests go on while the store is away, and its return is noticed",
+TEST_CASE("gateway: requests are served during an outage of the store and its end is noticed",
           "[gateway][configuration]") {
     // The store is unreachable, refuses, resets connections or doesn't answer. Callers must not notice it,
     // and what was written in the meantime must be in force soon afterwards.
@@ -184,7 +186,7 @@
     wait_for_status(site, 0, keyed_call("after", "new-key"), 200);
 }
 
-TEST_CASE("gateway: a change is in force although the store lost the questions for it",
+TEST_CASE("gateway: a change comes into force although the store lost the open polls",
           "[gateway][configuration]") {
     // The store is unresponsive for a moment and loses all open polls. No gateway may go on waiting for their
     // answers.
@@ -201,7 +203,7 @@
     }
 }
 
-TEST_CASE("gateway: a server that leaves is known to although the store lost the questions for it",
+TEST_CASE("gateway: a server is known to drain although the store lost the open polls",
           "[gateway][membership]") {
     // The same for backend servers: requests would be sent to a server that has shut down.
     constexpr std::size_t gateways = 3;
@@ -229,8 +231,7 @@
     }
 }
 
-TEST_CASE("gateway: one has the store confirm what all hold, and the others don't ask for it",
-          "[gateway][configuration]") {
+TEST_CASE("gateway: only one gateway polls the store for confirmations", "[gateway][configuration]") {
     // Each poll is a call that is paid for, and hundreds of gateways that poll for confirmations would
     // overload the store.
     constexpr std::size_t gateways = 3;
@@ -248,7 +249,7 @@
     }
 }
 
-TEST_CASE("gateway: one that never reached the store learns everything from its peer",
+TEST_CASE("gateway: a gateway that never reached the store gets its state from a peer",
           "[gateway][configuration]") {
     // The store refuses one machine, possibly for hours. The callers of its gateway would be refused, or sent
     // to removed servers, although another gateway has the current state.
@@ -260,7 +261,7 @@
     CHECK(site.send(1, make_call("/plain/x", "by-peer")).status == 200);
 }
 
-TEST_CASE("gateway: a server that drains gets no new work and finishes what it has",
+TEST_CASE("gateway: a draining server gets no new requests and finishes the running ones",
           "[gateway][membership]") {
     // A server announces that it drains. A request sent to it afterwards would be lost when it exits.
     gateway_site site(plain_site(2));
@@ -277,7 +278,7 @@
     }
 }
 
-TEST_CASE("gateway: an address that serves another service now isn't taken for the former server",
+TEST_CASE("gateway: an address that was given to another service isn't mistaken for the previous server",
           "[gateway][membership]") {
     // A server was removed, and its address was given to a server of another service before the gateways
     // learned of it. A request sent there would run at the wrong service.
@@ -296,7 +297,7 @@
     }
 }
 
-TEST_CASE("gateway: a server that crashed costs its callers nothing while another lives",
+TEST_CASE("gateway: a crashed server causes no failed requests while another one runs",
           "[gateway][membership]") {
     // A crashed server refuses connections at once, so it always seems to have free slots and would attract
     // every request.
@@ -307,7 +308,7 @@
     }
 }
 
-TEST_CASE("gateway: registrations that expired with the store's outage don't empty the service",
+TEST_CASE("gateway: registrations that expired during an outage of the store don't empty the service",
           "[gateway][membership]") {
     // During an outage the store counts missing heartbeats and removes the registrations, until the servers
     // register again a moment later. Refusing every request in between must be avoided.
--- a/tests/failure/test_gateway_coordination.cpp
+++ b/tests/failure/test_gateway_coordination.cpp
@@ -72,7 +72,7 @@
 
 } // namespace
 
-TEST_CASE("gateway: an allowance binds over all gateways together", "[gateway][coordination]") {
+TEST_CASE("gateway: a quota applies to all gateways together", "[gateway][coordination]") {
     // A workspace sends requests through every gateway. If each gateway counted separately, the workspace
     // would get its quota once per gateway, at the expense of other workspaces.
     gateway_site site(limited_site(2));
@@ -83,8 +83,7 @@
     CHECK(served <= 10);
 }
 
-TEST_CASE("gateway: a coordinator that is killed is replaced, and allowances don't start anew",
-          "[gateway][coordination]") {
+TEST_CASE("gateway: a killed coordinator is replaced and quotas don't restart", "[gateway][coordination]") {
     // The coordinator crashes. If the next one started with full quotas, a workspace would get its burst
     // again after each crash.
     gateway_site site(limited_site(3));
@@ -107,7 +106,7 @@
     CHECK(after <= 10);
 }
 
-TEST_CASE("gateway: a frozen coordinator holds up its members' requests for a moment only",
+TEST_CASE("gateway: a frozen coordinator delays its members' requests only briefly",
           "[gateway][coordination]") {
     // The coordinator's machine stops without closing connections. Requests at the other gateways wait for a
     // grant that never comes, and must continue with the local share well within a usual latency target.
@@ -125,7 +124,8 @@
     static_cast<void>(wait_for_coordinator(site, 2));
 }
 
-TEST_CASE("gateway: all killed at once serve again without anybody's help", "[gateway][coordination]") {
+TEST_CASE("gateway: all gateways recover by themselves after being killed at once",
+          "[gateway][coordination]") {
     // A power failure stops every gateway, and none has persistent state.
     auto options = limited_site(3);
     options.configuration.workspaces.clear();
--- a/tests/failure/test_gateway_forwarding.cpp
+++ b/tests/failure/test_gateway_forwarding.cpp
@@ -79,7 +79,7 @@
                [&] { return site.on_emulator([&] { return site.backend(0).open_connections(); }) == 0; });
 }
 
-TEST_CASE("gateway: a call that isn't idempotent and loses its answer runs once and isn't called not run",
+TEST_CASE("gateway: a non-idempotent call whose answer is lost runs once and isn't reported as not run",
           "[gateway][carriage]") {
     // The server does the work and its connection breaks before the answer is sent. If the gateway retried, a
     // kudos would count twice; if it answered "not run", the caller would retry it.
@@ -90,7 +90,7 @@
     CHECK(site.runs_of("once") == 1);
 }
 
-TEST_CASE("gateway: an idempotent call that loses its answer is sent to another server",
+TEST_CASE("gateway: an idempotent call whose answer is lost is retried on another server",
           "[gateway][carriage]") {
     // One server's answers are lost. The caller of an idempotent call must not notice.
     gateway_site site(plain_site(routing::route_kind::idempotent, 2));
@@ -100,7 +100,7 @@
     }
 }
 
-TEST_CASE("gateway: a request that a server refuses goes to another, whatever its kind",
+TEST_CASE("gateway: a request of any kind that a server refuses is retried on another server",
           "[gateway][carriage]") {
     // A full server states that it didn't run the request, so a retry elsewhere can't duplicate its effect.
     gateway_site site(plain_site(routing::route_kind::non_idempotent, 2));
@@ -112,7 +112,7 @@
     }
 }
 
-TEST_CASE("gateway: refused by every server, a request is refused as not run", "[gateway][carriage]") {
+TEST_CASE("gateway: a request that every server refuses is reported as not run", "[gateway][carriage]") {
     // All servers are full. The caller is told when to retry.
     gateway_site site(plain_site(routing::route_kind::non_idempotent, 2));
     set_fault_everywhere(site, 2, backend_fault::refuse);
@@ -122,7 +122,7 @@
     CHECK(site.runs_of("nowhere") == 0);
 }
 
-TEST_CASE("gateway: bytes that are no answer reach no caller", "[gateway][carriage]") {
+TEST_CASE("gateway: bytes that belong to no answer are not forwarded", "[gateway][carriage]") {
     // A faulty server sends invalid bytes, half an answer, or a second answer that belongs to no request. A
     // caller must not receive any of this as its answer.
     const auto fault =
@@ -139,7 +139,7 @@
     }
 }
 
-TEST_CASE("gateway: an answer without a length is whole when its connection ends in order",
+TEST_CASE("gateway: an answer without a length is complete when its connection is closed normally",
           "[gateway][carriage]") {
     // An old server ends its answers by closing the connection. The caller's connection stays open, so its
     // answer needs a length.
@@ -150,7 +150,7 @@
     CHECK(answer.header("Content-Length") == std::to_string(answer.body.size()));
 }
 
-TEST_CASE("gateway: the events of a stream arrive whole, in order, with the server's proof",
+TEST_CASE("gateway: the events of a stream arrive complete and in order with the server's signature",
           "[gateway][carriage]") {
     gateway_site site(stream_site(false, 1));
     const auto answer = site.send(0, stream_call("s", 40));
@@ -160,8 +160,7 @@
     CHECK(event_numbers(answer.body) == numbers_up_to(11));
 }
 
-TEST_CASE("gateway: a broken stream that may not be resumed is visibly broken and runs once",
-          "[gateway][carriage]") {
+TEST_CASE("gateway: a broken stream that isn't resumable is aborted and runs once", "[gateway][carriage]") {
     // The engine crashes in the middle of an event. The caller must not mistake the part for the complete
     // stream or get half an event, and no second engine may run the request at the caller's expense.
     gateway_site site(stream_site(false, 2));
@@ -174,7 +173,7 @@
     CHECK(site.runs_of("s") == 1);
 }
 
-TEST_CASE("gateway: a broken stream that may be resumed goes on at another engine without a gap",
+TEST_CASE("gateway: a broken stream that is resumable continues at another engine without a gap",
           "[gateway][carriage]") {
     // The engine crashes in the middle of an event, and another one can continue after the last complete
     // event. The caller gets each event once, with the head of the first engine's response.
@@ -187,7 +186,7 @@
     CHECK(site.runs_of("s") == 3);
 }
 
-TEST_CASE("gateway: a caller that leaves takes its request with it", "[gateway][carriage]") {
+TEST_CASE("gateway: the request of a caller that disconnects is cancelled", "[gateway][carriage]") {
     // The caller of a long stream disconnects. The engine would otherwise continue for nobody and occupy a
     // slot.
     gateway_site site(stream_site(false, 1));
@@ -199,7 +198,7 @@
                [&] { return site.on_emulator([&] { return site.backend(0).in_progress(); }) == 0; });
 }
 
-TEST_CASE("gateway: a server that hangs is given up when the request's time is over", "[gateway][carriage]") {
+TEST_CASE("gateway: a call to a hanging server ends with the request's deadline", "[gateway][carriage]") {
     // A server accepts the request and never answers. It may have run the request, so the caller gets an
     // error that doesn't claim otherwise, before its deadline.
     auto options = plain_site(routing::route_kind::idempotent, 1);
--- a/tests/failure/test_gateway_ingress.cpp
+++ b/tests/failure/test_gateway_ingress.cpp
@@ -26,8 +26,7 @@
 
 } // namespace
 
-TEST_CASE("gateway: a request that two parsers could read in two ways is refused and never runs",
-          "[gateway][ingress]") {
+TEST_CASE("gateway: an ambiguously framed request is refused and never runs", "[gateway][ingress]") {
     // Request smuggling: an attacker hides a second request in the body of the first, when two servers
     // determine the body's length from different fields. The hidden request would then be answered on another
     // caller's connection.
@@ -58,7 +57,7 @@
     CHECK(site.runs_of("raw") == 0);
 }
 
-TEST_CASE("gateway: what is over a limit is refused with the limit's own answer", "[gateway][ingress]") {
+TEST_CASE("gateway: a request over a limit is refused with the status of that limit", "[gateway][ingress]") {
     // A caller sends an endless head or body, or a head byte by byte. Without limits, a few such callers
     // would exhaust the memory or all connections.
     auto options = plain_site();
@@ -78,7 +77,7 @@
     CHECK(site.runs_of("raw") == 0);
 }
 
-TEST_CASE("gateway: routes and keys decide who is answered what", "[gateway][ingress]") {
+TEST_CASE("gateway: requests are answered by their route and key", "[gateway][ingress]") {
     // A caller with an outdated key, or with a path that no route serves, must be able to tell the two errors
     // apart. The key must not be forwarded to a server.
     auto options = plain_site();
@@ -100,7 +99,7 @@
     CHECK(workspace == "archive");
 }
 
-TEST_CASE("gateway: chunked and pipelined requests reach their server whole and in order",
+TEST_CASE("gateway: chunked and pipelined requests reach their server complete and in order",
           "[gateway][ingress]") {
     // Callers may send a body of unknown length, and the next request before the previous answer.
     gateway_site site(plain_site());
@@ -124,7 +123,8 @@
     CHECK(bodies == std::vector<std::string>{"abcdefg", "hi"});
 }
 
-TEST_CASE("gateway: without a configuration it isn't ready and refuses as not run", "[gateway][ingress]") {
+TEST_CASE("gateway: without a configuration it isn't ready and reports requests as not run",
+          "[gateway][ingress]") {
     // The store is unreachable when a gateway starts. Status 404 would tell callers that their route doesn't
     // exist.
     auto options = plain_site();
@@ -139,7 +139,7 @@
     CHECK(site.send(0, make_call("/plain/x", "later")).status == 200);
 }
 
-TEST_CASE("gateway: a request that comes right after a start waits for the configuration",
+TEST_CASE("gateway: a request that arrives right after a start waits for the configuration",
           "[gateway][ingress]") {
     // All gateways were killed at once and restart. Callers have no other gateway to go to, and the
     // configuration arrives a moment later, so refusing them would be needless.
--- a/tests/failure/test_gateway_restarts.cpp
+++ b/tests/failure/test_gateway_restarts.cpp
@@ -49,7 +49,7 @@
 
 } // namespace
 
-TEST_CASE("gateway: a request at a server that started anew goes on at once", "[gateway][restart]") {
+TEST_CASE("gateway: a request at a server that restarted is retried at once", "[gateway][restart]") {
     // A server crashed during a network partition: no connection was reset, and the new start doesn't know
     // the request. The caller waited on the dead connection until its deadline.
     gateway_site site(one_server(routing::route_kind::idempotent));
@@ -58,7 +58,7 @@
     CHECK(has_logged(site, R"("event":"backend_restarted")"));
 }
 
-TEST_CASE("gateway: a call that may run once isn't sent to the new start", "[gateway][restart]") {
+TEST_CASE("gateway: a non-idempotent call isn't retried on the new start", "[gateway][restart]") {
     // The previous start may have done the work before it crashed. The caller is told at once that the
     // outcome is unknown.
     gateway_site site(one_server(routing::route_kind::non_idempotent));
@@ -67,7 +67,7 @@
     CHECK(site.send(0, make_call("/plain/x", "next")).status == 200);
 }
 
-TEST_CASE("gateway: entries of other writers change nothing for callers", "[gateway][restart]") {
+TEST_CASE("gateway: rows of other writers don't affect callers", "[gateway][restart]") {
     // Another program writes into the table of servers: invalid bytes, and a row that resembles a server
     // except for its state. Requests were sent to that address and waited for an answer.
     gateway_site site(one_server(routing::route_kind::idempotent));
--- a/tests/failure/test_gateway_rollout.cpp
+++ b/tests/failure/test_gateway_rollout.cpp
@@ -68,7 +68,7 @@
 
 } // namespace
 
-TEST_CASE("gateway: a good version is completed, and the former one gets nothing more",
+TEST_CASE("gateway: a good version completes the roll-out and the previous one gets no more requests",
           "[gateway][rollout]") {
     gateway_site site(site_with_two_versions(1));
     site.order_rollout({"plain", "v2", 25s});
@@ -81,7 +81,7 @@
     CHECK(runs_at(site, 0) + runs_at(site, 1) == previous_runs);
 }
 
-TEST_CASE("gateway: a bad version is rolled back, and got few requests", "[gateway][rollout]") {
+TEST_CASE("gateway: a bad version is rolled back after few requests", "[gateway][rollout]") {
     // Guards against a version that fails half of a service's requests before anybody notices.
     gateway_site site(site_with_two_versions(1));
     site.on_emulator([&] {
@@ -102,7 +102,7 @@
     CHECK(runs_at(site, 2) + runs_at(site, 3) == exposed);
 }
 
-TEST_CASE("gateway: a successor keeps to what was decided", "[gateway][rollout]") {
+TEST_CASE("gateway: a new coordinator respects a recorded roll-back", "[gateway][rollout]") {
     // All gateways were killed after a roll-back. A new one must not give the rejected version requests
     // again.
     gateway_site site(site_with_two_versions(1));
--- a/tests/failure/test_gateway_stop.cpp
+++ b/tests/failure/test_gateway_stop.cpp
@@ -30,7 +30,8 @@
 
 } // namespace
 
-TEST_CASE("gateway: told to stop, it finishes what runs and answers what still comes", "[gateway][stop]") {
+TEST_CASE("gateway: during a graceful shutdown it finishes running requests and serves new ones",
+          "[gateway][stop]") {
     // A rolling restart. The load balancer needs some time to notice, and a request that is aborted, or
     // refused although it has run, could take effect twice or never.
     gateway_site site(slow_site(std::chrono::milliseconds(1500)));
@@ -47,7 +48,8 @@
     CHECK(site.process(0).wait_for_exit() == 0);
 }
 
-TEST_CASE("gateway: told to stop, it serves what can be whole in time, also late", "[gateway][stop]") {
+TEST_CASE("gateway: late in a graceful shutdown it still serves requests that end in time",
+          "[gateway][stop]") {
     // All gateways of a small deployment are restarted in turn, and each still finishes a long stream when
     // the next is told to stop. If one refused everything once the balancer had noticed, callers would have
     // no gateway although it has seconds left.
@@ -65,7 +67,7 @@
     CHECK(site.process(0).wait_for_exit() == 0);
 }
 
-TEST_CASE("gateway: told to stop twice, it still finishes what runs", "[gateway][stop]") {
+TEST_CASE("gateway: after a second stop signal it still finishes running requests", "[gateway][stop]") {
     // Two rolling restarts overlap, and the platform sends a second signal to a process that is already
     // shutting down. Exiting at once would abort requests that it was to finish.
     gateway_site site(slow_site(std::chrono::milliseconds(1500)));
@@ -80,7 +82,7 @@
     CHECK(site.process(0).wait_for_exit() == 0);
 }
 
-TEST_CASE("gateway: SIGHUP takes new settings, and a faulty file changes nothing", "[gateway][stop]") {
+TEST_CASE("gateway: SIGHUP applies new settings and a faulty file changes nothing", "[gateway][stop]") {
     // An operator changes the settings of a running gateway. A typing error must not end the process or abort
     // a request.
     gateway_site site(slow_site(std::chrono::milliseconds(300)));
@@ -101,7 +103,7 @@
     CHECK(site.send(0, make_call("/plain/x", "after")).status == 200);
 }
 
-TEST_CASE("gateway: a log that nobody reads costs lines, not requests", "[gateway][logs]") {
+TEST_CASE("gateway: a log that nobody reads loses lines but no requests", "[gateway][logs]") {
     // The log collector hangs and the pipe is full. A process that waited for it would stop serving all its
     // callers.
     gateway_site site(slow_site(std::chrono::milliseconds(0)));
@@ -120,7 +122,7 @@
     CHECK(site.send(0, make_call("/plain/x", "served")).status == 200);
 }
 
-TEST_CASE("gateway: the volume of its log is bounded while requests are refused", "[gateway][logs]") {
+TEST_CASE("gateway: the volume of its log is limited while requests are refused", "[gateway][logs]") {
     // A caller sends many requests for a path that doesn't exist. Writing a line for each would cost more
     // than refusing them.
     gateway_site site(slow_site(std::chrono::milliseconds(0)));
--- a/tests/failure/test_gateway_store_restore.cpp
+++ b/tests/failure/test_gateway_store_restore.cpp
@@ -42,7 +42,7 @@
 
 } // namespace
 
-TEST_CASE("gateway: a server that leaves after a return of the store gets nothing new",
+TEST_CASE("gateway: a server that drains after a restore of the store gets no new requests",
           "[gateway][store_return]") {
     // Guards against a version number that was assigned twice, which made the draining server's row look old.
     gateway_site site(plain_site(2));
@@ -62,7 +62,7 @@
     }
 }
 
-TEST_CASE("gateway: a server that drained before a return of the store isn't used again after it",
+TEST_CASE("gateway: a server that drained before a restore of the store isn't used again",
           "[gateway][store_return]") {
     gateway_site site(plain_site(2));
     const auto copied_at = clock::now();
@@ -78,7 +78,7 @@
     }
 }
 
-TEST_CASE("gateway: a key that was revoked just before a return of the store stays revoked",
+TEST_CASE("gateway: a key that was revoked just before a restore of the store stays revoked",
           "[gateway][store_return]") {
     // The copy still has the document in which the key is valid.
     auto options = plain_site(1, 2);
@@ -106,8 +106,7 @@
     }
 }
 
-TEST_CASE("gateway: one that slept through a return of the store ends like the others",
-          "[gateway][store_return]") {
+TEST_CASE("gateway: a gateway that missed a restore of the store catches up", "[gateway][store_return]") {
     gateway_site site(plain_site(2, 3));
     const auto copied_at = clock::now();
     for (int index = 0; index < 3; ++index) {
@@ -124,7 +123,7 @@
     wait_for_era(site, 2, 2);
 }
 
-TEST_CASE("gateway: returns of the store in quick succession leave nobody behind",
+TEST_CASE("gateway: every gateway follows two restores of the store in quick succession",
           "[gateway][store_return]") {
     // Between two restores, the store refuses some callers and answers others.
     gateway_site site(plain_site(2, 2));
@@ -147,7 +146,7 @@
           std::string::npos);
 }
 
-TEST_CASE("gateway: a return of the store costs a few calls", "[gateway][store_return]") {
+TEST_CASE("gateway: a restore of the store costs few calls", "[gateway][store_return]") {
     // Guards against repeated polls for a position that the store no longer has.
     constexpr std::size_t gateways = 3;
     gateway_site site(plain_site(2, gateways));
--- a/tests/failure/test_sidecar_dispatch.cpp
+++ b/tests/failure/test_sidecar_dispatch.cpp
@@ -27,7 +27,7 @@
 
 // An entry was frozen after the grant, and sends its start message too late. Its caller has been told that
 // the request didn't run and may have sent it again, so running it now would run it twice.
-TEST_CASE("sidecar: a start after its lease is not begun and never runs", "[sidecar]") {
+TEST_CASE("sidecar: a start message after the grant has expired never runs the request", "[sidecar]") {
     cluster system(
         {.entries = 0, .backend_servers = {{.name = "pluma-1"}}, .sidecar_settings = "grant_lease = 30ms\n"});
     sidecar_driver driver(system);
@@ -45,7 +45,8 @@
 // The connection with the start message has become unresponsive, and the entry asks for the state of the
 // dispatch on a new connection before the start arrives. It is told "not begun" and places the request
 // elsewhere, so the late start must not run the request here too.
-TEST_CASE("sidecar: a start that arrives after its fate was asked does not run", "[sidecar]") {
+TEST_CASE("sidecar: a start message after an attach to the same dispatch does not run the request",
+          "[sidecar]") {
     cluster system({.entries = 0, .backend_servers = {{.name = "pluma-1"}}});
     sidecar_driver driver(system);
     auto old_connection = driver.connect();
--- a/tests/failure/test_sidecar_queue.cpp
+++ b/tests/failure/test_sidecar_queue.cpp
@@ -39,7 +39,8 @@
 
 // A burst of requests fills the queue. A request of a higher tier must not be refused while one of a lower
 // tier waits. The displaced request must not run, even if its start message arrives.
-TEST_CASE("sidecar: a full queue pushes out the lower tier, truly not run", "[sidecar]") {
+TEST_CASE("sidecar: a higher tier displaces a lower one in a full queue and the displaced request never runs",
+          "[sidecar]") {
     cluster system(one_slot("queue_requests = 1\n"));
     sidecar_driver driver(system);
     auto entry = driver.connect();
--- a/tests/fuzz/test_gateway_decoders.cpp
+++ b/tests/fuzz/test_gateway_decoders.cpp
@@ -76,7 +76,7 @@
 
 } // namespace
 
-TEST_CASE("damaged registrations are refused or mean one server", "[fuzz][registration]") {
+TEST_CASE("damaged rows of servers are rejected or describe one valid server", "[fuzz][registration]") {
     const auto accepted = count_accepted(registrations, [](const std::string& input) {
         const auto record = platform::decode_backend("id", input);
         REQUIRE(record.slots >= 1);
--- a/tests/unit/test_coordination.cpp
+++ b/tests/unit/test_coordination.cpp
@@ -234,7 +234,7 @@
     }
 }
 
-TEST_CASE("a batch that isn't acknowledged is sent again ever more rarely", "[coordination]") {
+TEST_CASE("a batch that isn't acknowledged is sent again at increasing intervals", "[coordination]") {
     // When all gateways of a large deployment restart at once, their coordinator falls behind. Members that
     // retransmitted their batches every 12 ms kept it behind: with 300 members, only one caller in four was
     // served.
--- a/tests/unit/test_events.cpp
+++ b/tests/unit/test_events.cpp
@@ -65,7 +65,7 @@
     CHECK(parsed.at("held_ms").to_number<double>() == Approx(1.235));
 }
 
-TEST_CASE("a machine's clock that jumps changes neither order nor distance of a process's lines",
+TEST_CASE("a jump of the machine's clock changes neither the order nor the intervals of a process's lines",
           "[events]") {
     // The system clock jumps ahead by two seconds and then back, as happens on some machines. With its time
     // in the lines, an engineer would see a request refused before it arrived.
--- a/tests/unit/test_gateway_roster.cpp
+++ b/tests/unit/test_gateway_roster.cpp
@@ -12,7 +12,7 @@
 using namespace borageford::gateway;
 using test::known_servers;
 
-TEST_CASE("a gateway that lacks everything is told everything", "[gateway][roster]") {
+TEST_CASE("a gateway without registrations gets a whole update", "[gateway][roster]") {
     known_servers ahead;
     ahead.register_server("a", 3);
     ahead.register_server("b", 4);
@@ -27,7 +27,7 @@
     CHECK(behind.roster().position() == store::position{0, 4});
 }
 
-TEST_CASE("a gateway that is a little behind is told the difference only", "[gateway][roster]") {
+TEST_CASE("a gateway that is slightly behind gets only the changes", "[gateway][roster]") {
     // With thousands of servers and hundreds of gateways, sending all registrations for each change saturated
     // the network links.
     known_servers ahead;
@@ -50,7 +50,7 @@
     CHECK(behind.roster().position() == store::position{0, 202});
 }
 
-TEST_CASE("a server that came back isn't told as gone", "[gateway][roster]") {
+TEST_CASE("an update doesn't list a server as removed that has registered again", "[gateway][roster]") {
     known_servers ahead;
     ahead.register_server("a", 5);
     ahead.register_server("b", 6);
@@ -61,7 +61,7 @@
     CHECK(update.present.contains("a"));
 }
 
-TEST_CASE("a server that is missed is told as missed", "[gateway][roster]") {
+TEST_CASE("an update lists retained registrations", "[gateway][roster]") {
     // The registration vanished during an outage of the store. If the server doesn't register again, no
     // version changes, so a gateway that only receives updates from peers would keep it forever.
     known_servers ahead;
@@ -77,7 +77,7 @@
     CHECK(behind.roster().changes_after({0, 5}).retained == std::vector<std::string>{"a"});
 }
 
-TEST_CASE("a server that had told that it leaves isn't missed after an outage", "[gateway][roster]") {
+TEST_CASE("the registration of a draining server isn't retained after an outage", "[gateway][roster]") {
     // Guards against retaining a server that is known to have shut down.
     known_servers here;
     here.write("a", "engines", 5);
@@ -90,8 +90,7 @@
     CHECK(here.has_server("b"));
 }
 
-TEST_CASE("a request that holds a slot at a server that isn't known yet hears when it is",
-          "[gateway][roster]") {
+TEST_CASE("a request that waits for an unknown server is notified once it registers", "[gateway][roster]") {
     // The coordinator had read the registration of a server that had just started, and this gateway had not.
     // Its slots were given back one after another, five in a few milliseconds, and then the caller was
     // refused.
@@ -134,7 +133,7 @@
     CHECK(directory.was_known(key));
 }
 
-TEST_CASE("a request that has ended isn't told of the server that it waited for", "[gateway][roster]") {
+TEST_CASE("a request that has ended isn't notified of the server that it waited for", "[gateway][roster]") {
     known_servers servers;
     routing::backend_record record;
     record.id = "a";
@@ -144,7 +143,7 @@
     CHECK(notified == 0);
 }
 
-TEST_CASE("large answers that are on their way at a time are bounded", "[gateway][send_budget]") {
+TEST_CASE("the size of large answers that are sent at a time is limited", "[gateway][send_budget]") {
     // After all gateways were killed, each of them requests all registrations from the first one that is
     // back. If it answered all of them at once, it would hold so many copies that it would be killed for its
     // memory use.
@@ -167,7 +166,7 @@
     }
 }
 
-TEST_CASE("a gateway that is far behind gets the whole list, not a part of the removals",
+TEST_CASE("a gateway that is far behind gets a whole update instead of a part of the removals",
           "[gateway][roster]") {
     // The gateway has missed more removals than are remembered. An update without them would leave removed
     // servers in place.
@@ -188,14 +187,14 @@
     CHECK_FALSE(behind.has_server("first"));
 }
 
-TEST_CASE("news that is no newer is passed over", "[gateway][roster]") {
+TEST_CASE("an update that is no newer is ignored", "[gateway][roster]") {
     known_servers here;
     here.register_server("a", 9);
     here.roster().apply_update({{0, 9}, true, {}, {}});
     CHECK(here.has_server("a"));
 }
 
-TEST_CASE("a server that starts anew under its id is another server", "[gateway][roster]") {
+TEST_CASE("a server that restarts under its id counts as another server", "[gateway][roster]") {
     // An engine crashed and is back within a heartbeat interval. If it were identified by its id alone, it
     // would inherit the cooldown, the queue and the requests of the dead process, and its grants.
     known_servers here;
@@ -216,7 +215,8 @@
     CHECK(other.usable_key("a") == present);
 }
 
-TEST_CASE("an entry that can't be read names no server, and the others hold", "[gateway][roster]") {
+TEST_CASE("other rows stay in force beside a row that can't be decoded and names no server",
+          "[gateway][roster]") {
     // Another program wrote into the table of servers. A server whose row was overwritten gets no new
     // requests until it writes its row again with its next heartbeat.
     known_servers here;
@@ -238,7 +238,7 @@
     CHECK(here.usable_key("struck") != 0);
 }
 
-TEST_CASE("an entry without a start isn't the word of a server that tells its start", "[gateway][roster]") {
+TEST_CASE("a row without a start is rejected for a server that has reported its start", "[gateway][roster]") {
     known_servers here;
     here.write("a", "engines@1", 1);
     here.write("a", "engines", 2);
--- a/tests/unit/test_gateway_store_restore.cpp
+++ b/tests/unit/test_gateway_store_restore.cpp
@@ -60,7 +60,8 @@
     CHECK(here.usable_key("a") == 0);
 }
 
-TEST_CASE("a server that left isn't used again because the copy still has it", "[gateway][store_return]") {
+TEST_CASE("a removed server isn't used again when the restored copy still lists it",
+          "[gateway][store_return]") {
     // Its address may belong to a server of another service by now.
     known_servers here;
     make_first_era(here);
@@ -147,7 +148,7 @@
     CHECK(here.roster().position() == store::position{3, 31});
 }
 
-TEST_CASE("what a former era says never overrules the present one", "[gateway][store_return]") {
+TEST_CASE("data of a previous era never overrides the current era", "[gateway][store_return]") {
     // A peer that can't reach the store, or an answer that was delayed, is of the previous era.
     known_servers here;
     make_first_era(here);
@@ -163,7 +164,7 @@
     CHECK(here.roster().position() == store::position{2, 60});
 }
 
-TEST_CASE("gateways that slept through a return, saw it, or started in it end in one state",
+TEST_CASE("gateways that missed a restore or saw it or started after it reach the same state",
           "[gateway][store_return]") {
     const std::vector<known_servers::entry> copy{{"a", "engines", 10}, {"b", "engines", 20}};
     known_servers saw;
--- a/tests/unit/test_http_readers.cpp
+++ b/tests/unit/test_http_readers.cpp
@@ -55,7 +55,7 @@
     CHECK_THROWS_AS(reader.read_end(), response_error);
 }
 
-TEST_CASE("a request is the same however it is cut into pieces", "[http][request_reader]") {
+TEST_CASE("a request is parsed the same however it is divided into pieces", "[http][request_reader]") {
     for (const std::size_t piece : {std::size_t(1), std::size_t(3), std::size_t(7), post_request.size()}) {
         request_reader reader({});
         CHECK(feed(reader, post_request, piece) == post_request.size());
@@ -97,7 +97,7 @@
     }
 }
 
-TEST_CASE("a response that ends early is an error, never a whole one", "[http][response_reader]") {
+TEST_CASE("a response that ends early is an error and never counts as complete", "[http][response_reader]") {
     CHECK_THROWS_AS(read_response("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nabc", 4, true),
                     response_error);
     CHECK_THROWS_AS(read_response("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n9\r\nabc", 4, true),
--- a/tests/unit/test_platform_registrations.cpp
+++ b/tests/unit/test_platform_registrations.cpp
@@ -55,7 +55,7 @@
     CHECK(platform::decode_backend("i-1", with("sequence", 1)).key() == record.key());
 }
 
-TEST_CASE("an entry of another writer names no server to use", "[platform][registration]") {
+TEST_CASE("a row of another writer names no usable server", "[platform][registration]") {
     // A registration that is only partly understood would attract requests: a server in an unknown state
     // counted as ready, and callers waited for a program that wasn't a backend server.
     CHECK_FALSE(is_refused(json::serialize(valid_registration())));
--- a/tests/unit/test_policy_follower_duty.cpp
+++ b/tests/unit/test_policy_follower_duty.cpp
@@ -19,7 +19,7 @@
 
 } // namespace
 
-TEST_CASE("of hundreds of gateways some ask the store", "[policy][follower_duty]") {
+TEST_CASE("only some of hundreds of gateways poll the store", "[policy][follower_duty]") {
     // If every gateway polled the store, each change of a server would cost one call per gateway, and an
     // outage several calls per second from each.
     constexpr member_key members = 300;
@@ -51,7 +51,8 @@
     CHECK(choice.choose(false, 13, start_time) == follower_role::passive);
 }
 
-TEST_CASE("a gateway asks the store itself once nobody is heard whom it answers", "[policy][follower_duty]") {
+TEST_CASE("a gateway polls the store itself once no gateway announces that the store answers it",
+          "[policy][follower_duty]") {
     // The polling gateways may be disconnected, or the store may refuse only them. The remaining gateways
     // would then never learn that a server has shut down.
     constexpr std::size_t members = 300;
--- a/tests/unit/test_policy_follower_pace.cpp
+++ b/tests/unit/test_policy_follower_pace.cpp
@@ -48,7 +48,7 @@
     }
 }
 
-TEST_CASE("a lost question is asked again within the limit and half of it", "[policy][follower_pace]") {
+TEST_CASE("a lost poll is repeated within one and a half times the limit", "[policy][follower_pace]") {
     // Guards against learning of a change too late when the store became unresponsive shortly after an
     // answer.
     for (const double draw : {0.0, 0.5, 0.99}) {
@@ -68,7 +68,7 @@
     CHECK(first.repeat_delay(follower_role::follower) < second.repeat_delay(follower_role::follower));
 }
 
-TEST_CASE("a confirmation that went round doesn't count again", "[policy][confirmation]") {
+TEST_CASE("a confirmation that gateways pass around doesn't count again", "[policy][confirmation]") {
     // Guards against gateways that confirm each other's copies although the store answers none of them.
     constexpr store_moment first{1, 1000};
     std::vector<confirmation> gateways(3, confirmation(start_time));
--- a/tests/unit/test_policy_registration_watch.cpp
+++ b/tests/unit/test_policy_registration_watch.cpp
@@ -25,7 +25,7 @@
 
 } // namespace
 
-TEST_CASE("an outage of this process alone is known as its own when others are heard again",
+TEST_CASE("an outage of this process alone is recognised once messages of other processes arrive again",
           "[policy][registration_watch]") {
     // Guards against sending requests to servers that shut down while this process was disconnected from all
     // others.
@@ -36,7 +36,8 @@
     CHECK(watch.should_remove("left afterwards", start_time + 3300ms));
 }
 
-TEST_CASE("an outage that the others met as well stays the store's", "[policy][registration_watch]") {
+TEST_CASE("an outage that affected other processes too counts as an outage of the store",
+          "[policy][registration_watch]") {
     // Guards against removing all servers whose registrations expired while the store was unavailable.
     auto watch = make_cut_off();
     CHECK_FALSE(watch.should_remove("expired", start_time + 3s));
--- a/tests/unit/test_policy_trial.cpp
+++ b/tests/unit/test_policy_trial.cpp
@@ -62,7 +62,7 @@
     CHECK(first.classes.front().in_time == second.classes.front().in_time);
 }
 
-TEST_CASE("bursts to twice the load leave the highest tier in time", "[emulator][policy]") {
+TEST_CASE("the highest tier stays in time during bursts of twice the load", "[emulator][policy]") {
     // Guards against a scheduler that lets the highest tier become late in a burst. The worth of the
     // summaries and of the whole load was 0.62 and 0.60 with requests served in the order of arrival, 0.91
     // and 0.89 ordered by tier, and 0.96 and 0.93 with servers chosen by the expected first event and late
--- a/tests/unit/test_slot_broker.cpp
+++ b/tests/unit/test_slot_broker.cpp
@@ -141,7 +141,7 @@
 
 } // namespace
 
-TEST_CASE("a large request waits for the next coordinator where the own part doesn't suffice",
+TEST_CASE("a large request waits for the next coordinator if the local share doesn't suffice",
           "[coordination][slot_broker]") {
     // While the coordinator restarts, each gateway may grant only its local share of each quota. One large
     // request can need more than that. Its caller was refused for exceeding a quota that it had hardly
@@ -160,7 +160,7 @@
     CHECK_FALSE(site.was_refused(large));
 }
 
-TEST_CASE("a large request that comes right after a start waits for the coordinator",
+TEST_CASE("a large request that arrives right after a start waits for the coordinator",
           "[coordination][slot_broker]") {
     // All gateways were killed and have restarted. Until a gateway has found the coordinator, it may grant
     // only its local share of each quota. Callers that retried large requests at once were refused.
@@ -175,7 +175,7 @@
     CHECK_FALSE(site.was_refused(large));
 }
 
-TEST_CASE("a member tells the next coordinator what its requests met at servers",
+TEST_CASE("a member reports to the next coordinator what it has learned about servers",
           "[coordination][slot_broker]") {
     // A server accepted no connection from this gateway. A new coordinator that doesn't know this would
     // send requests of other members to that server.
--- a/tests/unit/test_store_follower.cpp
+++ b/tests/unit/test_store_follower.cpp
@@ -96,7 +96,7 @@
 
 } // namespace
 
-TEST_CASE("a change is heard of although the store lost the open question", "[gateway][store_follower]") {
+TEST_CASE("a change arrives although the store lost the open poll", "[gateway][store_follower]") {
     // Guards against keeping the previous configuration until the lost poll times out.
     const auto role = GENERATE(follower_role::confirmer, follower_role::follower, follower_role::fallback);
     followed_table table(role);
@@ -106,8 +106,7 @@
     table.run_until([&] { return table.held() == "second"; });
 }
 
-TEST_CASE("a change is heard of although the store took the question while it was silent",
-          "[gateway][store_follower]") {
+TEST_CASE("a change arrives although the poll reached an unresponsive store", "[gateway][store_follower]") {
     // Here the poll itself is lost, since the store becomes unresponsive right after a change.
     followed_table table(follower_role::follower);
     table.write("second");
@@ -185,7 +184,7 @@
     CHECK(table.store().calls() - before < 8);
 }
 
-TEST_CASE("an answer of a former era counts as none", "[gateway][store_follower]") {
+TEST_CASE("an answer of a previous era is ignored", "[gateway][store_follower]") {
     // The answer was sent before the store was restored, on a connection opened before.
     followed_table table(follower_role::follower);
     table.set_known({first_era + 1, 0}); // another gateway has learned of the restore
