--- a/src/audit/request_description.cpp
+++ b/src/audit/request_description.cpp
@@ -1,5 +1,6 @@
 // Implements the explanation of a request: a verdict, sentences about why it ran where it did, and its steps.
 #include "audit/request_description.hpp"
+
 #include "audit/request_history.hpp"
 
 #include <boost/json.hpp>
--- a/src/diagnosis/request_timeline.cpp
+++ b/src/diagnosis/request_timeline.cpp
@@ -1,5 +1,6 @@
 // Joins log lines by request id and ticket, and prints them in the order of their times.
 #include "diagnosis/request_timeline.hpp"
+
 #include "events/event_kind.hpp"
 
 #include <algorithm>
--- a/src/entry/crash_mark_tracker.cpp
+++ b/src/entry/crash_mark_tracker.cpp
@@ -1,5 +1,6 @@
 // Collects crash marks from peers and from the platform's table.
 #include "entry/crash_mark_tracker.hpp"
+
 #include "marks/crash_mark.hpp"
 
 #include <boost/asio/co_spawn.hpp>
--- a/src/gateway/configuration_manager.cpp
+++ b/src/gateway/configuration_manager.cpp
@@ -1,7 +1,8 @@
 // Implementation of configuration_manager: decodes a document, compares its version and puts it in force.
+#include "gateway/configuration_manager.hpp"
+
 #include "base/hash.hpp"
 #include "events/event_log.hpp"
-#include "gateway/configuration_manager.hpp"
 
 #include <algorithm>
 #include <memory>
--- a/src/gateway/rollout_manager.cpp
+++ b/src/gateway/rollout_manager.cpp
@@ -1,7 +1,8 @@
 // Implementation of rollout_manager: which servers get slots follows from the phase of the roll-out.
+#include "gateway/rollout_manager.hpp"
+
 #include "base/hash.hpp"
 #include "events/event_log.hpp"
-#include "gateway/rollout_manager.hpp"
 
 #include <algorithm>
 #include <utility>
