--- a/src/gateway/rollout_manager.hpp
+++ b/src/gateway/rollout_manager.hpp
@@ -16,10 +16,15 @@
 
 namespace borageford::gateway {
 
-/// Applies the orders of operators to replace a service's software version. Only the coordinator advances a
-/// roll-out, and only after it has read from the store that no final state was recorded before. In all other
-/// gateways, and while there is no coordinator, servers of the new version get no slots. Without an order,
-/// every server that accepts work has its slots.
+/// Applies the orders of operators to replace a service's software version. Without an order, every server
+/// that accepts work has its slots. Only the coordinator advances a roll-out, and only after it has read from
+/// the store that no final state was recorded before.
+///
+/// Until the roll-out is completed, only the coordinator grants slots of servers of the new version. It also
+/// grants them to requests of other gateways, which then send these requests to the new version. A gateway
+/// that grants slots from its local share because there is no coordinator grants none of the new version,
+/// with one exception: after the order's time limit the new version gets slots if no server of another
+/// version accepts work.
 class rollout_manager {
 public:
     struct observers {
--- a/src/policy/rollout_progress.hpp
+++ b/src/policy/rollout_progress.hpp
@@ -15,15 +15,16 @@
 /// Phases of a roll-out, in order.
 enum class rollout_phase : std::uint8_t {
     /// This process isn't the coordinator, or hasn't yet read from the store whether the roll-out is already
-    /// over.
+    /// over. The previous version gets all requests that this process grants slots to.
     waiting,
     /// The canary phase: the new version gets a small share of the requests, and its answers are evaluated.
+    /// The previous version gets all other requests.
     probing,
-    /// The draining phase: the new version gets all new requests, and the previous one finishes its running
-    /// requests.
+    /// The new version was accepted and gets all new requests, unless its answers become bad after all. The
+    /// previous version gets no new requests; its running requests continue until they have ended.
     finishing,
-    completed,  ///< the new version gets all requests
-    rolled_back ///< the previous version gets all requests
+    completed,  ///< the new version gets all requests, and the previous one has none left
+    rolled_back ///< the previous version gets all requests, and the new one gets no more
 };
 
 /// The name of the phase as it is written to the event log.
@@ -35,8 +36,9 @@
 /// finished all of their requests.
 class rollout_progress {
 public:
-    /// `to`: the new version; `length`: the time limit that the operator gave for the roll-out, which starts
-    /// at `now`.
+    /// `to`: the new version; `length`: the time limit that the operator gave for the roll-out. It counts
+    /// from `now`, the time at which this process first read the order, and not from when the order was
+    /// written. So it starts anew in a gateway that is restarted during the roll-out.
     rollout_progress(std::string to, duration length, time_point now)
         : m_to(std::move(to)), m_begin(now), m_length(length) {}
 
@@ -47,7 +49,7 @@
     [[nodiscard]] const canary_analysis& analysis() const noexcept { return m_analysis; }
     /// Whether the roll-out is completed or rolled back.
     [[nodiscard]] bool is_over() const noexcept { return m_phase >= rollout_phase::completed; }
-    /// The end of the time limit.
+    /// The end of the time limit as this process counts it.
     [[nodiscard]] time_point end() const noexcept { return m_begin + m_length; }
 
     /// Starts the canary phase if the roll-out is waiting. To be called when this process is the coordinator
