--- a/src/coordination/slot_broker.cpp
+++ b/src/coordination/slot_broker.cpp
@@ -30,7 +30,7 @@
 /// Maximum number of server reports at the start of a session. They fill a few datagrams, so that hundreds of
 /// members that attach at the same time don't saturate the network link of a small machine.
 constexpr std::size_t max_initial_reports = 64;
-/// The upper half of a ticket is taken from the incarnation of the process, the lower half is a counter.
+/// The position of the incarnation's bits in a ticket; see policy::slot_ticket.
 constexpr unsigned ticket_shift = 32;
 
 /// The key of a member is its IPv4 address; 0 for an IPv6 address, which has no key.
--- a/src/coordination/slot_broker.hpp
+++ b/src/coordination/slot_broker.hpp
@@ -63,7 +63,8 @@
     struct versions {
         std::uint64_t configuration = 0; ///< version of the configuration
         store::position backends;        ///< the last known change to the table of backend servers
-        bool is_in_touch = false;        ///< the store answers the process
+        /// The value of member_status::is_in_touch.
+        bool is_in_touch = false;
         /// When the store last confirmed each of the two, in ms of the store's clock in the era of
         /// `backends`; 0: not known. See policy::confirmation.
         std::uint64_t configuration_confirmed = 0;
@@ -81,7 +82,7 @@
         /// This process granted a slot of the server, to its own request or to another member's.
         std::function<void(policy::server_key)> on_grant = [](policy::server_key) {
         };
-        /// A request left a slot that this process had granted.
+        /// A request ended and no longer occupies a slot that this process had granted.
         std::function<void(const policy::slot_release&)> on_release = [](const policy::slot_release&) {
         };
     };
@@ -108,7 +109,8 @@
     void set_quota(policy::workspace_key workspace, policy::quota limit);
     void remove_quota(policy::workspace_key workspace);
 
-    /// Returns an id for a slot request that is unique among all processes.
+    /// Returns the id for the next slot request of this process; see policy::slot_ticket for how far ids
+    /// are unique.
     [[nodiscard]] policy::slot_ticket next_ticket() noexcept;
 
     /// Requests a slot. One of the callbacks in `callbacks` is called once, after this function has returned,
@@ -117,13 +119,14 @@
     /// Withdraws a slot request. If the slot was granted already and the grant is in transit, the slot is
     /// returned.
     void withdraw(policy::slot_ticket ticket);
-    /// Reports that a request has left the slot that it was granted.
+    /// Reports that a request has ended and no longer occupies the slot that it was granted.
     void release(const policy::slot_release& ended);
 
     [[nodiscard]] slot_source source() const noexcept { return m_source; }
     /// The time at which source() last changed.
     [[nodiscard]] policy::time_point source_since() const noexcept { return m_source_since; }
-    /// Requests that the server is working on, as far as this process granted their slots.
+    /// Requests that occupy slots of the server, as far as this process knows: it granted the slots itself,
+    /// or it became coordinator and members reported the slots that an earlier coordinator granted.
     [[nodiscard]] unsigned outstanding(policy::server_key server) const {
         return m_coordinator.scheduler().outstanding(server);
     }
--- a/src/coordination/slot_coordinator.hpp
+++ b/src/coordination/slot_coordinator.hpp
@@ -15,8 +15,8 @@
 
 namespace borageford::coordination {
 
-/// The ids of slot requests (tickets) are unique among all members, because each member has its own range of
-/// them.
+/// The requests of all members are told apart by their tickets alone; see policy::slot_ticket for how far
+/// tickets of different members differ.
 class slot_coordinator {
 public:
     slot_coordinator(policy::slot_scheduler_limits slots, policy::quota_limits allowances,
--- a/src/policy/quota_tracker.hpp
+++ b/src/policy/quota_tracker.hpp
@@ -43,9 +43,9 @@
 
     /// Takes the units from the bucket of the workspace if there are enough, and returns whether it did. A
     /// workspace without a quota always succeeds. `rank` orders the requests of one workspace, 0 being the
-    /// highest. A request of a lower rank must leave a part of the bucket to the higher ranks: first come,
-    /// first served would let a workspace that exceeds its quota get its long-running, cheap requests served
-    /// and its urgent ones refused.
+    /// highest; see rank_in_workspace(). A request of a lower rank must leave a part of the bucket to the
+    /// higher ranks: first come, first served would let a workspace that exceeds its quota get its
+    /// long-running, cheap requests served and its urgent ones refused.
     [[nodiscard]] bool try_take(workspace_key workspace, double units, int rank, time_point now);
     /// Units that a request of this rank and size could take now; negative while the bucket is in debt; 0 for
     /// an unknown workspace.
--- a/src/policy/server_health.cpp
+++ b/src/policy/server_health.cpp
@@ -45,7 +45,7 @@
     case slot_outcome::replaced:
     case slot_outcome::unreachable:
         return record_failure(true, now);
-    case slot_outcome::refused:   // the server was full, which isn't a failure
+    case slot_outcome::refused:   // no failure of the server in any of the cases of this outcome
     case slot_outcome::abandoned: // ended by the caller or its deadline, not by the server
         break;
     }
--- a/src/policy/slot_request.hpp
+++ b/src/policy/slot_request.hpp
@@ -20,7 +20,10 @@
 /// The key of the failure domain with this name; 0 for an empty name.
 [[nodiscard]] domain_key domain_key_of(std::string_view name) noexcept;
 
-/// The id of a slot request, unique within the coordinator that decides on it.
+/// The id of a slot request. Its upper half consists of random bits that the process drew at its start, its
+/// lower half is a counter of the process (coordination::slot_broker::next_ticket()). So the tickets of one
+/// process differ for its first 2^32 requests, and those of different processes differ unless two
+/// processes draw the same 32 bits, which is unlikely but isn't checked.
 using slot_ticket = std::uint64_t;
 
 /// Number of distinct tiers of workspaces, and of routes. Higher tier numbers count as the lowest tier.
@@ -32,7 +35,8 @@
     return std::clamp(of_workspace, 0, max_tiers - 1) * max_tiers + std::clamp(of_route, 0, max_tiers - 1);
 }
 
-/// The route's tier in a combined tier, which ranks a request among those of its own workspace.
+/// The route's tier in a combined tier, which ranks a request among those of its own workspace. This is the
+/// `rank` of quota_tracker; the number of a combined tier, as in slot_scheduler, is another value.
 [[nodiscard]] constexpr int rank_in_workspace(int tier) noexcept {
     return tier % max_tiers;
 }
@@ -57,11 +61,14 @@
     time_point deadline;   ///< when the caller stops waiting for the answer
     duration target{}; ///< target for the time from the arrival to the first event, or to the complete answer
     token_cost cost;
-    std::uint64_t fingerprint = 0;  ///< hash of caller, target and body; 0: none
-    double units = 0;               ///< cost in units of its workspace's quota
-    bool is_charged = false;        ///< its units were already subtracted from the quota
-    unsigned sends = 0;             ///< number of servers that it was already sent to
-    unsigned previous_refusals = 0; ///< number of times that it was refused before and retried by its caller
+    std::uint64_t fingerprint = 0; ///< hash of caller, target and body; 0: none
+    double units = 0;              ///< cost in units of its workspace's quota
+    bool is_charged = false;       ///< its units were already subtracted from the quota
+    unsigned sends = 0;            ///< number of servers that it was already sent to
+    /// How often its caller's earlier requests with the same fingerprint were refused recently (see
+    /// refusal_history). More than 0: a retried request, which its caller sends again after a refusal. A
+    /// gateway's retries of a failed request at another server are counted in `sends` instead.
+    unsigned previous_refusals = 0;
     /// Servers that failed this request; 0 in unused places.
     std::array<server_key, max_avoided> avoided{};
 };
@@ -77,7 +84,7 @@
     overloaded,        ///< it can't be served within the maximum wait
     over_allowance,    ///< its workspace has used up its quota
     over_retry_budget, ///< too many requests of its service are being retried
-    held_back          ///< it is quarantined because servers crashed while they ran it
+    held_back          ///< it is quarantined, because servers crashed while they ran it (crash_suspects)
 };
 
 [[nodiscard]] std::string_view to_string(refusal_reason reason) noexcept;
@@ -97,9 +104,12 @@
 /// How a request at a backend server ended.
 enum class slot_outcome : std::uint8_t {
     served,
-    failed,      ///< the server sent an answer that reports an error
-    broken,      ///< the connection broke, or the data received was no valid answer
-    refused,     ///< the server declined the request without running it
+    failed, ///< the server sent an answer that reports an error
+    broken, ///< the connection broke, or the data received was no valid answer
+    /// The request wasn't run, and this says nothing about the server's health. One of four cases: the server
+    /// declined the request; the gateway doesn't know the server; the server is draining; or the grant was
+    /// returned unused, because the request was withdrawn or already has another slot.
+    refused,
     unreachable, ///< no connection could be opened
     abandoned,   ///< the caller left, or the deadline passed
     replaced,    ///< another server answers at its address, so the server is gone or has restarted
