--- a/src/policy/slot_choice.cpp
+++ b/src/policy/slot_choice.cpp
@@ -1,5 +1,6 @@
-// Implements choose_server(): chooses the server with the earliest expected first event among those that can
-// finish the answer before the caller's deadline.
+// Implements choose_server(): chooses the server with the smallest expected overrun of the caller's deadline,
+// and among servers with equal overruns the one with the earliest expected first event. A server may be
+// chosen although its answer is expected to exceed the deadline.
 #include "policy/slot_choice.hpp"
 
 #include <algorithm>
--- a/src/routing/routing_types.hpp
+++ b/src/routing/routing_types.hpp
@@ -36,7 +36,10 @@
     route_kind kind = route_kind::non_idempotent;
     bool is_resumable = false; ///< a broken stream may be continued by another backend server
     bool is_public = false;    ///< callers need no API key
-    unsigned attempts = 1;     ///< maximum number of backend servers that one request may be sent to
+    /// Maximum number of backend servers that may have run the same repeatable request. Servers that
+    /// certainly didn't run it don't count; see policy::attempt_rule. A request that isn't repeatable isn't
+    /// sent again once a server may have run it.
+    unsigned attempts = 1;
     milliseconds timeout{30000};
     milliseconds latency_target{1000}; ///< time to the complete answer, or to a stream's first event
     milliseconds pause_target{0};      ///< target time between two events of a stream; 0: none
