--- a/src/policy/slot_scheduler.cpp
+++ b/src/policy/slot_scheduler.cpp
@@ -315,7 +315,6 @@
     return std::max(unreserved, std::min<double>(of_small, m_limits.max_lowest_tier_on_small_server));
 }
 
-/// How many more requests the server may be sent, not considering its health.
 double slot_scheduler::slots_left(const slot_server& server, bool is_lowest) const {
     return std::max(1.0, max_outstanding(server, is_lowest) * m_limits.share) - server.outstanding;
 }
@@ -356,7 +355,8 @@
 
 /// A request is late if no server, busy or not, could still send its first event in time. It also counts as
 /// late after it has waited for some time although a fast enough server exists: under sustained load, the
-/// fast servers may never have a free slot for it.
+/// fast servers may never have a free slot for it. A retried request (slot_request::previous_refusals) always
+/// counts as late.
 slot_scheduler::deadline_state slot_scheduler::classify(const slot_request& request, time_point now) const {
     const auto waited = now - request.arrived;
     if (request.previous_refusals > 0 ||
--- a/src/policy/slot_scheduler.hpp
+++ b/src/policy/slot_scheduler.hpp
@@ -33,8 +33,9 @@
     unsigned max_lowest_tier_on_small_server = 5;
     /// Maximum wait of a request before it is refused, as a multiple of its latency target.
     double max_wait_in_targets = 1.5;
-    /// Maximum wait of a retried request, as a multiple of its latency target. A retried request is always
-    /// treated as late. Callers of streams that wait for longer than this give up by themselves.
+    /// Maximum wait of a retried request (slot_request::previous_refusals above 0: its caller sends it again
+    /// after a refusal), as a multiple of its latency target. A retried request is always treated as late.
+    /// Callers of streams that wait for longer than this give up by themselves.
     double max_wait_of_retry_in_targets = 2;
     /// A request is refused on arrival if its expected wait in the queue exceeds this multiple of its latency
     /// target, because it would be late by then: after 0.4 times its target, a request without a slot is
@@ -147,7 +148,7 @@
     };
     /// The queues of one service by tier, highest tier first.
     using service_queue = std::map<int, tier_state>;
-    /// The usable servers of one service.
+    /// The usable servers of one service: those that may get new requests, also while they are in a cooldown.
     struct server_pool {
         std::vector<slot_server*> servers;
         /// The elements of `servers` that have slots left, whether or not they are in a cooldown. Under load
@@ -176,9 +177,18 @@
     /// Whether a request belongs into the queue of requests that can still meet their target or into that of
     /// late requests.
     [[nodiscard]] deadline_state classify(const slot_request& request, time_point now) const;
-    /// All usable servers of a service.
+    /// All usable servers of a service, also those in a cooldown.
     [[nodiscard]] slot_servers servers_of(service_key service) const;
     [[nodiscard]] double max_outstanding(const slot_server& server, bool is_lowest) const;
+    // Four functions compute whether a server has room, and differ in what they consider:
+    // - slot_server::has_free_slot(): only whether fewer requests run than this process's share of the
+    //   server's slots. No place in the server's own queue, no reserved slots, not the server's health.
+    // - slots_left(): how many more requests fit into this process's share, including places in the server's
+    //   own queue, less the slots reserved for higher tiers if the request is of the lowest one. Not the
+    //   server's health.
+    // - available_slots(): slots_left(), but 0 during a cooldown, and at most one probe request after it.
+    // - can_take_request(): available_slots() for the tier of the queue; for a late request also
+    //   has_free_slot().
     [[nodiscard]] double slots_left(const slot_server& server, bool is_lowest) const;
     [[nodiscard]] double available_slots(const slot_server& server, bool is_lowest, time_point now) const;
     void update_with_room(slot_server& server);
