--- a/src/gateway/peer_exchange.hpp
+++ b/src/gateway/peer_exchange.hpp
@@ -24,10 +24,10 @@
 /// for longer than the store usually takes to deliver the change, it fetches the newer one from a peer over
 /// HTTP.
 class peer_exchange {
+public:
     /// `local` is the TCP address to listen on; peers are reached on the same port. `is_store_available`
     /// returns whether the store answers this gateway, `relies_on_peers` whether this gateway learns of
     /// changes from peers only.
-public:
     peer_exchange(boost::asio::any_io_executor executor, const boost::asio::ip::tcp::endpoint& local,
                   configuration_manager& configuration, backend_roster& backends,
                   std::function<bool()> is_store_available, std::function<bool()> relies_on_peers);
--- a/src/gateway/store_follower.hpp
+++ b/src/gateway/store_follower.hpp
@@ -34,8 +34,10 @@
         std::function<void(const store::row_page&)> on_all;
         /// One change, of the same era as the rows last passed to on_all.
         std::function<void(const store::row_change&)> on_change;
-        /// The store couldn't be reached, refused a request, or hasn't confirmed the held state for too long.
-        /// Called on each failed or overdue call.
+        /// Called on each failed call, that is when the store couldn't be reached or refused the call, and
+        /// each time that a poll is repeated because the held state hasn't been confirmed for too long. The
+        /// latter also happens when only confirmations of other gateways are missing, while the store may be
+        /// available to this gateway.
         std::function<void()> on_outage;
         /// Returns the position up to which all changes are known from another source, for instance another
         /// gateway. Version 0: no changes are known, but the store is in that era.
