--- a/src/coordination/message.hpp
+++ b/src/coordination/message.hpp
@@ -15,7 +15,8 @@
 
 namespace borageford::coordination {
 
-/// The status of its sender that every datagram contains.
+/// The status of its sender that every datagram contains. policy::member_status is the part of it that the
+/// election of the coordinator uses.
 struct member_status {
     std::uint64_t incarnation = 0; ///< a random number that identifies this run of the process
     bool is_acting = false;        ///< the sender coordinates
@@ -24,8 +25,9 @@
     double processor_share = 1;    ///< processors that the sender may use
     unsigned members = 0;          ///< members that the sender counts, itself included
     std::uint64_t configuration_version = 0;
-    store::position backends;      ///< the last change to the table of backend servers that the sender knows
-    bool is_in_touch = false;      ///< the store answers the sender
+    store::position backends; ///< the last change to the table of backend servers that the sender knows
+    /// The sender polls the store for itself, the store answered its last polls, and no answer is overdue.
+    bool is_in_touch = false;
     policy::domain_key domain = 0; ///< failure domain of the sender and of its slot requests
     /// When the store last confirmed the sender's copies of the configuration and of the table of backend
     /// servers, in ms of the store's clock in the era of `backends`; 0: not known.
@@ -48,11 +50,13 @@
 /// The items that one side of a session sends to the other. The receiver processes a batch as a unit, list by
 /// list in this order.
 struct batch_items {
-    std::vector<policy::server_report> reports;   ///< sent with the first batches of a session only
-    std::vector<slot_hold> holds;                 ///< occupied slots, sent to a new coordinator
-    std::vector<policy::slot_request> asks;       ///< requests for slots, sent to a coordinator
+    std::vector<policy::server_report> reports; ///< sent with the first batches of a session only
+    /// The sender's requests that already occupy slots, sent to a new coordinator.
+    std::vector<slot_hold> holds;
+    /// The sender's requests that need slots, sent to a coordinator.
+    std::vector<policy::slot_request> asks;
     std::vector<policy::slot_ticket> withdrawals; ///< slot requests that are no longer needed
-    std::vector<policy::slot_release> releases;   ///< slots that requests have left, sent to a coordinator
+    std::vector<policy::slot_release> releases;   ///< ended requests with their slots, sent to a coordinator
     std::vector<policy::slot_grant> grants;       ///< sent by a coordinator
     std::vector<policy::slot_refusal> refusals;   ///< sent by a coordinator
 
