--- a/src/policy/placement.hpp
+++ b/src/policy/placement.hpp
@@ -1,4 +1,5 @@
-// Chooses the backend servers that a request is offered to. A setting selects the policy.
+// Chooses the backend servers that a request is offered to. A setting selects the policy. Used by entries,
+// which offer requests to the sidecars of the servers; gateways choose servers with slot_choice.
 #pragma once
 
 #include "policy/late_binding.hpp"
--- a/src/policy/retry_budget.hpp
+++ b/src/policy/retry_budget.hpp
@@ -1,5 +1,5 @@
 // Limits the retries of an entry process to a fraction of the first attempts, so that a failure doesn't cause
-// a retry storm.
+// a retry storm. Used by entries, which place requests at sidecars; gateways use server_retry_budget.
 #pragma once
 
 namespace borageford::policy {
--- a/src/policy/server_retry_budget.hpp
+++ b/src/policy/server_retry_budget.hpp
@@ -1,5 +1,5 @@
 // Limits how often requests are sent to a second backend server, so that retries don't overload a service
-// that is already failing.
+// that is already failing. Used by gateways, as part of granting slots; entries use retry_budget.
 #pragma once
 
 #include "policy/slot_request.hpp"
--- a/src/policy/slot_choice.hpp
+++ b/src/policy/slot_choice.hpp
@@ -1,4 +1,5 @@
-// Chooses a backend server for a request among those that have room for it.
+// Chooses a backend server for a request among those that have room for it. Used by gateways, as part of
+// slot_scheduler; entries choose servers with placement.
 #pragma once
 
 #include "policy/slot_server.hpp"
--- a/src/store/store_error.hpp
+++ b/src/store/store_error.hpp
@@ -1,4 +1,5 @@
-// The error of a call to the platform, with what it means for a write.
+// The error of a call to the platform's store (see store/table.hpp) or to its object store, with what it
+// means for a write.
 #pragma once
 
 #include <cstdint>
@@ -13,7 +14,7 @@
     unknown, ///< the write was sent but not answered; the caller has to read the data to find out
 };
 
-/// Thrown when a call fails: an outage of the platform, a rate limit, a timeout, a lost or an unexpected
+/// Thrown when a call fails: an outage of the called store, a rate limit, a timeout, a lost or an unexpected
 /// answer.
 class store_error : public std::runtime_error {
 public:
--- a/src/store/table.hpp
+++ b/src/store/table.hpp
@@ -1,4 +1,7 @@
-// Client of the platform's transactional table, for the format that the deployment uses.
+// Client of the store, which is the transactional key-value store that the platform provides, for the format
+// that the deployment uses. The class `table` stands for all rows of the store. The argument `table_name` and
+// comments such as "the table of backend servers" mean a part of them: all rows whose keys start with
+// "TABLE/".
 #pragma once
 
 #include "store/deployed_format.hpp"
