--- a/src/gateway/backend_call.cpp
+++ b/src/gateway/backend_call.cpp
@@ -184,8 +184,8 @@
     if (how == net::connection_end::failed) {
         m_server->record_connection_failure();
     }
-    const bool has_left = m_connection->sent_bytes() > m_sent_before;
-    const auto failure = has_left ? call_failure::unknown : call_failure::unreachable;
+    const bool has_sent_bytes = m_connection->sent_bytes() > m_sent_before;
+    const auto failure = has_sent_bytes ? call_failure::unknown : call_failure::unreachable;
     if (how == net::connection_end::failed || !m_has_reported_head) {
         fail(failure,
              how == net::connection_end::failed ? "the connection failed" : "closed without an answer");
--- a/src/gateway/request_exchange.cpp
+++ b/src/gateway/request_exchange.cpp
@@ -194,7 +194,7 @@
         // The coordinator may not have read that the server is draining, for instance while the store refuses
         // the coordinator's requests.
         fail_attempt(policy::attempt_outcome::unreachable, policy::slot_outcome::refused,
-                     "the server is leaving");
+                     "the server is draining");
     } else {
         send_to(std::move(server));
     }
