--- a/src/coordination/message.hpp
+++ b/src/coordination/message.hpp
@@ -26,7 +26,8 @@
     unsigned members = 0;          ///< members that the sender counts, itself included
     std::uint64_t configuration_version = 0;
     store::position backends; ///< the last change to the table of backend servers that the sender knows
-    /// The sender polls the store for itself, the store answered its last polls, and no answer is overdue.
+    /// The sender polls the store for itself, the store answered its last polls, and the sender's copies were
+    /// confirmed recently. (A sender that relies on other gateways reports false.)
     bool is_in_touch = false;
     policy::domain_key domain = 0; ///< failure domain of the sender and of its slot requests
     /// When the store last confirmed the sender's copies of the configuration and of the table of backend
