--- a/src/policy/slot_scheduler.cpp
+++ b/src/policy/slot_scheduler.cpp
@@ -136,13 +136,13 @@
         {request.ticket, refusal_reason::overloaded, wait, why.needed_seconds, why.available_seconds});
 }
 
-slot_scheduler::request_queue& slot_scheduler::queue_of(tier_state& tier, deadline_state state) noexcept {
-    return state == deadline_state::in_time ? tier.in_time : tier.late;
+slot_scheduler::request_queue& slot_scheduler::queue_of(tier_state& tier, target_state state) noexcept {
+    return state == target_state::in_time ? tier.in_time : tier.late;
 }
 
 void slot_scheduler::add(const slot_request& request, time_point now) {
     auto& tier = m_queues[request.service][request.tier];
-    if (classify(request, now) == deadline_state::late) {
+    if (classify(request, now) == target_state::late) {
         enqueue_late(tier, request, now);
     } else {
         enqueue_in_time(tier, request, now);
@@ -161,10 +161,10 @@
         refuse(tier, request, {expected, max_wait}, now);
         return;
     }
-    enqueue(tier, request, deadline_state::in_time);
+    enqueue(tier, request, target_state::in_time);
 }
 
-void slot_scheduler::enqueue(tier_state& tier, const slot_request& request, deadline_state state) {
+void slot_scheduler::enqueue(tier_state& tier, const slot_request& request, target_state state) {
     const queue_key key{request.arrived, request.ticket};
     queue_of(tier, state).requests.emplace(key, request);
     m_waiting[request.ticket] = {request.service, request.tier, state, key};
@@ -180,7 +180,7 @@
         refuse(tier, request, {expected, left}, now);
         return;
     }
-    enqueue(tier, request, deadline_state::late);
+    enqueue(tier, request, target_state::late);
 }
 
 void slot_scheduler::move_to_late_queue(tier_state& tier, request_map::iterator waiting, time_point now) {
@@ -194,7 +194,7 @@
     auto& requests = tier.in_time.requests;
     for (auto waiting = requests.begin(); waiting != requests.end();) {
         const auto next = std::next(waiting);
-        if (classify(waiting->second, now) == deadline_state::in_time) {
+        if (classify(waiting->second, now) == target_state::in_time) {
             return;
         }
         move_to_late_queue(tier, waiting, now);
@@ -332,7 +332,7 @@
 /// still meet their target would have to wait behind the late one.
 bool slot_scheduler::can_take_request(const slot_server& server, const grant_terms& terms,
                                       time_point now) const {
-    const bool can_use_slot = terms.state == deadline_state::in_time || server.has_free_slot(m_limits.share);
+    const bool can_use_slot = terms.state == target_state::in_time || server.has_free_slot(m_limits.share);
     return can_use_slot && available_slots(server, terms.is_lowest, now) >= 1;
 }
 
@@ -357,14 +357,14 @@
 /// late after it has waited for some time although a fast enough server exists: under sustained load, the
 /// fast servers may never have a free slot for it. A retried request (slot_request::previous_refusals) always
 /// counts as late.
-slot_scheduler::deadline_state slot_scheduler::classify(const slot_request& request, time_point now) const {
+slot_scheduler::target_state slot_scheduler::classify(const slot_request& request, time_point now) const {
     const auto waited = now - request.arrived;
     if (request.previous_refusals > 0 ||
         waited > from_seconds(to_seconds(request.target) * wait_for_fast_server)) {
-        return deadline_state::late;
+        return target_state::late;
     }
-    return can_meet_target(request, servers_of(request.service), now) ? deadline_state::in_time
-                                                                      : deadline_state::late;
+    return can_meet_target(request, servers_of(request.service), now) ? target_state::in_time
+                                                                      : target_state::late;
 }
 
 slot_servers slot_scheduler::servers_of(service_key service) const {
@@ -400,7 +400,7 @@
     for (auto waiting = queue.requests.begin();
          waiting != queue.requests.end() && !available.empty() && grants.size() < enough;) {
         const auto next = std::next(waiting);
-        const bool is_in_time = terms.state == deadline_state::in_time;
+        const bool is_in_time = terms.state == target_state::in_time;
         auto* server = choose_server(waiting->second, {available, all, is_in_time, now});
         if (server != nullptr) {
             start(queue, waiting, *server, now, grants);
@@ -440,7 +440,7 @@
     }
     std::ranges::sort(ranks, {}, [&](int rank) { return floor.share(rank, now); });
     for (const auto rank : ranks) {
-        for (const auto state : {deadline_state::in_time, deadline_state::late}) {
+        for (const auto state : {target_state::in_time, target_state::late}) {
             const auto missing = floor.slots_below_minimum(rank, ranks.size(), now);
             if (missing > 0) {
                 grant_from_queue(service, tiers.at(rank), {state, false, missing}, now, grants);
@@ -480,8 +480,8 @@
         grant_minimum_shares(service, tiers, now, grants);
         for (auto& [rank, tier] : tiers) {
             const bool is_lowest = tiers.size() > 1 && rank == tiers.rbegin()->first;
-            grant_from_queue(service, tier, {deadline_state::in_time, is_lowest}, now, grants);
-            grant_from_queue(service, tier, {deadline_state::late, is_lowest}, now, grants);
+            grant_from_queue(service, tier, {target_state::in_time, is_lowest}, now, grants);
+            grant_from_queue(service, tier, {target_state::late, is_lowest}, now, grants);
         }
     }
     return grants;
--- a/src/policy/slot_scheduler.hpp
+++ b/src/policy/slot_scheduler.hpp
@@ -158,13 +158,14 @@
         std::size_t next = 0; ///< index in `with_room` after which the next search starts
     };
     using available_servers = std::vector<slot_server*>;
-    /// The queue of its tier in which a request waits.
-    enum class deadline_state { in_time, late };
+    /// Whether a request can still meet its latency target, which chooses the queue of its tier in which it
+    /// waits.
+    enum class target_state { in_time, late };
     /// Where a waiting request is queued.
     struct queue_location {
         service_key service = 0;
         int tier = 0;
-        deadline_state state = deadline_state::in_time;
+        target_state state = target_state::in_time;
         queue_key key;
     };
     struct running_request {
@@ -176,7 +177,7 @@
     };
     /// Whether a request belongs into the queue of requests that can still meet their target or into that of
     /// late requests.
-    [[nodiscard]] deadline_state classify(const slot_request& request, time_point now) const;
+    [[nodiscard]] target_state classify(const slot_request& request, time_point now) const;
     /// All usable servers of a service, also those in a cooldown.
     [[nodiscard]] slot_servers servers_of(service_key service) const;
     [[nodiscard]] double max_outstanding(const slot_server& server, bool is_lowest) const;
@@ -194,7 +195,7 @@
     void update_with_room(slot_server& server);
     /// Restrictions on the grants to one queue.
     struct grant_terms {
-        deadline_state state = deadline_state::in_time;
+        target_state state = target_state::in_time;
         bool is_lowest = false; ///< the queue is of the lowest tier, which leaves some slots free
         std::size_t max_grants = std::numeric_limits<std::size_t>::max();
     };
@@ -203,7 +204,7 @@
     [[nodiscard]] available_servers find_available(service_key service, const grant_terms& terms,
                                                    time_point now);
     void remove_from_pool(slot_server& server);
-    [[nodiscard]] static request_queue& queue_of(tier_state& tier, deadline_state state) noexcept;
+    [[nodiscard]] static request_queue& queue_of(tier_state& tier, target_state state) noexcept;
     void start(request_queue& queue, request_map::iterator waiting, slot_server& server, time_point now,
                std::vector<slot_grant>& grants);
     void grant_from_queue(service_key service, tier_state& tier, grant_terms terms, time_point now,
@@ -214,7 +215,7 @@
                               std::vector<slot_grant>& grants);
     [[nodiscard]] slot_floor& floor_of(service_key service);
     [[nodiscard]] duration max_wait_of(const slot_request& request) const;
-    void enqueue(tier_state& tier, const slot_request& request, deadline_state state);
+    void enqueue(tier_state& tier, const slot_request& request, target_state state);
     void enqueue_in_time(tier_state& tier, const slot_request& request, time_point now);
     void enqueue_late(tier_state& tier, const slot_request& request, time_point now);
     void move_to_late_queue(tier_state& tier, request_map::iterator waiting, time_point now);
