--- a/src/gateway/gateway_process.cpp
+++ b/src/gateway/gateway_process.cpp
@@ -80,7 +80,7 @@
           m_exchange(
               m_runtime.executor(), m_settings.peers_listen, m_configuration_manager, m_roster,
               [this] { return is_store_available(); },
-              [this] { return current_role() == policy::follower_role::passive; }),
+              [this] { return current_role() == policy::poll_role::passive; }),
           m_configuration_follower(m_runtime.executor(), m_runtime.timers(), m_table,
                                    current_deployment.configuration_table, make_poll_schedule(),
                                    make_configuration_handlers()),
@@ -257,20 +257,20 @@
 
     /// Returns the role for the configuration's table. A gateway that relies on others needs nothing from the
     /// store until they report a newer version; then it reads that from the store itself.
-    [[nodiscard]] policy::follower_role configuration_role() const {
+    [[nodiscard]] policy::poll_role configuration_role() const {
         const auto role = current_role();
         const bool is_behind =
-            role == policy::follower_role::passive && m_exchange.has_peer_with_newer_configuration();
-        return is_behind ? policy::follower_role::fallback : role;
+            role == policy::poll_role::passive && m_exchange.has_peer_with_newer_configuration();
+        return is_behind ? policy::poll_role::fallback : role;
     }
 
     [[nodiscard]] policy::poll_schedule make_poll_schedule() const {
         return {std::min(m_settings.configuration_limit, m_settings.drain_limit), draw_fraction()};
     }
 
-    [[nodiscard]] policy::follower_role current_role() const {
+    [[nodiscard]] policy::poll_role current_role() const {
         if (m_slots.source() == coordination::slot_source::own_coordination) {
-            return policy::follower_role::confirmer;
+            return policy::poll_role::confirmer;
         }
         return m_follower_choice.choose(m_slots.is_candidate(), m_slots.reported_members(),
                                         std::chrono::steady_clock::now());
--- a/src/gateway/store_follower.cpp
+++ b/src/gateway/store_follower.cpp
@@ -111,11 +111,11 @@
 
 /// Waits while this gateway relies on others, then skips the changes that they have reported in the meantime.
 asio::awaitable<void> store_follower::wait_while_relying() {
-    m_relies_on_others = m_handlers.read_role() == policy::follower_role::passive;
+    m_relies_on_others = m_handlers.read_role() == policy::poll_role::passive;
     if (!m_relies_on_others) {
         co_return;
     }
-    while (m_handlers.read_role() == policy::follower_role::passive) {
+    while (m_handlers.read_role() == policy::poll_role::passive) {
         co_await pause(m_timers, role_check_period);
     }
     m_relies_on_others = false;
@@ -231,7 +231,7 @@
 void store_follower::repeat_if_due(change_poll& poll) {
     const auto now = clock::now();
     const auto role = m_handlers.read_role();
-    const bool relies_on_others = role == policy::follower_role::passive;
+    const bool relies_on_others = role == policy::poll_role::passive;
     const bool is_stale = m_schedule.is_stale(role, m_confirmation.age(now));
     if (relies_on_others || !is_stale || now - m_poll->repeated_at < m_schedule.repeat_delay(role)) {
         return;
--- a/src/gateway/store_follower.hpp
+++ b/src/gateway/store_follower.hpp
@@ -4,7 +4,7 @@
 
 #include "base/timer_service.hpp"
 #include "policy/confirmation.hpp"
-#include "policy/follower_role.hpp"
+#include "policy/poll_role.hpp"
 #include "policy/poll_schedule.hpp"
 #include "store/repeated_poll.hpp"
 #include "store/table.hpp"
@@ -23,7 +23,7 @@
 namespace borageford::gateway {
 
 /// Runs on one executor, from start() until the process ends. Whether it polls the store or relies on other
-/// gateways depends on its role, see policy::follower_role.
+/// gateways depends on its role, see policy::poll_role.
 class store_follower {
 public:
     using clock = std::chrono::steady_clock;
@@ -43,7 +43,7 @@
         /// gateway. Version 0: no changes are known, but the store is in that era.
         std::function<store::position()> known_position;
         /// Returns the current role, which decides whether and how often this gateway polls the store.
-        std::function<policy::follower_role()> read_role;
+        std::function<policy::poll_role()> read_role;
     };
 
     store_follower(boost::asio::any_io_executor executor, timer_service& timers, store::table& table,
--- a/src/policy/follower_role.hpp
+++ b/src/policy/poll_role.hpp
@@ -1,4 +1,6 @@
-// Chooses which gateways poll the store for changes and which learn of changes from other gateways.
+// Chooses which gateways poll the store for changes and which learn of changes from other gateways. Every
+// gateway has a gateway::store_follower for each table that it copies, whatever its role: the role decides
+// whether and how often the store_follower polls.
 #pragma once
 
 #include "policy/time.hpp"
@@ -8,22 +10,25 @@
 
 namespace borageford::policy {
 
-/// Role of a gateway for a table of the store.
-enum class follower_role {
+/// Role of a gateway for a table of the store. In every role the gateway reads all rows at its start.
+enum class poll_role {
     /// All other gateways receive announcements from this gateway. It polls often, so that the store confirms
     /// the known version.
     confirmer,
-    /// Other gateways depend on this gateway. It polls, and polls again soon when an answer is missing.
-    follower,
-    passive, ///< Announcements arrive from a gateway that the store answers, and report all changes.
+    /// Other gateways depend on this gateway too. It polls, but less often than the confirmer while nothing
+    /// changes, and polls again soon when an answer is missing.
+    poller,
+    /// The gateway doesn't poll. Announcements arrive from a gateway that the store answers, and report all
+    /// changes.
+    passive,
     /// No such announcements arrive. The gateway polls for itself, but not so often that hundreds of gateways
     /// overload a store in trouble.
     fallback,
 };
 
 /// Whether other gateways depend on the announcements of a gateway with this role.
-[[nodiscard]] constexpr bool is_relied_on(follower_role role) noexcept {
-    return role == follower_role::confirmer || role == follower_role::follower;
+[[nodiscard]] constexpr bool is_relied_on(poll_role role) noexcept {
+    return role == poll_role::confirmer || role == poll_role::poller;
 }
 
 /// Chooses the role of this gateway. Some gateways poll the store and announce which versions exist to all
@@ -47,14 +52,13 @@
     /// Returns the role at this time. `is_candidate`: all other gateways send heartbeats to this one.
     /// `members`: number of members that the coordinator counts; 0 when unknown, in which case this gateway
     /// polls.
-    [[nodiscard]] follower_role choose(bool is_candidate, std::size_t members,
-                                       time_point now) const noexcept {
+    [[nodiscard]] poll_role choose(bool is_candidate, std::size_t members, time_point now) const noexcept {
         if (is_candidate || m_draw * static_cast<double>(members) < m_mean_followers) {
-            return follower_role::follower;
+            return poll_role::poller;
         }
         const bool has_recent_announcement =
             m_last_announcement != time_point::min() && now - m_last_announcement <= announcement_timeout;
-        return has_recent_announcement ? follower_role::passive : follower_role::fallback;
+        return has_recent_announcement ? poll_role::passive : poll_role::fallback;
     }
 
 private:
--- a/src/policy/poll_schedule.hpp
+++ b/src/policy/poll_schedule.hpp
@@ -1,7 +1,7 @@
 // Schedules the long polls of the store: how long the store may hold one open, and when to poll again.
 #pragma once
 
-#include "policy/follower_role.hpp"
+#include "policy/poll_role.hpp"
 #include "policy/time.hpp"
 
 #include <algorithm>
@@ -25,11 +25,11 @@
 
     /// How long the store may hold the next poll open. `age`: time since the gateway's copy was last
     /// confirmed.
-    [[nodiscard]] duration wait(follower_role role, duration age) const noexcept {
+    [[nodiscard]] duration wait(poll_role role, duration age) const noexcept {
         if (is_stale(role, age)) {
             return duration::zero();
         }
-        if (role != follower_role::confirmer) {
+        if (role != poll_role::confirmer) {
             return max_wait;
         }
         return std::clamp<duration>(share(confirmation_interval) - age, duration::zero(), max_wait);
@@ -37,9 +37,9 @@
 
     /// Whether the last confirmation is so old that the gateway must poll before it relies on its copy any
     /// longer.
-    [[nodiscard]] bool is_stale(follower_role role, duration age) const noexcept {
+    [[nodiscard]] bool is_stale(poll_role role, duration age) const noexcept {
         const auto timeout_of_others = share(min_timeout_of_others) + random_share(timeout_spread_of_others);
-        return age > (role == follower_role::confirmer ? share(confirmer_timeout) : timeout_of_others);
+        return age > (role == poll_role::confirmer ? share(confirmer_timeout) : timeout_of_others);
     }
 
     /// Whether the last confirmation is recent enough for other gateways to rely on it.
@@ -49,7 +49,7 @@
     [[nodiscard]] duration longest_gap() const noexcept { return share(confirmer_timeout); }
 
     /// How long to wait for the answer to a poll that the store should answer at once before polling again.
-    [[nodiscard]] duration repeat_delay(follower_role role) const noexcept {
+    [[nodiscard]] duration repeat_delay(poll_role role) const noexcept {
         const auto delay = share(min_repeat_delay) + random_share(repeat_delay_spread);
         return is_relied_on(role) ? delay : delay * repeat_factor_of_others;
     }
--- a/tests/unit/test_policy_follower_duty.cpp
+++ b/tests/unit/test_policy_follower_duty.cpp
@@ -1,7 +1,7 @@
 // Tests of follower_choice: which gateways poll the store, and which learn of changes from other gateways.
 // Also tests retained registrations that another gateway announced.
 #include "policy/coordinator_election.hpp"
-#include "policy/follower_role.hpp"
+#include "policy/poll_role.hpp"
 #include "policy/registration_watch.hpp"
 
 #include <catch2/catch.hpp>
@@ -34,7 +34,7 @@
         candidates += is_candidate ? 1 : 0;
         follower_choice choice(12, static_cast<double>(self - 1) / members);
         choice.record_announcement(start_time);
-        followers += choice.choose(is_candidate, members, start_time) == follower_role::follower ? 1 : 0;
+        followers += choice.choose(is_candidate, members, start_time) == poll_role::poller ? 1 : 0;
     }
     CHECK(candidates == 3);
     // The store may stop answering the candidates without an error, so other gateways must poll too.
@@ -46,9 +46,9 @@
           "[policy][follower_duty]") {
     follower_choice choice(12, 0.99);
     choice.record_announcement(start_time);
-    CHECK(choice.choose(false, 12, start_time) == follower_role::follower);
-    CHECK(choice.choose(false, 0, start_time) == follower_role::follower);
-    CHECK(choice.choose(false, 13, start_time) == follower_role::passive);
+    CHECK(choice.choose(false, 12, start_time) == poll_role::poller);
+    CHECK(choice.choose(false, 0, start_time) == poll_role::poller);
+    CHECK(choice.choose(false, 13, start_time) == poll_role::passive);
 }
 
 TEST_CASE("a gateway polls the store itself once no gateway announces that the store answers it",
@@ -57,11 +57,11 @@
     // would then never learn that a server has shut down.
     constexpr std::size_t members = 300;
     follower_choice choice(12, 0.5);
-    CHECK(choice.choose(false, members, start_time) == follower_role::fallback);
+    CHECK(choice.choose(false, members, start_time) == poll_role::fallback);
     choice.record_announcement(start_time);
-    CHECK(choice.choose(false, members, start_time + 500ms) == follower_role::passive);
-    CHECK(choice.choose(true, members, start_time + 500ms) == follower_role::follower);
-    CHECK(choice.choose(false, members, start_time + 2s) == follower_role::fallback);
+    CHECK(choice.choose(false, members, start_time + 500ms) == poll_role::passive);
+    CHECK(choice.choose(true, members, start_time + 500ms) == poll_role::poller);
+    CHECK(choice.choose(false, members, start_time + 2s) == poll_role::fallback);
 }
 
 TEST_CASE("a server that another gateway retains is removed here after the retention time",
--- a/tests/unit/test_policy_follower_pace.cpp
+++ b/tests/unit/test_policy_follower_pace.cpp
@@ -21,18 +21,18 @@
 TEST_CASE("the polls of one confirming gateway make polls by other gateways unnecessary",
           "[policy][follower_pace]") {
     const poll_schedule schedule(limit, 0);
-    const auto confirmed_every = schedule.wait(follower_role::confirmer, 0s);
-    CHECK_FALSE(schedule.is_stale(follower_role::confirmer, confirmed_every));
+    const auto confirmed_every = schedule.wait(poll_role::confirmer, 0s);
+    CHECK_FALSE(schedule.is_stale(poll_role::confirmer, confirmed_every));
     for (const double draw : {0.0, 0.5, 0.99}) {
         const poll_schedule other(limit, draw);
-        CHECK_FALSE(other.is_stale(follower_role::follower, confirmed_every + longest_way));
-        CHECK(other.wait(follower_role::follower, confirmed_every) >= 10 * limit);
+        CHECK_FALSE(other.is_stale(poll_role::poller, confirmed_every + longest_way));
+        CHECK(other.wait(poll_role::poller, confirmed_every) >= 10 * limit);
     }
 }
 
 TEST_CASE("a poll after a confirmation that is too old isn't held open", "[policy][follower_pace]") {
     // Guards against long polls in an outage, in which the store may lose the poll as well.
-    for (const auto role : {follower_role::confirmer, follower_role::follower, follower_role::fallback}) {
+    for (const auto role : {poll_role::confirmer, poll_role::poller, poll_role::fallback}) {
         const poll_schedule schedule(limit, 0.5);
         CHECK(schedule.is_stale(role, limit + limit / 4));
         CHECK(schedule.wait(role, limit + limit / 4) == 0s);
@@ -43,7 +43,7 @@
     // The store refuses polls that ask it to wait for more than 30 s. Guards against a coordinator whose
     // polls are all refused when the change limit is set to minutes.
     const poll_schedule schedule(1h, 0.5);
-    for (const auto role : {follower_role::confirmer, follower_role::follower, follower_role::fallback}) {
+    for (const auto role : {poll_role::confirmer, poll_role::poller, poll_role::fallback}) {
         CHECK(schedule.wait(role, 0s) <= 30s);
     }
 }
@@ -53,8 +53,8 @@
     // answer.
     for (const double draw : {0.0, 0.5, 0.99}) {
         const poll_schedule schedule(limit, draw);
-        CHECK(schedule.is_stale(follower_role::follower, limit + limit / 2));
-        CHECK(schedule.repeat_delay(follower_role::follower) <= limit / 2);
+        CHECK(schedule.is_stale(poll_role::poller, limit + limit / 2));
+        CHECK(schedule.repeat_delay(poll_role::poller) <= limit / 2);
     }
 }
 
@@ -63,9 +63,9 @@
     const poll_schedule first(limit, 0.1);
     const poll_schedule second(limit, 0.9);
     const auto between = limit * 17 / 20 + limit / 8;
-    CHECK(first.is_stale(follower_role::follower, between));
-    CHECK_FALSE(second.is_stale(follower_role::follower, between));
-    CHECK(first.repeat_delay(follower_role::follower) < second.repeat_delay(follower_role::follower));
+    CHECK(first.is_stale(poll_role::poller, between));
+    CHECK_FALSE(second.is_stale(poll_role::poller, between));
+    CHECK(first.repeat_delay(poll_role::poller) < second.repeat_delay(poll_role::poller));
 }
 
 TEST_CASE("a confirmation that gateways pass around doesn't count again", "[policy][confirmation]") {
--- a/tests/unit/test_store_follower.cpp
+++ b/tests/unit/test_store_follower.cpp
@@ -12,7 +12,7 @@
 
 using namespace borageford;
 using emulator::store_state;
-using policy::follower_role;
+using policy::poll_role;
 using namespace std::chrono_literals;
 
 namespace {
@@ -29,7 +29,7 @@
 /// An emulated store and one follower of it, both on the test's thread.
 class followed_table {
 public:
-    explicit followed_table(follower_role role) : m_role(role) {
+    explicit followed_table(poll_role role) : m_role(role) {
         write("first");
         m_follower.start();
         run_until([&] { return m_held == "first"; });
@@ -80,7 +80,7 @@
                 }};
     }
 
-    follower_role m_role;
+    poll_role m_role;
     store::position m_known;
     std::string m_held;
     int m_outages = 0;
@@ -98,7 +98,7 @@
 
 TEST_CASE("a change arrives although the store lost the open poll", "[gateway][store_follower]") {
     // Guards against keeping the previous configuration until the lost poll times out.
-    const auto role = GENERATE(follower_role::confirmer, follower_role::follower, follower_role::fallback);
+    const auto role = GENERATE(poll_role::confirmer, poll_role::poller, poll_role::fallback);
     followed_table table(role);
     table.lose_poll();
     table.store().set_state(store_state::available);
@@ -108,7 +108,7 @@
 
 TEST_CASE("a change arrives although the poll reached an unresponsive store", "[gateway][store_follower]") {
     // Here the poll itself is lost, since the store becomes unresponsive right after a change.
-    followed_table table(follower_role::follower);
+    followed_table table(poll_role::poller);
     table.write("second");
     table.run_until([&] { return table.held() == "second"; });
     table.store().set_state(store_state::silent);
@@ -121,7 +121,7 @@
 TEST_CASE("a store that stays unresponsive is reported as an outage", "[gateway][store_follower]") {
     // Guards against removing servers whose registrations vanished only because the store accepted no
     // heartbeats.
-    followed_table table(follower_role::follower);
+    followed_table table(poll_role::poller);
     table.lose_poll();
     table.run_until([&] { return !table.follower().is_in_touch(); });
     CHECK(table.outages() > 0);
@@ -132,7 +132,7 @@
 
 TEST_CASE("repeated polls are cancelled with the first answer", "[gateway][store_follower]") {
     // Guards against connections to the store that accumulate with each outage.
-    followed_table table(follower_role::follower);
+    followed_table table(poll_role::poller);
     table.lose_poll();
     table.run_until([&] { return table.store().unanswered() > 2; });
     table.store().set_state(store_state::available);
@@ -142,7 +142,7 @@
 
 TEST_CASE("a confirmation received by another gateway counts", "[gateway][store_follower]") {
     // Guards against one call from each gateway for each confirmation.
-    followed_table table(follower_role::follower);
+    followed_table table(poll_role::poller);
     table.lose_poll();
     table.run_until([&] { return !table.follower().is_current(); });
     table.report_confirmation(1); // a time of the store's clock long before its last answer
@@ -158,7 +158,7 @@
 TEST_CASE("a change arrives although its version was assigned before a restore",
           "[gateway][store_follower]") {
     // Guards against waiting for version numbers that a store restored from an older copy reaches only later.
-    followed_table table(follower_role::follower);
+    followed_table table(poll_role::poller);
     const auto copied_at = std::chrono::steady_clock::now();
     table.write("lost");
     table.run_until([&] { return table.held() == "lost"; });
@@ -171,7 +171,7 @@
 
 TEST_CASE("a position that the store no longer has is requested once", "[gateway][store_follower]") {
     // Guards against thousands of polls per second for a version that the restored store doesn't have.
-    followed_table table(follower_role::follower);
+    followed_table table(poll_role::poller);
     const auto copied_at = std::chrono::steady_clock::now();
     table.write("lost");
     table.write("lost too");
@@ -186,7 +186,7 @@
 
 TEST_CASE("an answer of a previous era is ignored", "[gateway][store_follower]") {
     // The answer was sent before the store was restored, on a connection opened before.
-    followed_table table(follower_role::follower);
+    followed_table table(poll_role::poller);
     table.set_known({first_era + 1, 0}); // another gateway has learned of the restore
     table.store().set_era_override(first_era);
     table.write("of the former era");
@@ -199,7 +199,7 @@
 
 TEST_CASE("a restore of the store ends its uninterrupted availability", "[gateway][store_follower]") {
     // Guards against reporting to other gateways that the store was available all the time.
-    followed_table table(follower_role::follower);
+    followed_table table(poll_role::poller);
     const auto returned = std::chrono::steady_clock::now();
     table.restore(returned);
     table.write("second");
