--- a/src/gateway/gateway_process.cpp
+++ b/src/gateway/gateway_process.cpp
@@ -202,7 +202,7 @@
         // store now.
         if (held.is_in_touch && held.backends.era >= m_roster.position().era) {
             m_roster.record_other_connected(held.unbroken);
-            m_follower_choice.record_announcement(std::chrono::steady_clock::now());
+            m_poll_role_choice.record_announcement(std::chrono::steady_clock::now());
         }
         // The confirmation only counts if the peer holds the same version: otherwise this gateway or the peer
         // is behind.
@@ -272,8 +272,8 @@
         if (m_slots.source() == coordination::slot_source::own_coordination) {
             return policy::poll_role::confirmer;
         }
-        return m_follower_choice.choose(m_slots.is_candidate(), m_slots.reported_members(),
-                                        std::chrono::steady_clock::now());
+        return m_poll_role_choice.choose(m_slots.is_candidate(), m_slots.reported_members(),
+                                         std::chrono::steady_clock::now());
     }
 
     void report_health(const policy::slot_scheduler::health_change& change) {
@@ -393,8 +393,8 @@
     http::server m_readiness;
     metrics_endpoint m_metrics_server;
     timer_subscription m_flush_timer;
-    policy::follower_choice m_follower_choice{static_cast<double>(m_settings.store_followers),
-                                              draw_fraction()};
+    policy::poll_role_choice m_poll_role_choice{static_cast<double>(m_settings.store_followers),
+                                                draw_fraction()};
 };
 
 } // namespace
--- a/src/policy/poll_role.hpp
+++ b/src/policy/poll_role.hpp
@@ -40,11 +40,11 @@
 /// changed, and no gateway would learn, for example, that a key was revoked. So some other gateways poll as
 /// well, each chosen by its own random draw. The coordinator receives heartbeats from every member, so what
 /// one of them learns soon reaches all.
-class follower_choice {
+class poll_role_choice {
 public:
     /// `others`: mean number of gateways besides the candidates that poll. `draw`: random number of this
     /// gateway in [0, 1).
-    follower_choice(double others, double draw) noexcept : m_mean_followers(others), m_draw(draw) {}
+    poll_role_choice(double others, double draw) noexcept : m_mean_pollers(others), m_draw(draw) {}
 
     /// An announcement arrived from a gateway that polls and that the store answers.
     void record_announcement(time_point now) noexcept { m_last_announcement = now; }
@@ -53,7 +53,7 @@
     /// `members`: number of members that the coordinator counts; 0 when unknown, in which case this gateway
     /// polls.
     [[nodiscard]] poll_role choose(bool is_candidate, std::size_t members, time_point now) const noexcept {
-        if (is_candidate || m_draw * static_cast<double>(members) < m_mean_followers) {
+        if (is_candidate || m_draw * static_cast<double>(members) < m_mean_pollers) {
             return poll_role::poller;
         }
         const bool has_recent_announcement =
@@ -66,7 +66,7 @@
     /// isn't mistaken for losing all.
     static constexpr std::chrono::milliseconds announcement_timeout{1000};
 
-    double m_mean_followers;
+    double m_mean_pollers;
     double m_draw;
     time_point m_last_announcement = time_point::min();
 };
--- a/tests/unit/test_policy_follower_duty.cpp
+++ b/tests/unit/test_policy_follower_duty.cpp
@@ -1,4 +1,4 @@
-// Tests of follower_choice: which gateways poll the store, and which learn of changes from other gateways.
+// Tests of poll_role_choice: which gateways poll the store, and which learn of changes from other gateways.
 // Also tests retained registrations that another gateway announced.
 #include "policy/coordinator_election.hpp"
 #include "policy/poll_role.hpp"
@@ -24,7 +24,7 @@
     // outage several calls per second from each.
     constexpr member_key members = 300;
     int candidates = 0;
-    int followers = 0;
+    int pollers = 0;
     for (member_key self = 1; self <= members; ++self) {
         coordinator_election election(self, 0.2, {}, start_time);
         for (member_key other = 1; other <= members; ++other) {
@@ -32,19 +32,19 @@
         }
         const bool is_candidate = election.is_candidate(start_time);
         candidates += is_candidate ? 1 : 0;
-        follower_choice choice(12, static_cast<double>(self - 1) / members);
+        poll_role_choice choice(12, static_cast<double>(self - 1) / members);
         choice.record_announcement(start_time);
-        followers += choice.choose(is_candidate, members, start_time) == poll_role::poller ? 1 : 0;
+        pollers += choice.choose(is_candidate, members, start_time) == poll_role::poller ? 1 : 0;
     }
     CHECK(candidates == 3);
     // The store may stop answering the candidates without an error, so other gateways must poll too.
-    CHECK(followers >= 12);
-    CHECK(followers <= 15);
+    CHECK(pollers >= 12);
+    CHECK(pollers <= 15);
 }
 
 TEST_CASE("every gateway polls the store when there are few gateways or their number is unknown",
           "[policy][follower_duty]") {
-    follower_choice choice(12, 0.99);
+    poll_role_choice choice(12, 0.99);
     choice.record_announcement(start_time);
     CHECK(choice.choose(false, 12, start_time) == poll_role::poller);
     CHECK(choice.choose(false, 0, start_time) == poll_role::poller);
@@ -56,7 +56,7 @@
     // The polling gateways may be disconnected, or the store may refuse only them. The remaining gateways
     // would then never learn that a server has shut down.
     constexpr std::size_t members = 300;
-    follower_choice choice(12, 0.5);
+    poll_role_choice choice(12, 0.5);
     CHECK(choice.choose(false, members, start_time) == poll_role::fallback);
     choice.record_announcement(start_time);
     CHECK(choice.choose(false, members, start_time + 500ms) == poll_role::passive);
