--- a/src/gateway/gateway_process.cpp
+++ b/src/gateway/gateway_process.cpp
@@ -215,12 +215,14 @@
     }
 
     [[nodiscard]] bool is_store_available() const {
-        return m_configuration_follower.is_in_touch() && m_backend_follower.is_in_touch();
+        return m_configuration_follower.is_polling_answering_store() &&
+               m_backend_follower.is_polling_answering_store();
     }
 
-    /// Returns whether to report to other gateways that the store answers this one. An overdue answer doesn't
-    /// count.
-    [[nodiscard]] bool is_in_touch() const {
+    /// Returns whether to report to other gateways that the store answers this one, as
+    /// coordination::member_status::is_in_touch. Besides is_store_available(), the last confirmations must be
+    /// recent.
+    [[nodiscard]] bool should_announce_store() const {
         return is_store_available() && m_configuration_follower.is_current() &&
                m_backend_follower.is_current();
     }
@@ -228,7 +230,7 @@
     [[nodiscard]] coordination::slot_broker::versions held_versions() const {
         return {m_configuration_manager.version(),
                 m_roster.position(),
-                is_in_touch(),
+                should_announce_store(),
                 recent_confirmation(m_configuration_follower),
                 recent_confirmation(m_backend_follower),
                 std::chrono::duration_cast<milliseconds>(m_backend_follower.unbroken())};
--- a/src/gateway/store_follower.cpp
+++ b/src/gateway/store_follower.cpp
@@ -155,7 +155,7 @@
 }
 
 void store_follower::record_loss(std::string_view reason) {
-    m_is_in_touch = false;
+    m_is_store_answering = false;
     m_confirmation.record_failure(clock::now());
     if (!m_lost_since.has_value()) {
         m_lost_since = clock::now();
@@ -171,7 +171,7 @@
 }
 
 void store_follower::record_recovery(store::position at) {
-    m_is_in_touch = true;
+    m_is_store_answering = true;
     m_failures = 0;
     if (!m_lost_since.has_value()) {
         return;
@@ -216,7 +216,8 @@
     // After an outage the first poll doesn't wait for a change, to learn soon whether the store is back.
     const auto age = m_confirmation.age(clock::now());
     record_poll_start();
-    start_poll(poll, m_is_in_touch ? m_schedule.wait(m_handlers.read_role(), age) : clock::duration::zero());
+    start_poll(poll,
+               m_is_store_answering ? m_schedule.wait(m_handlers.read_role(), age) : clock::duration::zero());
     const auto watch = m_timers.every(m_executor, repeat_check_period, [&] { repeat_if_due(poll); });
     co_return co_await poll.first_answer();
 }
--- a/src/gateway/store_follower.hpp
+++ b/src/gateway/store_follower.hpp
@@ -63,13 +63,15 @@
     }
 
     /// Returns whether this gateway polls the store and the store answered the last call.
-    [[nodiscard]] bool is_in_touch() const noexcept { return m_is_in_touch && !m_relies_on_others; }
+    [[nodiscard]] bool is_polling_answering_store() const noexcept {
+        return m_is_store_answering && !m_relies_on_others;
+    }
     /// Returns when the held state was last confirmed, to this gateway or to another one.
     [[nodiscard]] clock::time_point confirmed_at() const noexcept { return m_confirmation.confirmed_at(); }
     /// Returns for how long the store has answered without interruption, as far as this gateway can tell;
     /// zero while it isn't polled or doesn't answer.
     [[nodiscard]] clock::duration unbroken() const {
-        return is_in_touch() ? m_confirmation.unbroken(clock::now()) : clock::duration::zero();
+        return is_polling_answering_store() ? m_confirmation.unbroken(clock::now()) : clock::duration::zero();
     }
     /// Returns whether the held state was confirmed recently, to this gateway or to another one.
     [[nodiscard]] bool is_current() const { return m_schedule.is_current(m_confirmation.age(clock::now())); }
@@ -121,7 +123,7 @@
     /// never decreases.
     store::position m_position;
     store::position m_dropped_history; ///< The store has dropped the history after this position.
-    bool m_is_in_touch = false;
+    bool m_is_store_answering = false; ///< The last call was answered, and no poll has become overdue since.
     /// Whether changes are currently learned from other gateways, and the store isn't polled.
     bool m_relies_on_others = false;
     unsigned m_failures = 0; ///< Failed calls since the last answer.
--- a/tests/unit/test_store_follower.cpp
+++ b/tests/unit/test_store_follower.cpp
@@ -123,11 +123,12 @@
     // heartbeats.
     followed_table table(poll_role::poller);
     table.lose_poll();
-    table.run_until([&] { return !table.follower().is_in_touch(); });
+    table.run_until([&] { return !table.follower().is_polling_answering_store(); });
     CHECK(table.outages() > 0);
     CHECK_FALSE(table.follower().is_current());
     table.store().set_state(store_state::available);
-    table.run_until([&] { return table.follower().is_in_touch() && table.follower().is_current(); });
+    table.run_until(
+        [&] { return table.follower().is_polling_answering_store() && table.follower().is_current(); });
 }
 
 TEST_CASE("repeated polls are cancelled with the first answer", "[gateway][store_follower]") {
@@ -137,7 +138,7 @@
     table.run_until([&] { return table.store().unanswered() > 2; });
     table.store().set_state(store_state::available);
     table.run_until([&] { return table.store().unanswered() == 0; });
-    CHECK(table.follower().is_in_touch());
+    CHECK(table.follower().is_polling_answering_store());
 }
 
 TEST_CASE("a confirmation received by another gateway counts", "[gateway][store_follower]") {
@@ -190,11 +191,11 @@
     table.set_known({first_era + 1, 0}); // another gateway has learned of the restore
     table.store().set_era_override(first_era);
     table.write("of the former era");
-    table.run_until([&] { return !table.follower().is_in_touch(); });
+    table.run_until([&] { return !table.follower().is_polling_answering_store(); });
     CHECK(table.held() == "first");
     table.store().set_era_override(first_era + 1);
     table.run_until([&] { return table.held() == "of the former era"; });
-    CHECK(table.follower().is_in_touch());
+    CHECK(table.follower().is_polling_answering_store());
 }
 
 TEST_CASE("a restore of the store ends its uninterrupted availability", "[gateway][store_follower]") {
