--- a/src/policy/slot_scheduler.cpp
+++ b/src/policy/slot_scheduler.cpp
@@ -432,18 +432,18 @@
 void slot_scheduler::grant_minimum_shares(service_key service, service_queue& tiers, time_point now,
                                           std::vector<slot_grant>& grants) {
     auto& floor = floor_of(service);
-    std::vector<int> ranks;
-    for (const auto& [rank, tier] : tiers) {
-        if (rank != tiers.begin()->first && needs_minimum_share(tier, now)) {
-            ranks.push_back(rank);
+    std::vector<int> tier_numbers;
+    for (const auto& [tier_number, tier] : tiers) {
+        if (tier_number != tiers.begin()->first && needs_minimum_share(tier, now)) {
+            tier_numbers.push_back(tier_number);
         }
     }
-    std::ranges::sort(ranks, {}, [&](int rank) { return floor.share(rank, now); });
-    for (const auto rank : ranks) {
+    std::ranges::sort(tier_numbers, {}, [&](int tier_number) { return floor.share(tier_number, now); });
+    for (const auto tier_number : tier_numbers) {
         for (const auto state : {target_state::in_time, target_state::late}) {
-            const auto missing = floor.slots_below_minimum(rank, ranks.size(), now);
+            const auto missing = floor.slots_below_minimum(tier_number, tier_numbers.size(), now);
             if (missing > 0) {
-                grant_from_queue(service, tiers.at(rank), {state, false, missing}, now, grants);
+                grant_from_queue(service, tiers.at(tier_number), {state, false, missing}, now, grants);
             }
         }
     }
@@ -474,12 +474,12 @@
     std::vector<slot_grant> grants;
     refuse_overdue(now);
     for (auto& [service, tiers] : m_queues) {
-        for (auto& [rank, tier] : tiers) {
+        for (auto& [tier_number, tier] : tiers) {
             move_late_requests(tier, now);
         }
         grant_minimum_shares(service, tiers, now, grants);
-        for (auto& [rank, tier] : tiers) {
-            const bool is_lowest = tiers.size() > 1 && rank == tiers.rbegin()->first;
+        for (auto& [tier_number, tier] : tiers) {
+            const bool is_lowest = tiers.size() > 1 && tier_number == tiers.rbegin()->first;
             grant_from_queue(service, tier, {target_state::in_time, is_lowest}, now, grants);
             grant_from_queue(service, tier, {target_state::late, is_lowest}, now, grants);
         }
