--- a/src/coordination/slot_broker.cpp
+++ b/src/coordination/slot_broker.cpp
@@ -455,7 +455,7 @@
         if (m_source != slot_source::own_coordination) {
             use_local_source(slot_source::own_coordination);
         }
-    } else if (choice.who == role::other && m_election.is_acting_member(choice.member)) {
+    } else if (choice.who == role::other && m_election.has_reported_acting(choice.member)) {
         const bool is_attached = m_source == slot_source::coordinator &&
                                  m_coordinating_member == choice.member && !has_session_timed_out(now);
         if (!is_attached) {
--- a/src/policy/coordinator_election.cpp
+++ b/src/policy/coordinator_election.cpp
@@ -104,7 +104,7 @@
            now - found->second.last_heartbeat <= m_limits.response_timeout;
 }
 
-bool coordinator_election::is_acting_member(member_key member) const {
+bool coordinator_election::has_reported_acting(member_key member) const {
     const auto found = m_members.find(member);
     return found != m_members.end() && found->second.status.is_acting;
 }
@@ -156,7 +156,7 @@
         preference found{own_fitness(now), share, !m_is_acting, key};
         if (!is_self) {
             const auto& status = m_members.at(key).status;
-            found.is_idle = !status.is_acting;
+            found.is_not_acting = !status.is_acting;
             found.fit = status.is_leaving    ? fitness::leaving
                         : status.is_eligible ? fitness::ready
                                              : fitness::on_probation;
--- a/src/policy/coordinator_election.hpp
+++ b/src/policy/coordinator_election.hpp
@@ -81,7 +81,11 @@
     /// called every 50 ms: a gap of more than 200 ms between two calls means that this process was suspended.
     void tick(time_point now);
 
-    /// Sets whether this process acts as coordinator, which it reports to the other members.
+    // Three statements about who coordinates, which may differ for a while: is_chosen() computes from the
+    // current heartbeats whether this process should coordinate; set_acting() says whether it does; and
+    // has_reported_acting() is what another member last said about itself.
+
+    /// Sets whether this process acts as coordinator. choose() prefers the acting coordinator among equals.
     void set_acting(bool is_acting) noexcept { m_is_acting = is_acting; }
     /// Marks this process as about to stop.
     void leave() noexcept { m_is_shutting_down = true; }
@@ -90,8 +94,8 @@
     /// Chooses among the first `election_limits::candidates` members that aren't absent. Returns
     /// `role::nobody` when none of them is responsive, or while this process waits for its first heartbeat.
     [[nodiscard]] choice choose(time_point now) const;
-    /// Whether choose() returns this process.
-    [[nodiscard]] bool is_acting(time_point now) const { return choose(now).who == role::self; }
+    /// Whether choose() returns this process, whether or not it acts as coordinator already.
+    [[nodiscard]] bool is_chosen(time_point now) const { return choose(now).who == role::self; }
     /// Whether this process has passed its probation and isn't about to stop.
     [[nodiscard]] bool is_eligible(time_point now) const;
 
@@ -112,7 +116,7 @@
     /// Whether the member has sent a heartbeat within `election_limits::response_timeout`.
     [[nodiscard]] bool is_responsive(member_key member, time_point now) const;
     /// Whether the member reported in its last heartbeat that it coordinates.
-    [[nodiscard]] bool is_acting_member(member_key member) const;
+    [[nodiscard]] bool has_reported_acting(member_key member) const;
 
 private:
     struct member {
@@ -141,7 +145,7 @@
     struct preference {
         fitness fit;
         long negative_share;
-        bool is_idle;
+        bool is_not_acting; ///< it doesn't act as coordinator now
         member_key key;
         auto operator<=>(const preference&) const = default;
     };
--- a/tests/unit/test_coordination.cpp
+++ b/tests/unit/test_coordination.cpp
@@ -68,7 +68,7 @@
         for (const auto end = m_now + span; m_now < end; m_now += tick) {
             for (auto& [key, election] : m_members) {
                 election.tick(m_now);
-                election.set_acting(election.is_acting(m_now));
+                election.set_acting(election.is_chosen(m_now));
             }
             for (auto& [key, election] : m_members) {
                 for (const auto other : election.candidates(m_now)) {
@@ -92,7 +92,7 @@
     /// Number of members that consider themselves the coordinator.
     [[nodiscard]] long coordinators() const {
         return std::ranges::count_if(m_members,
-                                     [this](const auto& entry) { return entry.second.is_acting(m_now); });
+                                     [this](const auto& entry) { return entry.second.is_chosen(m_now); });
     }
 
 private:
@@ -106,7 +106,7 @@
     }
 
     void send_status(const coordinator_election& from, member_key key, coordinator_election& to) const {
-        to.record_heartbeat(key, {0.19, from.is_acting(m_now), from.is_eligible(m_now), from.is_leaving()},
+        to.record_heartbeat(key, {0.19, from.is_chosen(m_now), from.is_eligible(m_now), from.is_leaving()},
                             m_now);
         for (const auto learned : from.known(m_now)) {
             to.learn(learned, m_now);
