--- a/src/coordination/slot_broker.cpp
+++ b/src/coordination/slot_broker.cpp
@@ -61,7 +61,7 @@
       m_incarnation(identifier::random().low),
       m_self(key_of(settings.local.address())),
       m_election(m_self, settings.processor_share, settings.election, clock::now()),
-      m_coordinator(settings.slots, settings.allowances, settings.repeats) {}
+      m_coordinator(settings.slots, settings.quotas, settings.repeats) {}
 
 void slot_broker::start() {
     m_socket.emplace(m_executor, m_settings.local,
@@ -112,11 +112,11 @@
 }
 
 void slot_broker::set_quota(policy::workspace_key workspace, policy::quota limit) {
-    m_coordinator.allowances().set_limit(workspace, limit, clock::now());
+    m_coordinator.quotas().set_limit(workspace, limit, clock::now());
 }
 
 void slot_broker::remove_quota(policy::workspace_key workspace) {
-    m_coordinator.allowances().remove(workspace);
+    m_coordinator.quotas().remove(workspace);
 }
 
 policy::slot_ticket slot_broker::next_ticket() noexcept {
--- a/src/coordination/slot_broker.hpp
+++ b/src/coordination/slot_broker.hpp
@@ -42,7 +42,7 @@
     std::chrono::milliseconds coordinator_patience{400};
     policy::election_limits election;
     policy::slot_scheduler_limits slots;
-    policy::quota_limits allowances;
+    policy::quota_limits quotas;
     policy::server_retry_limits repeats;
 };
 
--- a/src/coordination/slot_coordinator.cpp
+++ b/src/coordination/slot_coordinator.cpp
@@ -21,9 +21,9 @@
 
 } // namespace
 
-slot_coordinator::slot_coordinator(policy::slot_scheduler_limits slots, policy::quota_limits allowances,
+slot_coordinator::slot_coordinator(policy::slot_scheduler_limits slots, policy::quota_limits quotas,
                                    policy::server_retry_limits repeats)
-    : m_scheduler(slots), m_quotas(allowances), m_retry_budget(repeats) {}
+    : m_scheduler(slots), m_quotas(quotas), m_retry_budget(repeats) {}
 
 void slot_coordinator::set_shares(double slots, double limits, policy::time_point now) {
     m_scheduler.set_share(slots);
--- a/src/coordination/slot_coordinator.hpp
+++ b/src/coordination/slot_coordinator.hpp
@@ -19,12 +19,12 @@
 /// tickets of different members differ.
 class slot_coordinator {
 public:
-    slot_coordinator(policy::slot_scheduler_limits slots, policy::quota_limits allowances,
+    slot_coordinator(policy::slot_scheduler_limits slots, policy::quota_limits quotas,
                      policy::server_retry_limits repeats);
 
     [[nodiscard]] policy::slot_scheduler& scheduler() noexcept { return m_scheduler; }
     [[nodiscard]] const policy::slot_scheduler& scheduler() const noexcept { return m_scheduler; }
-    [[nodiscard]] policy::quota_tracker& allowances() noexcept { return m_quotas; }
+    [[nodiscard]] policy::quota_tracker& quotas() noexcept { return m_quotas; }
 
     /// Sets the shares that this process may grant, each from 0 to 1: `slots` of all slots, `limits` of the
     /// quotas and of the retry budget.
--- a/src/gateway/gateway_process.cpp
+++ b/src/gateway/gateway_process.cpp
@@ -170,8 +170,8 @@
         result.coordinates = m_settings.coordinates;
         result.coordinator_patience = m_settings.coordinator_patience;
         result.slots = m_settings.slots;
-        result.allowances.window = m_settings.allowance_window;
-        result.allowances.slack = m_settings.allowance_slack;
+        result.quotas.window = m_settings.allowance_window;
+        result.quotas.slack = m_settings.allowance_slack;
         result.repeats = {m_settings.retry_ratio, m_settings.retry_reserve, m_settings.retry_window};
         return result;
     }
--- a/tests/unit/test_coordination.cpp
+++ b/tests/unit/test_coordination.cpp
@@ -458,7 +458,7 @@
 TEST_CASE("a request that didn't run is not charged to its workspace", "[coordination]") {
     slot_coordinator coordinator({}, {.window = 8s, .tolerance = 0, .slack = 0}, {});
     coordinator.scheduler().set_server(51, 7, 8);
-    coordinator.allowances().set_limit(9, {.rate = 100, .burst = 150}, start_time);
+    coordinator.quotas().set_limit(9, {.rate = 100, .burst = 150}, start_time);
     const auto now = start_time + 10s;
     const auto request = [&](slot_ticket ticket) {
         auto items = make_items(ticket);
--- a/tests/unit/test_slot_broker.cpp
+++ b/tests/unit/test_slot_broker.cpp
@@ -121,7 +121,7 @@
         broker_settings settings;
         settings.local = {asio::ip::make_address("127.0.0.1"), m_other.port()};
         settings.coordinator_patience = 1h;
-        settings.allowances.slack = 60000;
+        settings.quotas.slack = 60000;
         return settings;
     }
     static slot_broker::observers make_observers() {
