--- a/src/coordination/slot_broker.cpp
+++ b/src/coordination/slot_broker.cpp
@@ -61,7 +61,7 @@
       m_incarnation(identifier::random().low),
       m_self(key_of(settings.local.address())),
       m_election(m_self, settings.processor_share, settings.election, clock::now()),
-      m_coordinator(settings.slots, settings.quotas, settings.repeats) {}
+      m_coordinator(settings.slots, settings.quotas, settings.retries) {}
 
 void slot_broker::start() {
     m_socket.emplace(m_executor, m_settings.local,
--- a/src/coordination/slot_broker.hpp
+++ b/src/coordination/slot_broker.hpp
@@ -43,7 +43,7 @@
     policy::election_limits election;
     policy::slot_scheduler_limits slots;
     policy::quota_limits quotas;
-    policy::server_retry_limits repeats;
+    policy::server_retry_limits retries;
 };
 
 /// Who grants slots to the requests of this process.
--- a/src/coordination/slot_coordinator.cpp
+++ b/src/coordination/slot_coordinator.cpp
@@ -22,8 +22,8 @@
 } // namespace
 
 slot_coordinator::slot_coordinator(policy::slot_scheduler_limits slots, policy::quota_limits quotas,
-                                   policy::server_retry_limits repeats)
-    : m_scheduler(slots), m_quotas(quotas), m_retry_budget(repeats) {}
+                                   policy::server_retry_limits retries)
+    : m_scheduler(slots), m_quotas(quotas), m_retry_budget(retries) {}
 
 void slot_coordinator::set_shares(double slots, double limits, policy::time_point now) {
     m_scheduler.set_share(slots);
--- a/src/coordination/slot_coordinator.hpp
+++ b/src/coordination/slot_coordinator.hpp
@@ -20,7 +20,7 @@
 class slot_coordinator {
 public:
     slot_coordinator(policy::slot_scheduler_limits slots, policy::quota_limits quotas,
-                     policy::server_retry_limits repeats);
+                     policy::server_retry_limits retries);
 
     [[nodiscard]] policy::slot_scheduler& scheduler() noexcept { return m_scheduler; }
     [[nodiscard]] const policy::slot_scheduler& scheduler() const noexcept { return m_scheduler; }
--- a/src/gateway/gateway_process.cpp
+++ b/src/gateway/gateway_process.cpp
@@ -172,7 +172,7 @@
         result.slots = m_settings.slots;
         result.quotas.window = m_settings.allowance_window;
         result.quotas.slack = m_settings.allowance_slack;
-        result.repeats = {m_settings.retry_ratio, m_settings.retry_reserve, m_settings.retry_window};
+        result.retries = {m_settings.retry_ratio, m_settings.retry_reserve, m_settings.retry_window};
         return result;
     }
 
