--- a/src/events/event_kind.cpp
+++ b/src/events/event_kind.cpp
@@ -75,10 +75,10 @@
                       "A roll-out entered another phase; the fields give how many answers of the new version "
                       "were evaluated, and how many of these were bad.",
                       "service software phase answers bad"},
-    event_description{
-        event_kind::rollout_not_recorded, "rollout_not_recorded", warning, state_rate,
-        "The outcome of a roll-out couldn't be written to the store; the write will be retried.",
-        "service reason"},
+    event_description{event_kind::rollout_not_recorded, "rollout_not_recorded", warning, state_rate,
+                      "The state of a roll-out couldn't be recorded in the store, because its row couldn't "
+                      "be read or written; this will be retried.",
+                      "service reason"},
     event_description{event_kind::backend_ready, "backend_ready", info, state_rate,
                       "A backend server accepts requests.",
                       "backend service address slots start era version"},
