--- a/src/coordination/slot_broker.cpp
+++ b/src/coordination/slot_broker.cpp
@@ -30,7 +30,7 @@
 /// Maximum number of server reports at the start of a session. They fill a few datagrams, so that hundreds of
 /// members that attach at the same time don't saturate the network link of a small machine.
 constexpr std::size_t max_initial_reports = 64;
-/// The upper half of a ticket is taken from the incarnation of the process, the lower half is a counter.
+/// The position of the incarnation's bits in a ticket; see policy::slot_ticket.
 constexpr unsigned ticket_shift = 32;
 
 /// The key of a member is its IPv4 address; 0 for an IPv6 address, which has no key.
@@ -61,7 +61,7 @@
       m_incarnation(identifier::random().low),
       m_self(key_of(settings.local.address())),
       m_election(m_self, settings.processor_share, settings.election, clock::now()),
-      m_coordinator(settings.slots, settings.allowances, settings.repeats) {}
+      m_coordinator(settings.slots, settings.quotas, settings.retries) {}
 
 void slot_broker::start() {
     m_socket.emplace(m_executor, m_settings.local,
@@ -112,11 +112,11 @@
 }
 
 void slot_broker::set_quota(policy::workspace_key workspace, policy::quota limit) {
-    m_coordinator.allowances().set_limit(workspace, limit, clock::now());
+    m_coordinator.quotas().set_limit(workspace, limit, clock::now());
 }
 
 void slot_broker::remove_quota(policy::workspace_key workspace) {
-    m_coordinator.allowances().remove(workspace);
+    m_coordinator.quotas().remove(workspace);
 }
 
 policy::slot_ticket slot_broker::next_ticket() noexcept {
@@ -455,7 +455,7 @@
         if (m_source != slot_source::own_coordination) {
             use_local_source(slot_source::own_coordination);
         }
-    } else if (choice.who == role::other && m_election.is_acting_member(choice.member)) {
+    } else if (choice.who == role::other && m_election.has_reported_acting(choice.member)) {
         const bool is_attached = m_source == slot_source::coordinator &&
                                  m_coordinating_member == choice.member && !has_session_timed_out(now);
         if (!is_attached) {
--- a/src/coordination/slot_coordinator.hpp
+++ b/src/coordination/slot_coordinator.hpp
@@ -15,16 +15,16 @@
 
 namespace borageford::coordination {
 
-/// The ids of slot requests (tickets) are unique among all members, because each member has its own range of
-/// them.
+/// The requests of all members are told apart by their tickets alone; see policy::slot_ticket for how far
+/// tickets of different members differ.
 class slot_coordinator {
 public:
-    slot_coordinator(policy::slot_scheduler_limits slots, policy::quota_limits allowances,
-                     policy::server_retry_limits repeats);
+    slot_coordinator(policy::slot_scheduler_limits slots, policy::quota_limits quotas,
+                     policy::server_retry_limits retries);
 
     [[nodiscard]] policy::slot_scheduler& scheduler() noexcept { return m_scheduler; }
     [[nodiscard]] const policy::slot_scheduler& scheduler() const noexcept { return m_scheduler; }
-    [[nodiscard]] policy::quota_tracker& allowances() noexcept { return m_quotas; }
+    [[nodiscard]] policy::quota_tracker& quotas() noexcept { return m_quotas; }
 
     /// Sets the shares that this process may grant, each from 0 to 1: `slots` of all slots, `limits` of the
     /// quotas and of the retry budget.
--- a/src/gateway/gateway_process.cpp
+++ b/src/gateway/gateway_process.cpp
@@ -80,7 +80,7 @@
           m_exchange(
               m_runtime.executor(), m_settings.peers_listen, m_configuration_manager, m_roster,
               [this] { return is_store_available(); },
-              [this] { return current_role() == policy::follower_role::passive; }),
+              [this] { return current_role() == policy::poll_role::passive; }),
           m_configuration_follower(m_runtime.executor(), m_runtime.timers(), m_table,
                                    current_deployment.configuration_table, make_poll_schedule(),
                                    make_configuration_handlers()),
@@ -170,9 +170,9 @@
         result.coordinates = m_settings.coordinates;
         result.coordinator_patience = m_settings.coordinator_patience;
         result.slots = m_settings.slots;
-        result.allowances.window = m_settings.allowance_window;
-        result.allowances.slack = m_settings.allowance_slack;
-        result.repeats = {m_settings.retry_ratio, m_settings.retry_reserve, m_settings.retry_window};
+        result.quotas.window = m_settings.allowance_window;
+        result.quotas.slack = m_settings.allowance_slack;
+        result.retries = {m_settings.retry_ratio, m_settings.retry_reserve, m_settings.retry_window};
         return result;
     }
 
@@ -202,7 +202,7 @@
         // store now.
         if (held.is_in_touch && held.backends.era >= m_roster.position().era) {
             m_roster.record_other_connected(held.unbroken);
-            m_follower_choice.record_announcement(std::chrono::steady_clock::now());
+            m_poll_role_choice.record_announcement(std::chrono::steady_clock::now());
         }
         // The confirmation only counts if the peer holds the same version: otherwise this gateway or the peer
         // is behind.
@@ -215,12 +215,14 @@
     }
 
     [[nodiscard]] bool is_store_available() const {
-        return m_configuration_follower.is_in_touch() && m_backend_follower.is_in_touch();
+        return m_configuration_follower.is_polling_answering_store() &&
+               m_backend_follower.is_polling_answering_store();
     }
 
-    /// Returns whether to report to other gateways that the store answers this one. An overdue answer doesn't
-    /// count.
-    [[nodiscard]] bool is_in_touch() const {
+    /// Returns whether to report to other gateways that the store answers this one, as
+    /// coordination::member_status::is_in_touch. Besides is_store_available(), the last confirmations must be
+    /// recent.
+    [[nodiscard]] bool should_announce_store() const {
         return is_store_available() && m_configuration_follower.is_current() &&
                m_backend_follower.is_current();
     }
@@ -228,7 +230,7 @@
     [[nodiscard]] coordination::slot_broker::versions held_versions() const {
         return {m_configuration_manager.version(),
                 m_roster.position(),
-                is_in_touch(),
+                should_announce_store(),
                 recent_confirmation(m_configuration_follower),
                 recent_confirmation(m_backend_follower),
                 std::chrono::duration_cast<milliseconds>(m_backend_follower.unbroken())};
@@ -257,23 +259,23 @@
 
     /// Returns the role for the configuration's table. A gateway that relies on others needs nothing from the
     /// store until they report a newer version; then it reads that from the store itself.
-    [[nodiscard]] policy::follower_role configuration_role() const {
+    [[nodiscard]] policy::poll_role configuration_role() const {
         const auto role = current_role();
         const bool is_behind =
-            role == policy::follower_role::passive && m_exchange.has_peer_with_newer_configuration();
-        return is_behind ? policy::follower_role::fallback : role;
+            role == policy::poll_role::passive && m_exchange.has_peer_with_newer_configuration();
+        return is_behind ? policy::poll_role::fallback : role;
     }
 
     [[nodiscard]] policy::poll_schedule make_poll_schedule() const {
         return {std::min(m_settings.configuration_limit, m_settings.drain_limit), draw_fraction()};
     }
 
-    [[nodiscard]] policy::follower_role current_role() const {
+    [[nodiscard]] policy::poll_role current_role() const {
         if (m_slots.source() == coordination::slot_source::own_coordination) {
-            return policy::follower_role::confirmer;
+            return policy::poll_role::confirmer;
         }
-        return m_follower_choice.choose(m_slots.is_candidate(), m_slots.reported_members(),
-                                        std::chrono::steady_clock::now());
+        return m_poll_role_choice.choose(m_slots.is_candidate(), m_slots.reported_members(),
+                                         std::chrono::steady_clock::now());
     }
 
     void report_health(const policy::slot_scheduler::health_change& change) {
@@ -393,8 +395,8 @@
     http::server m_readiness;
     metrics_endpoint m_metrics_server;
     timer_subscription m_flush_timer;
-    policy::follower_choice m_follower_choice{static_cast<double>(m_settings.store_followers),
-                                              draw_fraction()};
+    policy::poll_role_choice m_poll_role_choice{static_cast<double>(m_settings.store_followers),
+                                                draw_fraction()};
 };
 
 } // namespace
--- a/src/gateway/store_follower.hpp
+++ b/src/gateway/store_follower.hpp
@@ -4,7 +4,7 @@
 
 #include "base/timer_service.hpp"
 #include "policy/confirmation.hpp"
-#include "policy/follower_role.hpp"
+#include "policy/poll_role.hpp"
 #include "policy/poll_schedule.hpp"
 #include "store/repeated_poll.hpp"
 #include "store/table.hpp"
@@ -23,7 +23,7 @@
 namespace borageford::gateway {
 
 /// Runs on one executor, from start() until the process ends. Whether it polls the store or relies on other
-/// gateways depends on its role, see policy::follower_role.
+/// gateways depends on its role, see policy::poll_role.
 class store_follower {
 public:
     using clock = std::chrono::steady_clock;
@@ -34,14 +34,16 @@
         std::function<void(const store::row_page&)> on_all;
         /// One change, of the same era as the rows last passed to on_all.
         std::function<void(const store::row_change&)> on_change;
-        /// The store couldn't be reached, refused a request, or hasn't confirmed the held state for too long.
-        /// Called on each failed or overdue call.
+        /// Called on each failed call, that is when the store couldn't be reached or refused the call, and
+        /// each time that a poll is repeated because the held state hasn't been confirmed for too long. The
+        /// latter also happens when only confirmations of other gateways are missing, while the store may be
+        /// available to this gateway.
         std::function<void()> on_outage;
         /// Returns the position up to which all changes are known from another source, for instance another
         /// gateway. Version 0: no changes are known, but the store is in that era.
         std::function<store::position()> known_position;
         /// Returns the current role, which decides whether and how often this gateway polls the store.
-        std::function<policy::follower_role()> read_role;
+        std::function<policy::poll_role()> read_role;
     };
 
     store_follower(boost::asio::any_io_executor executor, timer_service& timers, store::table& table,
@@ -61,13 +63,15 @@
     }
 
     /// Returns whether this gateway polls the store and the store answered the last call.
-    [[nodiscard]] bool is_in_touch() const noexcept { return m_is_in_touch && !m_relies_on_others; }
+    [[nodiscard]] bool is_polling_answering_store() const noexcept {
+        return m_is_store_answering && !m_relies_on_others;
+    }
     /// Returns when the held state was last confirmed, to this gateway or to another one.
     [[nodiscard]] clock::time_point confirmed_at() const noexcept { return m_confirmation.confirmed_at(); }
     /// Returns for how long the store has answered without interruption, as far as this gateway can tell;
     /// zero while it isn't polled or doesn't answer.
     [[nodiscard]] clock::duration unbroken() const {
-        return is_in_touch() ? m_confirmation.unbroken(clock::now()) : clock::duration::zero();
+        return is_polling_answering_store() ? m_confirmation.unbroken(clock::now()) : clock::duration::zero();
     }
     /// Returns whether the held state was confirmed recently, to this gateway or to another one.
     [[nodiscard]] bool is_current() const { return m_schedule.is_current(m_confirmation.age(clock::now())); }
@@ -119,7 +123,7 @@
     /// never decreases.
     store::position m_position;
     store::position m_dropped_history; ///< The store has dropped the history after this position.
-    bool m_is_in_touch = false;
+    bool m_is_store_answering = false; ///< The last call was answered, and no poll has become overdue since.
     /// Whether changes are currently learned from other gateways, and the store isn't polled.
     bool m_relies_on_others = false;
     unsigned m_failures = 0; ///< Failed calls since the last answer.
--- a/src/policy/slot_scheduler.hpp
+++ b/src/policy/slot_scheduler.hpp
@@ -33,8 +33,9 @@
     unsigned max_lowest_tier_on_small_server = 5;
     /// Maximum wait of a request before it is refused, as a multiple of its latency target.
     double max_wait_in_targets = 1.5;
-    /// Maximum wait of a retried request, as a multiple of its latency target. A retried request is always
-    /// treated as late. Callers of streams that wait for longer than this give up by themselves.
+    /// Maximum wait of a retried request (slot_request::previous_refusals above 0: its caller sends it again
+    /// after a refusal), as a multiple of its latency target. A retried request is always treated as late.
+    /// Callers of streams that wait for longer than this give up by themselves.
     double max_wait_of_retry_in_targets = 2;
     /// A request is refused on arrival if its expected wait in the queue exceeds this multiple of its latency
     /// target, because it would be late by then: after 0.4 times its target, a request without a slot is
@@ -147,7 +148,7 @@
     };
     /// The queues of one service by tier, highest tier first.
     using service_queue = std::map<int, tier_state>;
-    /// The usable servers of one service.
+    /// The usable servers of one service: those that may get new requests, also while they are in a cooldown.
     struct server_pool {
         std::vector<slot_server*> servers;
         /// The elements of `servers` that have slots left, whether or not they are in a cooldown. Under load
@@ -157,13 +158,14 @@
         std::size_t next = 0; ///< index in `with_room` after which the next search starts
     };
     using available_servers = std::vector<slot_server*>;
-    /// The queue of its tier in which a request waits.
-    enum class deadline_state { in_time, late };
+    /// Whether a request can still meet its latency target, which chooses the queue of its tier in which it
+    /// waits.
+    enum class target_state { in_time, late };
     /// Where a waiting request is queued.
     struct queue_location {
         service_key service = 0;
         int tier = 0;
-        deadline_state state = deadline_state::in_time;
+        target_state state = target_state::in_time;
         queue_key key;
     };
     struct running_request {
@@ -175,16 +177,25 @@
     };
     /// Whether a request belongs into the queue of requests that can still meet their target or into that of
     /// late requests.
-    [[nodiscard]] deadline_state classify(const slot_request& request, time_point now) const;
-    /// All usable servers of a service.
+    [[nodiscard]] target_state classify(const slot_request& request, time_point now) const;
+    /// All usable servers of a service, also those in a cooldown.
     [[nodiscard]] slot_servers servers_of(service_key service) const;
     [[nodiscard]] double max_outstanding(const slot_server& server, bool is_lowest) const;
+    // Four functions compute whether a server has room, and differ in what they consider:
+    // - slot_server::has_free_slot(): only whether fewer requests run than this process's share of the
+    //   server's slots. No place in the server's own queue, no reserved slots, not the server's health.
+    // - slots_left(): how many more requests fit into this process's share, including places in the server's
+    //   own queue, less the slots reserved for higher tiers if the request is of the lowest one. Not the
+    //   server's health.
+    // - available_slots(): slots_left(), but 0 during a cooldown, and at most one probe request after it.
+    // - can_take_request(): available_slots() for the tier of the queue; for a late request also
+    //   has_free_slot().
     [[nodiscard]] double slots_left(const slot_server& server, bool is_lowest) const;
     [[nodiscard]] double available_slots(const slot_server& server, bool is_lowest, time_point now) const;
     void update_with_room(slot_server& server);
     /// Restrictions on the grants to one queue.
     struct grant_terms {
-        deadline_state state = deadline_state::in_time;
+        target_state state = target_state::in_time;
         bool is_lowest = false; ///< the queue is of the lowest tier, which leaves some slots free
         std::size_t max_grants = std::numeric_limits<std::size_t>::max();
     };
@@ -193,7 +204,7 @@
     [[nodiscard]] available_servers find_available(service_key service, const grant_terms& terms,
                                                    time_point now);
     void remove_from_pool(slot_server& server);
-    [[nodiscard]] static request_queue& queue_of(tier_state& tier, deadline_state state) noexcept;
+    [[nodiscard]] static request_queue& queue_of(tier_state& tier, target_state state) noexcept;
     void start(request_queue& queue, request_map::iterator waiting, slot_server& server, time_point now,
                std::vector<slot_grant>& grants);
     void grant_from_queue(service_key service, tier_state& tier, grant_terms terms, time_point now,
@@ -204,7 +215,7 @@
                               std::vector<slot_grant>& grants);
     [[nodiscard]] slot_floor& floor_of(service_key service);
     [[nodiscard]] duration max_wait_of(const slot_request& request) const;
-    void enqueue(tier_state& tier, const slot_request& request, deadline_state state);
+    void enqueue(tier_state& tier, const slot_request& request, target_state state);
     void enqueue_in_time(tier_state& tier, const slot_request& request, time_point now);
     void enqueue_late(tier_state& tier, const slot_request& request, time_point now);
     void move_to_late_queue(tier_state& tier, request_map::iterator waiting, time_point now);
--- a/tests/unit/test_coordination.cpp
+++ b/tests/unit/test_coordination.cpp
@@ -68,7 +68,7 @@
         for (const auto end = m_now + span; m_now < end; m_now += tick) {
             for (auto& [key, election] : m_members) {
                 election.tick(m_now);
-                election.set_acting(election.is_acting(m_now));
+                election.set_acting(election.is_chosen(m_now));
             }
             for (auto& [key, election] : m_members) {
                 for (const auto other : election.candidates(m_now)) {
@@ -92,7 +92,7 @@
     /// Number of members that consider themselves the coordinator.
     [[nodiscard]] long coordinators() const {
         return std::ranges::count_if(m_members,
-                                     [this](const auto& entry) { return entry.second.is_acting(m_now); });
+                                     [this](const auto& entry) { return entry.second.is_chosen(m_now); });
     }
 
 private:
@@ -106,7 +106,7 @@
     }
 
     void send_status(const coordinator_election& from, member_key key, coordinator_election& to) const {
-        to.record_heartbeat(key, {0.19, from.is_acting(m_now), from.is_eligible(m_now), from.is_leaving()},
+        to.record_heartbeat(key, {0.19, from.is_chosen(m_now), from.is_eligible(m_now), from.is_leaving()},
                             m_now);
         for (const auto learned : from.known(m_now)) {
             to.learn(learned, m_now);
@@ -458,7 +458,7 @@
 TEST_CASE("a request that didn't run is not charged to its workspace", "[coordination]") {
     slot_coordinator coordinator({}, {.window = 8s, .tolerance = 0, .slack = 0}, {});
     coordinator.scheduler().set_server(51, 7, 8);
-    coordinator.allowances().set_limit(9, {.rate = 100, .burst = 150}, start_time);
+    coordinator.quotas().set_limit(9, {.rate = 100, .burst = 150}, start_time);
     const auto now = start_time + 10s;
     const auto request = [&](slot_ticket ticket) {
         auto items = make_items(ticket);
