--- a/tests/failure/test_gateway_store_restore.cpp
+++ b/tests/failure/test_gateway_store_restore.cpp
@@ -43,7 +43,7 @@
 } // namespace
 
 TEST_CASE("gateway: a server that drains after a restore of the store gets no new requests",
-          "[gateway][store_return]") {
+          "[gateway][store_restore]") {
     // Guards against a version number that was assigned twice, which made the draining server's row look old.
     gateway_site site(plain_site(2));
     const auto copied_at = clock::now();
@@ -63,7 +63,7 @@
 }
 
 TEST_CASE("gateway: a server that drained before a restore of the store isn't used again",
-          "[gateway][store_return]") {
+          "[gateway][store_restore]") {
     gateway_site site(plain_site(2));
     const auto copied_at = clock::now();
     site.register_backend(0, "draining");
@@ -79,7 +79,7 @@
 }
 
 TEST_CASE("gateway: a key that was revoked just before a restore of the store stays revoked",
-          "[gateway][store_return]") {
+          "[gateway][store_restore]") {
     // The copy still has the document in which the key is valid.
     auto options = plain_site(1, 2);
     const auto base = options.configuration;
@@ -106,7 +106,7 @@
     }
 }
 
-TEST_CASE("gateway: a gateway that missed a restore of the store catches up", "[gateway][store_return]") {
+TEST_CASE("gateway: a gateway that missed a restore of the store catches up", "[gateway][store_restore]") {
     gateway_site site(plain_site(2, 3));
     const auto copied_at = clock::now();
     for (int index = 0; index < 3; ++index) {
@@ -124,7 +124,7 @@
 }
 
 TEST_CASE("gateway: every gateway follows two restores of the store in quick succession",
-          "[gateway][store_return]") {
+          "[gateway][store_restore]") {
     // Between two restores, the store refuses some callers and answers others.
     gateway_site site(plain_site(2, 2));
     for (std::size_t round = 0; round < 2; ++round) {
@@ -146,7 +146,7 @@
           std::string::npos);
 }
 
-TEST_CASE("gateway: a restore of the store costs few calls", "[gateway][store_return]") {
+TEST_CASE("gateway: a restore of the store costs few calls", "[gateway][store_restore]") {
     // Guards against repeated polls for a position that the store no longer has.
     constexpr std::size_t gateways = 3;
     gateway_site site(plain_site(2, gateways));
--- a/tests/unit/test_coordination.cpp
+++ b/tests/unit/test_coordination.cpp
@@ -249,7 +249,7 @@
 }
 
 TEST_CASE("limits are divided among all members that may still grant their shares",
-          "[policy][member_census]") {
+          "[policy][active_members]") {
     // One of four gateways is disconnected and continues to grant a quarter of a workspace's quota. If the
     // other three divided the complete quota among themselves at once, the workspace would get five
     // quarters of it.
--- a/tests/unit/test_gateway_policy.cpp
+++ b/tests/unit/test_gateway_policy.cpp
@@ -70,7 +70,7 @@
     CHECK_FALSE(repeatable.may_retry());
 }
 
-TEST_CASE("retries stay within a share of the requests and a reserve", "[policy][repeat_budget]") {
+TEST_CASE("retries stay within a share of the requests and a reserve", "[policy][server_retry_budget]") {
     // A service fails all requests. Without a budget, each request would be sent to several servers.
     server_retry_budget budget({.ratio = 0.2, .reserve = 10, .window = 10s});
     int retries = 0;
@@ -85,7 +85,7 @@
     CHECK(budget.try_acquire(8, start_time));
 }
 
-TEST_CASE("a quota is a rate with a burst, divided by shares", "[policy][allowance_book]") {
+TEST_CASE("a quota is a rate with a burst, divided by shares", "[policy][quota_tracker]") {
     quota_tracker quotas({.window = 8s, .tolerance = 0, .slack = 0});
     quotas.set_limit(1, {.rate = 100, .burst = 200}, start_time);
     // A new bucket isn't full, because other processes may have started one within the same window.
@@ -104,7 +104,7 @@
 }
 
 TEST_CASE("no more units are granted in a window than the limit and its tolerance",
-          "[policy][allowance_book]") {
+          "[policy][quota_tracker]") {
     // A workspace requests far more than its quota, and the process that counts its units is replaced twice
     // within a window.
     const quota_limits limits{.window = 8s, .tolerance = 0.1, .slack = 500};
@@ -125,7 +125,7 @@
 }
 
 TEST_CASE("processes that start together grant no more units than one that starts alone",
-          "[policy][allowance_book]") {
+          "[policy][quota_tracker]") {
     // All gateways were killed and start again, and each grants its own share of the quota until it has found
     // the coordinator. When the initial level of the bucket didn't depend on the share, a workspace could
     // exceed its quota by as many times as there are gateways.
@@ -145,7 +145,7 @@
 }
 
 TEST_CASE("a process that becomes coordinator grants as many units as one that starts as coordinator",
-          "[policy][allowance_book]") {
+          "[policy][quota_tracker]") {
     // A process that granted its own share of a quota becomes the coordinator. If it kept the initial level
     // of its share, a workspace with few requests a second would be refused for seconds although it is within
     // its quota. If it got the full initial level again at each change of its share, the workspace could
@@ -173,7 +173,7 @@
     CHECK(grant_all(chosen) == 0);
 }
 
-TEST_CASE("a scarce quota goes to the higher ranks of its workspace", "[policy][allowance_book]") {
+TEST_CASE("a scarce quota goes to the higher ranks of its workspace", "[policy][quota_tracker]") {
     // A workspace sends five times what its quota allows. Granted in the order of arrival, the quota would be
     // spent on long notes that can wait, and the summaries that its writers are waiting for would be refused.
     quota_tracker quotas({.window = 8s, .tolerance = 0, .slack = 0});
@@ -193,7 +193,7 @@
     CHECK(quotas.try_take(1, 1, 2, start_time + 40500ms));
 }
 
-TEST_CASE("a lowered quota takes effect at once", "[policy][allowance_book]") {
+TEST_CASE("a lowered quota takes effect at once", "[policy][quota_tracker]") {
     quota_tracker quotas({.window = 8s, .tolerance = 0, .slack = 0});
     quotas.set_limit(1, {.rate = 1000, .burst = 1000}, start_time);
     const auto now = start_time + 10s;
@@ -274,7 +274,7 @@
     CHECK_FALSE(suspects.quarantine_left(42, start_time + 10s));
 }
 
-TEST_CASE("the retry delay is the time that the overload has lasted", "[policy][overload_watch]") {
+TEST_CASE("the retry delay is the time that the overload has lasted", "[policy][overload_tracker]") {
     // A burst lasts for an unknown time. With a delay of half a second, callers would retry again and again;
     // with five seconds, they would wait for nothing after a short burst.
     overload_tracker watch;
@@ -296,7 +296,7 @@
 }
 
 TEST_CASE("a retried request is recognised until it is served or its refusal is too old",
-          "[policy][return_memory]") {
+          "[policy][refusal_history]") {
     refusal_history history;
     history.record_refused(7, start_time);
     CHECK(history.refusals(7, start_time + 2s) == 1);
--- a/tests/unit/test_gateway_store_restore.cpp
+++ b/tests/unit/test_gateway_store_restore.cpp
@@ -22,7 +22,7 @@
 } // namespace
 
 TEST_CASE("a server is known to drain although its version was assigned before the restore",
-          "[gateway][store_return]") {
+          "[gateway][store_restore]") {
     // Guards against treating a change of the new era as older than the known state, which would keep the
     // server in use.
     known_servers here;
@@ -36,7 +36,7 @@
 }
 
 TEST_CASE("a draining server stays out of use when the restored copy lists it as ready",
-          "[gateway][store_return]") {
+          "[gateway][store_restore]") {
     known_servers here;
     make_first_era(here);
     here.write("a", "leaving engines", 100);
@@ -50,7 +50,7 @@
 }
 
 TEST_CASE("a server that the restored copy lists as draining gets no requests, whichever row is older",
-          "[gateway][store_return]") {
+          "[gateway][store_restore]") {
     // The row may have been written anew under a version number that the store assigned a second time, so it
     // looks like a row of the copy.
     known_servers here;
@@ -61,7 +61,7 @@
 }
 
 TEST_CASE("a removed server isn't used again when the restored copy still lists it",
-          "[gateway][store_return]") {
+          "[gateway][store_restore]") {
     // Its address may belong to a server of another service by now.
     known_servers here;
     make_first_era(here);
@@ -79,7 +79,7 @@
     }
 }
 
-TEST_CASE("a suspect row that outlives its registration time counts as renewed", "[gateway][store_return]") {
+TEST_CASE("a suspect row that outlives its registration time counts as renewed", "[gateway][store_restore]") {
     // Guards against a live server that is never used again: renewing a registration changes no version.
     known_servers here(20ms);
     here.roster().start();
@@ -91,7 +91,7 @@
 }
 
 TEST_CASE("a server that is missing from the restored copy is retained for a while and then removed",
-          "[gateway][store_return]") {
+          "[gateway][store_restore]") {
     // The server registered after the copy was made. It may be alive and will then register again, or it may
     // have shut down since.
     known_servers here;
@@ -116,7 +116,7 @@
     }
 }
 
-TEST_CASE("previous starts of a server don't return with the restored copy", "[gateway][store_return]") {
+TEST_CASE("previous starts of a server don't return with the restored copy", "[gateway][store_restore]") {
     known_servers here;
     here.read_all({1, 40}, {{"a", "engines@1", 10}});
     here.write("a", "engines@2", 100);
@@ -126,7 +126,7 @@
 }
 
 TEST_CASE("a server that restarts in the new era is used although its version is low",
-          "[gateway][store_return]") {
+          "[gateway][store_restore]") {
     known_servers here;
     here.read_all({1, 40}, {{"a", "engines@1", 10}});
     here.write("a", "engines@1", 100);
@@ -136,7 +136,7 @@
     CHECK(here.usable_key("a") != previous);
 }
 
-TEST_CASE("two restores in a row begin two eras", "[gateway][store_return]") {
+TEST_CASE("two restores in a row begin two eras", "[gateway][store_restore]") {
     known_servers here;
     make_first_era(here);
     here.write("a", "leaving engines", 100);
@@ -148,7 +148,7 @@
     CHECK(here.roster().position() == store::position{3, 31});
 }
 
-TEST_CASE("data of a previous era never overrides the current era", "[gateway][store_return]") {
+TEST_CASE("data of a previous era never overrides the current era", "[gateway][store_restore]") {
     // A peer that can't reach the store, or an answer that was delayed, is of the previous era.
     known_servers here;
     make_first_era(here);
@@ -165,7 +165,7 @@
 }
 
 TEST_CASE("gateways that missed a restore or saw it or started after it reach the same state",
-          "[gateway][store_return]") {
+          "[gateway][store_restore]") {
     const std::vector<known_servers::entry> copy{{"a", "engines", 10}, {"b", "engines", 20}};
     known_servers saw;
     known_servers missed_it;
@@ -195,7 +195,7 @@
     }
 }
 
-TEST_CASE("a gateway in a previous era gets a complete update", "[gateway][store_return]") {
+TEST_CASE("a gateway in a previous era gets a complete update", "[gateway][store_restore]") {
     // Guards against comparing versions of different eras.
     known_servers ahead;
     ahead.read_all({2, 50}, {{"a", "engines", 10}});
@@ -204,7 +204,7 @@
     CHECK_FALSE(ahead.roster().changes_after({2, 55}).is_complete);
 }
 
-TEST_CASE("a store that begins to tell eras changes nothing", "[gateway][store_return]") {
+TEST_CASE("a store that begins to tell eras changes nothing", "[gateway][store_restore]") {
     known_servers here;
     here.read_all({0, 40}, {{"a", "engines", 10}, {"b", "leaving engines", 20}});
     here.read_all({1, 41}, {{"a", "engines", 10}, {"b", "leaving engines", 20}});
--- a/tests/unit/test_policy_poll_role.cpp
+++ b/tests/unit/test_policy_poll_role.cpp
@@ -19,7 +19,7 @@
 
 } // namespace
 
-TEST_CASE("only some of hundreds of gateways poll the store", "[policy][follower_duty]") {
+TEST_CASE("only some of hundreds of gateways poll the store", "[policy][poll_role]") {
     // If every gateway polled the store, each change of a server would cost one call per gateway, and an
     // outage several calls per second from each.
     constexpr member_key members = 300;
@@ -43,7 +43,7 @@
 }
 
 TEST_CASE("every gateway polls the store when there are few gateways or their number is unknown",
-          "[policy][follower_duty]") {
+          "[policy][poll_role]") {
     poll_role_choice choice(12, 0.99);
     choice.record_announcement(start_time);
     CHECK(choice.choose(false, 12, start_time) == poll_role::poller);
@@ -52,7 +52,7 @@
 }
 
 TEST_CASE("a gateway polls the store itself once no gateway announces that the store answers it",
-          "[policy][follower_duty]") {
+          "[policy][poll_role]") {
     // The polling gateways may be disconnected, or the store may refuse only them. The remaining gateways
     // would then never learn that a server has shut down.
     constexpr std::size_t members = 300;
--- a/tests/unit/test_policy_poll_schedule.cpp
+++ b/tests/unit/test_policy_poll_schedule.cpp
@@ -19,7 +19,7 @@
 } // namespace
 
 TEST_CASE("the polls of one confirming gateway make polls by other gateways unnecessary",
-          "[policy][follower_pace]") {
+          "[policy][poll_schedule]") {
     const poll_schedule schedule(limit, 0);
     const auto confirmed_every = schedule.wait(poll_role::confirmer, 0s);
     CHECK_FALSE(schedule.is_stale(poll_role::confirmer, confirmed_every));
@@ -30,7 +30,7 @@
     }
 }
 
-TEST_CASE("a poll after a confirmation that is too old isn't held open", "[policy][follower_pace]") {
+TEST_CASE("a poll after a confirmation that is too old isn't held open", "[policy][poll_schedule]") {
     // Guards against long polls in an outage, in which the store may lose the poll as well.
     for (const auto role : {poll_role::confirmer, poll_role::poller, poll_role::fallback}) {
         const poll_schedule schedule(limit, 0.5);
@@ -39,7 +39,7 @@
     }
 }
 
-TEST_CASE("no poll is held open for longer than the store accepts", "[policy][follower_pace]") {
+TEST_CASE("no poll is held open for longer than the store accepts", "[policy][poll_schedule]") {
     // The store refuses polls that ask it to wait for more than 30 s. Guards against a coordinator whose
     // polls are all refused when the change limit is set to minutes.
     const poll_schedule schedule(1h, 0.5);
@@ -48,7 +48,7 @@
     }
 }
 
-TEST_CASE("a lost poll is repeated within one and a half times the limit", "[policy][follower_pace]") {
+TEST_CASE("a lost poll is repeated within one and a half times the limit", "[policy][poll_schedule]") {
     // Guards against learning of a change too late when the store became unresponsive shortly after an
     // answer.
     for (const double draw : {0.0, 0.5, 0.99}) {
@@ -59,7 +59,7 @@
 }
 
 TEST_CASE("gateways don't all poll an unresponsive store again at the same moment",
-          "[policy][follower_pace]") {
+          "[policy][poll_schedule]") {
     const poll_schedule first(limit, 0.1);
     const poll_schedule second(limit, 0.9);
     const auto between = limit * 17 / 20 + limit / 8;
--- a/tests/unit/test_policy_slot_scheduler.cpp
+++ b/tests/unit/test_policy_slot_scheduler.cpp
@@ -117,7 +117,7 @@
     CHECK(scheduler.grant(start_time + 300ms).front().server == slow);
 }
 
-TEST_CASE("the expected time of an absurdly long answer doesn't overflow", "[policy][output_pace]") {
+TEST_CASE("the expected time of an absurdly long answer doesn't overflow", "[policy][output_token_time]") {
     // A caller states an answer length of more tokens than any engine generates in a lifetime. The conversion
     // to a duration overflowed to a negative value, so that every server seemed to be fast enough.
     output_token_time token_time;
