--- a/src/admin/spread_watch.cpp
+++ b/src/admin/spread_watch.cpp
@@ -13,8 +13,8 @@
 
 namespace {
 
-/// Time limit of one survey for each node. A node that wasn't reached is asked again in the next survey; for
-/// a node that was reached but is behind, the survey waits up to this limit.
+/// Timeout of one survey for each node. A node that wasn't reached is asked again in the next survey; for
+/// a node that was reached but is behind, the survey waits up to this timeout.
 constexpr milliseconds survey_limit{2000};
 constexpr milliseconds pause_between_surveys{250};
 
--- a/src/backend/answer_stream.hpp
+++ b/src/backend/answer_stream.hpp
@@ -12,7 +12,7 @@
 
 namespace borageford::backend {
 
-/// Time limits for the steps of an answer, and the size of its body.
+/// Timeouts for the steps of an answer, and the limit on the size of its body.
 struct stream_limits {
     std::chrono::milliseconds connect{1000}; ///< longest time to connect
     std::chrono::milliseconds head{60'000};  ///< longest time from sending the call to the head of the answer
--- a/src/backend/backend_types.hpp
+++ b/src/backend/backend_types.hpp
@@ -92,7 +92,7 @@
 enum class failure : std::uint8_t {
     unreachable,       ///< nothing was sent, so the dispatch can't have started
     connection_broken, ///< the connection broke; the server may still be running the dispatch
-    timed_out,         ///< the server sent nothing within the time limit
+    timed_out,         ///< the server sent nothing within the timeout
     malformed,         ///< the answer violates the protocol
     refused,           ///< the server answered with a status that means that it didn't accept the call
 };
--- a/src/configuration/configuration_follower.cpp
+++ b/src/configuration/configuration_follower.cpp
@@ -37,8 +37,7 @@
 /// that is merely busy is late by less.
 constexpr std::chrono::milliseconds freeze_threshold{750};
 
-/// A coroutine in wait_for_newer(). It is resumed once: by a revision higher than `above` or by its time
-/// limit.
+/// A coroutine in wait_for_newer(). It is resumed once: by a revision higher than `above` or by its timeout.
 struct revision_waiter {
     revision_number above = 0;
     std::shared_ptr<std::atomic<bool>> is_woken;
--- a/src/entry/claim_store.cpp
+++ b/src/entry/claim_store.cpp
@@ -265,7 +265,7 @@
     case change_outcome::conflict:
         co_return co_await shared_state->resolve(name, wanted, false);
     case change_outcome::unknown:
-    case change_outcome::waiting: // the time limit has passed and the transaction is still in progress
+    case change_outcome::waiting: // the timeout has passed and the transaction is still in progress
         co_return co_await shared_state->resolve(name, wanted, true);
     case change_outcome::refused:
         break;
--- a/src/gateway/backend_call.cpp
+++ b/src/gateway/backend_call.cpp
@@ -14,7 +14,7 @@
 
 namespace {
 
-/// Time limit for opening a connection. Within a region this takes a few milliseconds; a server that doesn't
+/// Timeout for opening a connection. Within a region this takes a few milliseconds; a server that doesn't
 /// accept for this long is unresponsive or has a full listen queue, and another server is the better choice.
 constexpr milliseconds connect_timeout{300};
 /// Longest idle time of a connection that is reused for a request that must not be retried. The server may be
--- a/src/gateway/client_session.cpp
+++ b/src/gateway/client_session.cpp
@@ -24,7 +24,7 @@
 /// How long the caller may still send on a connection that this process is closing. Closing at once would
 /// make the kernel send a reset, which could destroy the answer before the caller has read it.
 constexpr milliseconds linger_time{1000};
-/// How often the idle time and the time limit for a request's head are checked.
+/// How often the idle time and the timeout for a request's head are checked.
 constexpr milliseconds time_check_period{500};
 constexpr std::size_t max_read_size = 64U * 1024;
 
--- a/src/gateway/rollout_manager.hpp
+++ b/src/gateway/rollout_manager.hpp
@@ -23,7 +23,7 @@
 /// Until the roll-out is completed, only the coordinator grants slots of servers of the new version. It also
 /// grants them to requests of other gateways, which then send these requests to the new version. A gateway
 /// that grants slots from its local share because there is no coordinator grants none of the new version,
-/// with one exception: after the order's time limit the new version gets slots if no server of another
+/// with one exception: after the order's deadline the new version gets slots if no server of another
 /// version accepts work.
 class rollout_manager {
 public:
--- a/src/http/client.hpp
+++ b/src/http/client.hpp
@@ -25,14 +25,14 @@
     reading,    ///< the response body was truncated
 };
 
-/// Thrown when the connection was refused or broke, when a step exceeded its time limit, or when the response
+/// Thrown when the connection was refused or broke, when a step exceeded its timeout, or when the response
 /// isn't valid HTTP or its body is larger than allowed.
 class exchange_error : public std::runtime_error {
 public:
     exchange_error(exchange_stage stage, bool timed_out, const std::string& text)
         : std::runtime_error(text), m_stage(stage), m_timed_out(timed_out) {}
     [[nodiscard]] exchange_stage stage() const noexcept { return m_stage; }
-    /// Whether a step exceeded its limit in exchange_limits.
+    /// Whether a step exceeded its timeout in exchange_limits.
     [[nodiscard]] bool has_timed_out() const noexcept { return m_timed_out; }
 
 private:
@@ -40,7 +40,7 @@
     bool m_timed_out;
 };
 
-/// Time limits for the steps of an exchange, and the largest body.
+/// Timeouts for the steps of an exchange, and the largest body.
 struct exchange_limits {
     /// Longest time to connect.
     std::chrono::milliseconds connect{2000};
--- a/src/policy/rollout_progress.hpp
+++ b/src/policy/rollout_progress.hpp
@@ -36,9 +36,9 @@
 /// finished all of their requests.
 class rollout_progress {
 public:
-    /// `to`: the new version; `length`: the time limit that the operator gave for the roll-out. It counts
-    /// from `now`, the time at which this process first read the order, and not from when the order was
-    /// written. So it starts anew in a gateway that is restarted during the roll-out.
+    /// `to`: the new version; `length`: the time until the deadline that the operator gave for the roll-out.
+    /// It counts from `now`, the time at which this process first read the order, and not from when the order
+    /// was written. So it starts anew in a gateway that is restarted during the roll-out.
     rollout_progress(std::string to, duration length, time_point now)
         : m_to(std::move(to)), m_begin(now), m_length(length) {}
 
@@ -49,7 +49,7 @@
     [[nodiscard]] const canary_analysis& analysis() const noexcept { return m_analysis; }
     /// Whether the roll-out is completed or rolled back.
     [[nodiscard]] bool is_over() const noexcept { return m_phase >= rollout_phase::completed; }
-    /// The end of the time limit as this process counts it.
+    /// The deadline as this process counts it.
     [[nodiscard]] time_point end() const noexcept { return m_begin + m_length; }
 
     /// Starts the canary phase if the roll-out is waiting. To be called when this process is the coordinator
@@ -77,8 +77,8 @@
     /// another process becomes coordinator during the canary phase, it starts counting from zero, and the new
     /// version can get this share once more.
     static constexpr double canary_share = 0.05;
-    /// The new version can be accepted after this part of the time limit. The remaining time is for the
-    /// previous version's running requests to finish.
+    /// The new version can be accepted after this part of the time until the deadline. The remaining time is
+    /// for the previous version's running requests to finish.
     static constexpr double earliest_acceptance = 0.4;
 
     std::string m_to;
--- a/src/sidecar/order_controller.hpp
+++ b/src/sidecar/order_controller.hpp
@@ -14,7 +14,7 @@
 namespace borageford::sidecar {
 
 /// Gives orders to the engine. Used on sidecar_context::strand only. Invariants: at most one comparison runs
-/// at a time; an order is sent only if the lease lasts longer than the order's own time limit.
+/// at a time; an order is sent only if the lease lasts longer than the order's own timeout.
 class order_controller {
 public:
     /// `models_changed` is called whenever the engine has reported its loaded models.
--- a/src/sidecar/sidecar_settings.hpp
+++ b/src/sidecar/sidecar_settings.hpp
@@ -34,16 +34,16 @@
     std::chrono::milliseconds ledger_retention{600'000}; ///< how long the ledger keeps ended dispatches
     std::size_t ledger_entries = 100'000;                ///< the most ended dispatches in the ledger
 
-    std::chrono::milliseconds connect_limit{1000};       ///< time limit for connecting to the backend server
-    std::chrono::milliseconds first_token_limit{60'000}; ///< until the first byte of a streamed answer
+    std::chrono::milliseconds connect_limit{1000};         ///< timeout for connecting to the backend server
+    std::chrono::milliseconds first_token_limit{60'000};   ///< until the first byte of a streamed answer
     std::chrono::milliseconds whole_answer_limit{600'000}; ///< until an answer that isn't streamed begins
     std::chrono::milliseconds stall_limit{10'000};         ///< between two pieces of an answer
     std::chrono::milliseconds health_period{500};          ///< between health checks of the backend server
     std::chrono::milliseconds cache_period{500};           ///< between polls of the engine's cache events
-    std::chrono::milliseconds control_timeout{1000}; ///< time limit of health, load, cancel and state calls
+    std::chrono::milliseconds control_timeout{1000}; ///< timeout of health, load, cancel and state calls
 
     std::chrono::milliseconds order_period{1000};  ///< between comparisons of engine and configuration
-    std::chrono::milliseconds order_timeout{3000}; ///< time limit of one order
+    std::chrono::milliseconds order_timeout{3000}; ///< timeout of one order
     std::chrono::milliseconds order_lease{10'000}; ///< length of the fencing lease
     std::chrono::milliseconds load_spread{2000};   ///< the longest random delay before a load order
     std::chrono::milliseconds mark_limit{500}; ///< how long a failure may be delayed to write its crash mark
--- a/tests/failure/test_11_bad_input.cpp
+++ b/tests/failure/test_11_bad_input.cpp
@@ -119,7 +119,7 @@
     check_still_serves(system, "malformed HTTP");
 }
 
-// A caller doesn't send its request completely within the time limit. It must be answered with status 408,
+// A caller doesn't send its request completely within the timeout. It must be answered with status 408,
 // and other callers must not have to wait for it.
 TEST_CASE("11 bad input: slow senders") {
     cluster system(small_cluster());
--- a/tests/support/wait_until.cpp
+++ b/tests/support/wait_until.cpp
@@ -1,4 +1,4 @@
-// Polls a condition until it holds or the time limit has passed.
+// Polls a condition until it holds or the timeout has passed.
 #include "support/wait_until.hpp"
 
 #include <stdexcept>
--- a/tests/support/wait_until.hpp
+++ b/tests/support/wait_until.hpp
@@ -1,4 +1,4 @@
-// Waits for a condition. The time limit only ends a test that would hang; no test's result depends on its
+// Waits for a condition. The timeout only ends a test that would hang; no test's result depends on its
 // length.
 #pragma once
 
--- a/tests/unit/test_audit_recorder.cpp
+++ b/tests/unit/test_audit_recorder.cpp
@@ -16,7 +16,7 @@
 
 namespace {
 
-constexpr auto guard = 20s; ///< time limit of a test, so that it can't hang
+constexpr auto guard = 20s; ///< timeout of a test, so that it can't hang
 
 struct fixture {
     boost::asio::io_context context;
--- a/tests/unit/test_repeated_read.cpp
+++ b/tests/unit/test_repeated_read.cpp
@@ -19,7 +19,7 @@
 
 namespace {
 
-/// A timeout that no test can wait for. A test that depends on it runs into the time limit of the test run.
+/// A timeout that no test can wait for. A test that depends on it runs into the timeout of the test run.
 constexpr milliseconds endless_timeout{3'600'000};
 constexpr milliseconds short_period{10};
 
