--- a/tests/unit/test_coordination.cpp
+++ b/tests/unit/test_coordination.cpp
@@ -253,25 +253,25 @@
     // One of four gateways is disconnected and continues to grant a quarter of a workspace's quota. If the
     // other three divided the complete quota among themselves at once, the workspace would get five
     // quarters of it.
-    active_members census;
+    active_members members;
     const auto serve_all = [&](time_point now) {
         for (const member_key member : {1, 2, 3}) {
-            census.record_served(member, now);
+            members.record_served(member, now);
         }
     };
-    CHECK(census.local_share(1) == Approx(0.25)); // no other member is known: four are assumed
+    CHECK(members.local_share(1) == Approx(0.25)); // no other member is known: four are assumed
     serve_all(start_time);
-    CHECK(census.coordinator_share(4, start_time) == Approx(1));
-    CHECK(census.coordinator_share(3, start_time + 5s) == Approx(0.75));
-    census.record_served(1, start_time + 13s);
-    census.record_served(2, start_time + 13s);
-    CHECK(census.coordinator_share(3, start_time + 13s) == Approx(1));
+    CHECK(members.coordinator_share(4, start_time) == Approx(1));
+    CHECK(members.coordinator_share(3, start_time + 5s) == Approx(0.75));
+    members.record_served(1, start_time + 13s);
+    members.record_served(2, start_time + 13s);
+    CHECK(members.coordinator_share(3, start_time + 13s) == Approx(1));
     // A process without other members may itself be the disconnected one.
-    CHECK(census.coordinator_share(1, start_time + 60s) == Approx(1.0 / 3));
-    census.record_reported_count(10, start_time + 60s);
-    CHECK(census.local_share(2) == Approx(0.1));
-    census.record_reported_count(0, start_time + 60s); // a report of 0 means unknown and is ignored
-    CHECK(census.count() == 10);
+    CHECK(members.coordinator_share(1, start_time + 60s) == Approx(1.0 / 3));
+    members.record_reported_count(10, start_time + 60s);
+    CHECK(members.local_share(2) == Approx(0.1));
+    members.record_reported_count(0, start_time + 60s); // a report of 0 means unknown and is ignored
+    CHECK(members.count() == 10);
 }
 
 TEST_CASE("the order of candidates follows the processor shares that members report", "[policy][election]") {
