--- a/src/events/event_kind.cpp
+++ b/src/events/event_kind.cpp
@@ -33,8 +33,8 @@
     event_description{event_kind::stopped, "stopped", info, state_rate, "The process ends.",
                       "requests_cut connections_cut stopping_ms"},
     event_description{event_kind::store_lost, "store_lost", warning, state_rate,
-                      "The store doesn't answer, refuses requests, or let an open poll run past its time "
-                      "limit; the rows last read from the table stay in use.",
+                      "The store doesn't answer, refuses requests, or let an open poll run past its "
+                      "timeout; the rows last read from the table stay in use.",
                       "table reason"},
     event_description{event_kind::store_regained, "store_regained", info, state_rate,
                       "The store answers again; the changes made during the outage are read next.",
