--- a/src/emulator/emulated_backend.hpp
+++ b/src/emulator/emulated_backend.hpp
@@ -25,7 +25,7 @@
 enum class backend_fault : std::uint8_t {
     none,
     error,          ///< runs the request and answers 500
-    refuse,         ///< answers 503 with the header field Not-Executed, without running the request
+    refuse,         ///< answers 503 with header_names::not_executed, without running the request
     cut_unanswered, ///< runs the request and closes the connection without a complete answer
     cut_midway,     ///< closes the connection in the middle of the answer
     hang,           ///< runs the request and never answers
